--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -4,38 +4,46 @@
 #include "router/tf.h"
 
 /*
- * Choice of endpoints for one attempt: pick.c has pipelines and their repairs, pick_plain.c plain
- * services, pick_opens.c when rests leave somebody. Part of the traffic thread.
+ * Choice of endpoints for one attempt, in the traffic thread: pick.c chooses pipelines and
+ * replacements of their stages, pick_plain.c chooses endpoints of plain services, and pick_opens.c
+ * computes when rest periods leave enough endpoints for a request.
  */
 
-/* What a search for stages works on. */
+/* State of a search for the stages of a pipeline. */
 struct pick {
-	struct pa_node *nodes;
-	struct tf_ep **eps;
-	int n;
-	int resting; /* endpoints that are left out, since they want nothing now */
-	struct pa_ask ask;
-	struct pa_path path;
+	struct pa_node *nodes; /* candidates, as the path search sees them */
+	struct tf_ep **eps;    /* endpoint of each node */
+	int n;		       /* number of nodes */
+	int resting;	       /* endpoints left out because of rest periods */
+	struct pa_ask ask;     /* what the pipeline has to do */
+	struct pa_path path;   /* the pipeline found */
 };
 
 /*
- * Endpoints of the service that may be used at that time, without those to be avoided. One that
- * wants nothing of this host is no stage either: a pipeline would bring it this host's requests.
+ * Starts a search among the endpoints of the service that are available at time at_us and not in
+ * avoid. An endpoint in a rest period is left out as a later stage, too, since a pipeline through
+ * it would send it requests of this host.
  */
 void pick_init(struct pick *pick, struct tf *tf, const struct rt_service *service,
 	       const struct seam_request *request, const struct tf_target *avoid, int64_t at_us);
 void pick_finish(struct pick *pick);
 
-/* The best pipeline of them; 0 or FWD_ENOENDPOINT. */
+/* Finds the pipeline of least cost among the nodes. Returns 0 or FWD_ENOENDPOINT. */
 int pick_search(struct pick *pick, struct tf *tf, const struct rt_service *service);
 
-/* Whether the endpoint is listed, of the service and not leaving. */
-bool pick_usable(const struct tf_ep *ep, const struct rt_service *service);
+/* Returns whether the endpoint is listed as ready, belongs to the service and is not leaving. */
+bool pick_is_usable(const struct tf_ep *ep, const struct rt_service *service);
+
+/* Returns how far the endpoint is trusted: faulty if suspected, doubted or good. */
 enum pa_trust pick_trust(const struct tf_ep *ep, int64_t now_us);
-bool pick_avoided(const struct tf_target *avoid, const struct tf_ep *ep);
+
+/* Returns whether the endpoint is in avoid, which may be NULL. */
+bool pick_is_avoided(const struct tf_target *avoid, const struct tf_ep *ep);
+
+/* Appends a stage for layers from..to-1 to the target. */
 void pick_add_stage(struct tf_target *target, struct tf_ep *ep, int from, int to);
 
-/* pick_plain.c: 0 or a negative FWD_E. */
-int pick_plain(struct tf *tf, const struct tf_ask *ask, struct tf_target *target);
+/* pick_plain.c: chooses one endpoint of a plain service. Returns 0 or a negative FWD_E. */
+int pick_plain(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target);
 
 #endif
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -5,33 +5,38 @@
 #include <string.h>
 
 /*
- * Plain services: what a recent failure, another availability zone and chance add to the load of an
- * endpoint. A failure counts as four times the load, so one that fails half of its requests gets
- * few; the zone and chance only decide between endpoints that are alike.
+ * Weights of the cost of an endpoint of a plain service. A recent failure adds 4 times the load, so
+ * an endpoint that fails half of its requests gets few. Another availability zone adds a tenth and
+ * chance up to a fifth, which only decides between endpoints that are alike.
  */
 static const double pick_plain_failure = 4;
-static const double pick_plain_far = 1.1;
+static const double pick_plain_other_zone = 1.1;
 static const double pick_plain_spread = 0.2;
 
-/* Fewest requests under way for its places, failing ones last; nearest zone where alike. */
+/*
+ * Returns the cost of choosing the endpoint: requests under way per slot, weighted by failures,
+ * availability zone and chance.
+ */
 static double pick_plain_cost(struct tf *tf, struct tf_ep *ep, int64_t now_us)
 {
 	double load = (double)(ep->in_flight + 1) / MAX(ep->rec->slots, 1);
 
 	load *= 1 + pick_plain_failure * flg_recent(&ep->failing, now_us);
 	if (strcmp(ep->rec->zone, tf->router->settings.zone) != 0)
-		load *= pick_plain_far;
+		load *= pick_plain_other_zone;
 	return load * (1 + pick_plain_spread * rnd_unit(&tf->seed));
 }
 
-/* The best of the endpoints that were looked at. */
+/* The best endpoint found so far; ep is NULL if there is none. */
 struct pick_best {
 	struct tf_ep *ep;
 	enum pa_trust trust;
 	double cost;
 };
 
-static void pick_better(struct pick_best *best, struct tf_ep *ep, enum pa_trust trust, double cost)
+/* Replaces the best endpoint if this one is more trusted, or as trusted and cheaper. */
+static void pick_keep_better(struct pick_best *best, struct tf_ep *ep, enum pa_trust trust,
+			     double cost)
 {
 	if (best->ep && (trust > best->trust || (trust == best->trust && cost >= best->cost)))
 		return;
@@ -39,24 +44,24 @@
 }
 
 /*
- * One that has failed lately, and is passed over for that, gets a request now and then; only one
- * that may run again elsewhere if it fails there.
+ * Now and then returns an endpoint that is avoided because of recent failures instead of the chosen
+ * one, to find out whether it works again. Only for requests that may run again if they fail there.
  */
-static struct tf_ep *pick_trial(struct tf *tf, const struct tf_ask *ask, struct tf_ep *chosen,
-				int64_t now_us)
+static struct tf_ep *pick_trial(struct tf *tf, const struct tf_pick_args *args,
+				struct tf_ep *chosen, int64_t now_us)
 {
 	struct tf_ep *trial = chosen;
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, tf->eps);
-	while (ask->may_repeat && g_hash_table_iter_next(&iter, NULL, &value)) {
+	while (args->may_repeat && g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct tf_ep *ep = value;
 
 		if (ep == chosen || flg_recent(&ep->failing, now_us) == 0 ||
-		    !pick_usable(ep, ask->service) || pick_avoided(ask->avoid, ep) ||
+		    !pick_is_usable(ep, args->service) || pick_is_avoided(args->avoid, ep) ||
 		    pick_trust(ep, now_us) != PA_GOOD || !rst_is_open(&ep->rest, now_us) ||
-		    !tf_limit_is_open(tf, ep, ask->account))
+		    !tf_limit_is_open(tf, ep, args->account))
 			continue;
 		if (flg_on_passed(&ep->failing, now_us))
 			trial = ep;
@@ -64,7 +69,7 @@
 	return trial;
 }
 
-int pick_plain(struct tf *tf, const struct tf_ask *ask, struct tf_target *target)
+int pick_plain(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
 {
 	struct pick_best best = {NULL, PA_FAULTY, 0};
 	struct pick_best open = {NULL, PA_FAULTY, 0};
@@ -78,17 +83,17 @@
 		enum pa_trust trust = pick_trust(value, now_us);
 		double cost;
 
-		if (!pick_usable(value, ask->service) || pick_avoided(ask->avoid, value) ||
-		    trust > ask->trust)
+		if (!pick_is_usable(value, args->service) || pick_is_avoided(args->avoid, value) ||
+		    trust > args->trust)
 			continue;
 		if (!rst_is_open(&((struct tf_ep *)value)->rest, now_us)) {
 			resting++;
 			continue;
 		}
 		cost = pick_plain_cost(tf, value, now_us);
-		pick_better(&best, value, trust, cost);
-		if (tf_limit_is_open(tf, value, ask->account))
-			pick_better(&open, value, trust, cost);
+		pick_keep_better(&best, value, trust, cost);
+		if (tf_limit_is_open(tf, value, args->account))
+			pick_keep_better(&open, value, trust, cost);
 	}
 	if (!best.ep)
 		return resting > 0 ? FWD_ERESTS : FWD_ENOENDPOINT;
@@ -96,6 +101,6 @@
 		tf_limit_lacked(tf, best.ep);
 	if (!open.ep)
 		return FWD_ELIMIT;
-	pick_add_stage(target, pick_trial(tf, ask, open.ep, now_us), 0, 0);
+	pick_add_stage(target, pick_trial(tf, args, open.ep, now_us), 0, 0);
 	return 0;
 }
--- a/router/rq.c
+++ b/router/rq.c
@@ -10,10 +10,11 @@
 #include <string.h>
 
 enum {
-	RQ_CONNECT_MS = 300,  /* a connection to a live endpoint takes a few ms */
-	RQ_GAP_LEAST_MS = 70, /* silence that is no sign of anything: a batch that reads a prompt */
-	RQ_GAP_SHARE = 4,     /* weight of the newest gap in the mean, as one part of so many */
-	RQ_GAP_X = 3	      /* gaps of that mean after which a stream is silent */
+	RQ_CONNECT_MS = 300,	  /* connection timeout; a live endpoint accepts within a few ms */
+	RQ_GAP_FLOOR_MS = 70,	  /* shortest limit on silence, in ms; a batch that reads a
+				   * prompt causes such pauses */
+	RQ_GAP_MEAN_DIVISOR = 4,  /* the newest gap counts 1/4 in the running mean */
+	RQ_GAP_SILENCE_FACTOR = 3 /* a stream is silent after 3 times the mean gap */
 };
 
 static int rq_send(void *ctx, int attempt, const char *resume_after);
@@ -81,7 +82,7 @@
 
 	tmr_cancel(&tf->loop.tmr, &rq->timer);
 	rq_cancel(rq);
-	tf_target_clear(&rq->target);
+	tf_target_release(&rq->target);
 	rq_avoid_clear(rq);
 	seam_answer_finish(&rq->answer);
 	seam_request_finish(&rq->request);
@@ -93,12 +94,12 @@
 	g_free(rq);
 }
 
-const char *rq_account(const struct rq *rq)
+const char *rq_account_name(const struct rq *rq)
 {
 	return rq->account ? rq->account->name : "";
 }
 
-void rq_start(struct tf *tf, struct hd_call *call, int64_t came_us)
+void rq_start(struct tf *tf, struct hd_call *call, int64_t received_us)
 {
 	struct rq *rq = g_new0(struct rq, 1);
 	struct fwd_rules rules;
@@ -106,7 +107,7 @@
 
 	rq->tf = tf;
 	rq->call = call;
-	rq->began_us = came_us;
+	rq->began_us = received_us;
 	memset(&rules, 0, sizeof(rules));
 	fwd_init(&rq->fwd, &rules, &rq_fwd_ops, rq);
 	seam_request_init(&rq->request);
@@ -114,21 +115,21 @@
 	g_ptr_array_add(tf->reqs, rq);
 	if (!rq_admit(rq))
 		return;
-	rq_rules(rq, &rq->fwd.rules);
+	rq_fill_rules(rq, &rq->fwd.rules);
 	rq->body = (char *)hd_body(call, &len);
 	rq->body_len = len;
-	rq->key = quar_key_of(str_of(rq_account(rq)), str_of(hd_target(call)),
+	rq->key = quar_key_of(str_of(rq_account_name(rq)), str_of(hd_target(call)),
 			      str_make(rq->body, len));
-	if (rq_is_quarantined(rq))
+	if (rq_deny_if_quarantined(rq))
 		return;
 	bud_on_request(tf_budget(tf, rq->service->name), rq->began_us);
-	rq_charge(rq);
-	if (!rq_begins_in_time(rq))
+	rq_charge_share(rq);
+	if (!rq_admit_by_load(rq))
 		return;
 	fwd_start(&rq->fwd, tmr_now());
 }
 
-static int64_t rq_left_ms(const struct rq *rq, int64_t now_us)
+static int64_t rq_time_left_ms(const struct rq *rq, int64_t now_us)
 {
 	return MAX((rq->fwd.rules.deadline_us - now_us) / TMR_US_PER_MS, 1);
 }
@@ -154,18 +155,18 @@
 	jl_str("addr", rq->target.stages[0].ep->rec->addr);
 	jl_str("pipeline", pipeline);
 	jl_str("resume_after", resume_after);
-	jl_int("left_ms", rq_left_ms(rq, tmr_now()));
+	jl_int("left_ms", rq_time_left_ms(rq, tmr_now()));
 	jl_int("version", rq->conf->version);
-	jl_int("view_age_ms", (tmr_now() - rq->tf->view_us) / TMR_US_PER_MS);
+	jl_int("view_age_ms", (tmr_now() - rq->tf->view_valid_us) / TMR_US_PER_MS);
 	jl_end();
 }
 
-static void rq_ask(const struct rq *rq, enum pa_trust trust, struct tf_ask *ask)
+static void rq_fill_pick_args(const struct rq *rq, enum pa_trust trust, struct tf_pick_args *args)
 {
-	*ask = (struct tf_ask){
+	*args = (struct tf_pick_args){
 		.service = rq->service,
 		.request = &rq->request,
-		.account = rq_account(rq),
+		.account = rq_account_name(rq),
 		.avoid = &rq->avoid,
 		.trust = trust,
 		.may_repeat = rq->fwd.rules.may_repeat,
@@ -174,30 +175,33 @@
 
 static int rq_pick(struct rq *rq, enum pa_trust trust, struct tf_target *target)
 {
-	struct tf_ask ask;
+	struct tf_pick_args args;
 
-	rq_ask(rq, trust, &ask);
-	return tf_pick(rq->tf, &ask, target);
+	rq_fill_pick_args(rq, trust, &args);
+	return tf_pick(rq->tf, &args, target);
 }
 
-/* Nobody was found for the first attempt, which may wait until rests leave somebody. */
-static int rq_await_rests(struct rq *rq, enum pa_trust trust)
+/*
+ * No endpoint was found for the first attempt, which may wait. Sets the time at which rest periods
+ * leave enough endpoints; returns FWD_ERESTS, or FWD_ENOENDPOINT if there is no such time.
+ */
+static int rq_wait_for_rest_end(struct rq *rq, enum pa_trust trust)
 {
-	struct tf_ask ask;
+	struct tf_pick_args args;
 
-	rq_ask(rq, trust, &ask);
-	rq->fwd.rules.rest_us = tf_pick_opens_us(rq->tf, &ask);
+	rq_fill_pick_args(rq, trust, &args);
+	rq->fwd.rules.rest_us = tf_pick_rest_end_us(rq->tf, &args);
 	return rq->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTS;
 }
 
 int64_t rq_rest_left_us(const struct rq *rq)
 {
-	struct tf_ask ask;
+	struct tf_pick_args args;
 	int64_t opens_us;
 
-	rq_ask(rq, PA_DOUBTED, &ask);
-	ask.avoid = NULL;
-	opens_us = tf_pick_opens_us(rq->tf, &ask);
+	rq_fill_pick_args(rq, PA_DOUBTED, &args);
+	args.avoid = NULL;
+	opens_us = tf_pick_rest_end_us(rq->tf, &args);
 	return MAX(opens_us - tmr_now(), 0);
 }
 
@@ -220,19 +224,19 @@
 	enum pa_trust trust = attempt > 0 ? PA_DOUBTED : PA_FAULTY;
 	int err;
 
-	tf_target_clear(&rq->target);
+	tf_target_release(&rq->target);
 	if (rq_quarantine_us(rq, tmr_now()) > 0)
 		return FWD_ECRASHES;
 	err = rq_pick(rq, trust, &rq->target);
 	if (err == FWD_ERESTS && attempt == 0)
-		err = rq_await_rests(rq, trust);
-	if (err == FWD_ELIMIT && !tf_limit_waits(tf, rq->service->name, rq_account(rq)))
+		err = rq_wait_for_rest_end(rq, trust);
+	if (err == FWD_ELIMIT && !tf_limit_waits(tf, rq->service->name, rq_account_name(rq)))
 		return FWD_ELIMITED;
 	if (err < 0)
 		return err;
 	if (rq->target.layered)
-		pipeline = tf_pipeline(tf, &rq->target);
-	forward.deadline_ms = rq_left_ms(rq, tmr_now());
+		pipeline = tf_format_pipeline(tf, &rq->target);
+	forward.deadline_ms = rq_time_left_ms(rq, tmr_now());
 	forward.instance = rq->target.stages[0].ep->rec->id;
 	forward.account = rq->account ? rq->account->name : NULL;
 	forward.pipeline = pipeline;
@@ -247,17 +251,17 @@
 		request.body = rq->body;
 		request.body_len = rq->body_len;
 	}
-	rq->lasted_before_us += rq_lasted(rq);
-	rq->headed = false;
-	rq->moved = false;
-	rq->cut_at = NULL;
-	rq->part_us = tmr_now();
-	rq->attempt_us = tmr_boot_now();
-	tf_limit_took(tf, rq->target.stages[0].ep, rq_account(rq));
-	rst_on_sent(&rq->target.stages[0].ep->rest, rq->part_us);
+	rq->earlier_duration_us += rq_attempt_duration_us(rq);
+	rq->head_received = false;
+	rq->part_received = false;
+	rq->broken_at = NULL;
+	rq->last_activity_us = tmr_now();
+	rq->attempt_boot_us = tmr_boot_now();
+	tf_limit_took(tf, rq->target.stages[0].ep, rq_account_name(rq));
+	rst_on_sent(&rq->target.stages[0].ep->rest, rq->last_activity_us);
 	flg_on_chosen(&rq->target.stages[0].ep->failing);
 	if (rq->sent_us == 0)
-		rq->sent_us = rq->part_us;
+		rq->sent_us = rq->last_activity_us;
 	rq_log_sent(rq, attempt, pipeline, resume_after);
 	rq->attempt = hc_start(tf->hc, &request, &rq_hc_ops, rq);
 	g_ptr_array_unref(headers);
@@ -267,23 +271,23 @@
 }
 
 /*
- * Nothing is taken from the budget where only endpoints are left that do not answer: they would
- * reject the request once more, and the budget is for those that can be served.
+ * Takes a repeat from the service's budget. If only faulty endpoints are left, nothing is taken:
+ * they would reject the request again, and the budget is meant for requests that can be served.
  */
 static int rq_take_repeat(void *ctx)
 {
 	struct rq *rq = ctx;
 	struct tf_target target;
 
-	if (rq_crashes_too_often(rq))
+	if (rq_reaches_crash_limit(rq))
 		return FWD_ECRASHES;
 	if (rq_pick(rq, PA_DOUBTED, &target) < 0)
 		return FWD_ENOENDPOINT;
-	tf_target_clear(&target);
+	tf_target_release(&target);
 	return bud_take(tf_budget(rq->tf, rq->service->name), tmr_now()) ? 0 : FWD_EBUDGET;
 }
 
-static void rq_drop(struct hc_call **call)
+static void rq_cancel_call(struct hc_call **call)
 {
 	if (*call)
 		hc_cancel(*call);
@@ -294,11 +298,14 @@
 {
 	struct rq *rq = ctx;
 
-	rq_drop(&rq->attempt);
-	rq_drop_order(rq);
+	rq_cancel_call(&rq->attempt);
+	rq_cancel_order(rq);
 }
 
-/* Those that had no room may have some when the stream is sent again. */
+/*
+ * Logs that the stream waits to be sent again and forgets which endpoints failed it: those that had
+ * no room may have some by then.
+ */
 static void rq_on_wait(void *ctx)
 {
 	struct rq *rq = ctx;
@@ -308,14 +315,17 @@
 	jl_str("why", fwd_cause_name(rq->fwd.failure));
 	jl_int("waits", rq->fwd.waits);
 	jl_int("parts", (int64_t)rq->fwd.parts);
-	jl_int("left_ms", rq_left_ms(rq, tmr_now()));
+	jl_int("left_ms", rq_time_left_ms(rq, tmr_now()));
 	jl_end();
-	tf_target_clear(&rq->target);
+	tf_target_release(&rq->target);
 	rq_avoid_clear(rq);
 }
 
-/* What the end of an attempt tells about its endpoints. */
-static void rq_learn(struct rq *rq, int err, bool sent)
+/*
+ * Excludes the endpoint that caused a failed attempt from this request, and records the failure for
+ * other requests: the endpoint that the answer names, else the first stage.
+ */
+static void rq_record_failure(struct rq *rq, int err, bool sent)
 {
 	int64_t now_us = tmr_now();
 	struct tf_ep *first = rq->target.count > 0 ? rq->target.stages[0].ep : NULL;
@@ -325,7 +335,7 @@
 		culprit = g_hash_table_lookup(rq->tf->by_addr, rq->answer.culprit);
 	if (culprit) {
 		rq_avoid(rq, culprit);
-		tf_on_named(culprit, "named_at_fault", rq->request.id);
+		tf_on_named_faulty(culprit, "named_at_fault", rq->request.id);
 		if (first && first != culprit)
 			stall_on_named(rq->tf, first, culprit);
 		return;
@@ -333,22 +343,25 @@
 	if (!first || err == 0)
 		return;
 	rq_avoid(rq, first);
-	/* To want rest is no failure. */
+	/* A demand for a rest period is not a failure. */
 	if (rq->answer.rest != SEAM_REST_FOR) {
 		flg_on_failed(&first->failing, now_us);
-		/* It has nothing to do, so it would look best to the next request. */
+		/* Its load is low because it rejects, so the next request would choose it. */
 		if (rq->target.layered && rq->answer.head.not_run)
-			tf_on_named(first, "rejected", rq->request.id);
+			tf_on_named_faulty(first, "rejected", rq->request.id);
 	}
 	if (!sent)
 		tf_unreached(rq->tf, first, "unreachable", rq->request.id);
 }
 
-/* The head comes with the first event, so all stages have done their part. */
-static void rq_note_served(struct rq *rq)
+/*
+ * Clears doubts about all stages of the pipeline: the head arrives with the first event, so every
+ * stage has worked.
+ */
+static void rq_clear_doubts(struct rq *rq)
 {
 	for (int i = 0; i < rq->target.count; i++)
-		dbt_on_served(&rq->target.stages[i].ep->doubt, rq->part_us);
+		dbt_on_served(&rq->target.stages[i].ep->doubt, rq->last_activity_us);
 }
 
 static bool rq_on_head(void *ctx, int status, const GPtrArray *headers)
@@ -356,26 +369,29 @@
 	struct rq *rq = ctx;
 	bool go_on;
 
-	rq->headed = true;
+	rq->head_received = true;
 	rq->head_us = tmr_now();
 	rq->tf->heard_us = tmr_now();
 	seam_answer_finish(&rq->answer);
 	rq->tf->router->seam->wire.read_answer(status, headers, rq->request.id, &rq->answer);
 	if (rq->target.count > 0)
-		tf_heard(rq->tf, rq->target.stages[0].ep, &rq->answer, rq->attempt_us,
-			 rq->request.id);
+		tf_head_of_request(rq->tf, rq->target.stages[0].ep, &rq->answer,
+				   rq->attempt_boot_us, rq->request.id);
 	if (status / 100 == 2) {
-		rq_note_served(rq);
+		rq_clear_doubts(rq);
 		if (rq->target.count > 0)
 			flg_on_served(&rq->target.stages[0].ep->failing, rq->head_us);
-		bk_on_served(tf_back(rq->tf, rq->service->name), tmr_now());
+		bk_on_served(tf_retry_delay(rq->tf, rq->service->name), tmr_now());
 	}
 	go_on = fwd_on_head(&rq->fwd, &rq->answer.head, tmr_now());
 	return go_on;
 }
 
-/* The limit on silence follows what is usual for the stream, within what users bear. */
-static void rq_note_gap(struct rq *rq, int64_t now_us)
+/*
+ * Adapts the limit on silence to the stream's usual gap between parts, but to no more than users
+ * tolerate: 60% of the gap that the route allows, or RQ_GAP_MIN_MS if that is longer.
+ */
+static void rq_update_gap_limit(struct rq *rq, int64_t now_us)
 {
 	int64_t most_us = tmr_ms(MAX(RQ_GAP_MIN_MS, rq->route->gap_ms * 6 / 10));
 	int64_t limit_us;
@@ -384,10 +400,10 @@
 		return;
 	if (rq->target.layered && rq->repairs == 0)
 		hop_learn(&rq->tf->hop, &rq->target.hops,
-			  (double)(now_us - rq->part_us) / TMR_US_PER_MS, now_us);
-	rq->gap_us += (now_us - rq->part_us - rq->gap_us) / RQ_GAP_SHARE;
-	limit_us = rq->gap_us * RQ_GAP_X;
-	rq->fwd.rules.gap_us = CLAMP(limit_us, tmr_ms(RQ_GAP_LEAST_MS), most_us);
+			  (double)(now_us - rq->last_activity_us) / TMR_US_PER_MS, now_us);
+	rq->gap_us += (now_us - rq->last_activity_us - rq->gap_us) / RQ_GAP_MEAN_DIVISOR;
+	limit_us = rq->gap_us * RQ_GAP_SILENCE_FACTOR;
+	rq->fwd.rules.gap_us = CLAMP(limit_us, tmr_ms(RQ_GAP_FLOOR_MS), most_us);
 }
 
 static void rq_on_data(void *ctx, const char *data, size_t len)
@@ -395,14 +411,14 @@
 	struct rq *rq = ctx;
 	uint64_t parts = rq->fwd.parts;
 
-	rq_note_gap(rq, tmr_now());
-	rq->part_us = tmr_now();
-	rq->tf->heard_us = rq->part_us;
+	rq_update_gap_limit(rq, tmr_now());
+	rq->last_activity_us = tmr_now();
+	rq->tf->heard_us = rq->last_activity_us;
 	if (rq->target.count > 0)
-		rq->target.stages[0].ep->progress_us = rq->part_us;
+		rq->target.stages[0].ep->progress_us = rq->last_activity_us;
 	fwd_on_data(&rq->fwd, data, len, tmr_now());
 	if (rq->fwd.parts > parts)
-		rq_note_part(rq);
+		rq_on_part(rq);
 }
 
 static void rq_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len)
@@ -428,8 +444,8 @@
 		rq_log_content(rq);
 		jl_end();
 		if (err < 0 && sent && rq->target.count > 0)
-			rq_cut(rq, rq->target.stages[0].ep);
-		rq_learn(rq, err < 0 ? err : -1, sent);
+			rq_on_attempt_broken(rq, rq->target.stages[0].ep);
+		rq_record_failure(rq, err < 0 ? err : -1, sent);
 	}
 	fwd_on_done(&rq->fwd, err == 0, sent, tmr_now());
 }
@@ -454,7 +470,7 @@
 		fwd_on_caller_gone(&rq->fwd);
 }
 
-static void rq_observe(const struct rq *rq, int64_t now_us)
+static void rq_record_times(const struct rq *rq, int64_t now_us)
 {
 	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
 				       rq->account ? rq->account->name : "", rq->route->name);
@@ -471,7 +487,10 @@
 	rq_free(ctx);
 }
 
-/* The request may be inside a callback of its own attempt, so it is freed from the loop. */
+/*
+ * Logs and counts the end of the request. It may be within a callback of its own attempt, so it is
+ * freed from the loop.
+ */
 static void rq_ended(void *ctx, enum fwd_cause cause)
 {
 	struct rq *rq = ctx;
@@ -494,9 +513,9 @@
 	jl_int("whole_ms", (now_us - rq->began_us) / TMR_US_PER_MS);
 	jl_end();
 	if (cause == FWD_OK)
-		rq_note_innocent(rq);
+		rq_on_served_whole(rq);
 	snprintf(labels, sizeof(labels), "cause=\"%s\"", fwd_cause_name(cause));
 	met_add(met_counter("bg_requests_total", labels), 1);
-	rq_observe(rq, now_us);
+	rq_record_times(rq, now_us);
 	loop_after(&rq->tf->loop, &rq->timer, 0, rq_on_free, rq);
 }
--- a/router/rq_admit.c
+++ b/router/rq_admit.c
@@ -5,32 +5,35 @@
 #include <string.h>
 
 enum {
-	RQ_DEADLINE_DEFAULT_MS = 60000,
-	/* When callers leave a stream that brings nothing: the longest of these. */
+	RQ_DEADLINE_DEFAULT_MS = 60000, /* deadline of a request that states none */
+	/*
+	 * Silence after which callers close a stream: the longest of 2 s, 4 times the target for
+	 * the first event and 8 times the gap that the route allows between events.
+	 */
 	RQ_PATIENCE_MS = 2000,
-	RQ_PATIENCE_TARGETS = 4, /* times the target for its first event */
-	RQ_PATIENCE_GAPS = 8,	 /* times the pause that it may make */
-	/* Longest wait for an endpoint whose limit leaves no room; permits come within some ms. */
+	RQ_PATIENCE_TARGETS = 4,
+	RQ_PATIENCE_GAPS = 8,
+	/* Longest wait for room under endpoints' rate limits; permits arrive within some ms. */
 	RQ_LIMIT_WAIT_US = 1000000,
-	RQ_RETRY_US = 400000, /* when to come back where nobody can be sent to at present */
+	RQ_RETRY_US = 400000, /* Retry-After where no endpoint is usable at present */
 	/*
-	 * When to come back to a host that has learnt nothing while the request waited: outages of
-	 * the store last seconds, and a caller comes back only once.
+	 * Retry-After of a host that received no configuration while the request waited: outages
+	 * of the store last seconds, and a caller retries only once.
 	 */
-	RQ_RETRY_UNKNOWN_US = 2000000,
+	RQ_RETRY_UNCONFIGURED_US = 2000000,
 	/*
-	 * A host that stops takes streams for this long; one that began later would not end in the
-	 * grace time. Callers with open connections still send, so they are told to come back to
-	 * another host at once.
+	 * A host that is stopping accepts requests for this long; a stream that began later would
+	 * not end within the grace time. Callers with open connections go on sending requests,
+	 * so their Retry-After sends them to another host almost at once.
 	 */
-	RQ_STOP_TAKE_US = 3000000,
+	RQ_STOP_ACCEPT_US = 3000000,
 	RQ_STOP_RETRY_US = 50000,
 	STATUS_UNAUTHORIZED = 401,
 	STATUS_NOT_FOUND = 404,
 	STATUS_UNAVAILABLE = 503
 };
 
-void rq_rules(struct rq *rq, struct fwd_rules *rules)
+void rq_fill_rules(struct rq *rq, struct fwd_rules *rules)
 {
 	const struct rt_route *route = rq->route;
 	int64_t deadline_ms = rq->request.deadline_ms;
@@ -50,24 +53,24 @@
 	rules->listing_us = MIN(rq->tf->view->whole_us, rq->began_us + bk_park_us(deadline_ms));
 }
 
-static bool rq_stops_too_soon(const struct rq *rq)
+static bool rq_is_past_stop_window(const struct rq *rq)
 {
 	const struct router *router = rq->tf->router;
 
 	return g_atomic_int_get(&router->stopping) &&
-	       rq->began_us - router->stop_us > RQ_STOP_TAKE_US;
+	       rq->began_us - router->stop_us > RQ_STOP_ACCEPT_US;
 }
 
 bool rq_admit(struct rq *rq)
 {
 	const struct router_view *view = rq->tf->view;
 
-	if (rq_stops_too_soon(rq)) {
+	if (rq_is_past_stop_window(rq)) {
 		rq_deny(rq, STATUS_UNAVAILABLE, "stopping", RQ_STOP_RETRY_US);
 		return false;
 	}
-	if (!tf_knows(rq->tf)) {
-		rq_deny(rq, STATUS_UNAVAILABLE, "no_configuration", RQ_RETRY_UNKNOWN_US);
+	if (!tf_has_view(rq->tf)) {
+		rq_deny(rq, STATUS_UNAVAILABLE, "no_configuration", RQ_RETRY_UNCONFIGURED_US);
 		return false;
 	}
 	rq->conf = rt_conf_ref(view->conf);
@@ -89,21 +92,21 @@
 	return true;
 }
 
-int64_t rq_waits_us(const struct rq *rq, const char *service, int64_t now_us)
+int64_t rq_first_token_wait_us(const struct rq *rq, const char *service, int64_t now_us)
 {
 	if (!rq->attempt || rq->fwd.begun || strcmp(rq->service->name, service) != 0)
 		return -1;
 	return now_us - rq->sent_us;
 }
 
-/* This host's requests to the service that wait for their first token. */
-static void rq_queue(const struct tf *tf, const char *service, struct adm_queue *queue)
+/* Counts this host's requests to the service that wait for their first token. */
+static void rq_count_waiting(const struct tf *tf, const char *service, struct adm_queue *queue)
 {
 	int64_t now_us = tmr_now();
 
 	memset(queue, 0, sizeof(*queue));
 	for (guint i = 0; i < tf->reqs->len; i++) {
-		int64_t waits_us = rq_waits_us(tf->reqs->pdata[i], service, now_us);
+		int64_t waits_us = rq_first_token_wait_us(tf->reqs->pdata[i], service, now_us);
 
 		if (waits_us < 0)
 			continue;
@@ -112,8 +115,7 @@
 	}
 }
 
-/* Callers leave a stream that brings nothing for 2 s, or for several times what they aim at. */
-void rq_limits(const struct rq *rq, struct adm_limits *limits)
+void rq_fill_limits(const struct rq *rq, struct adm_limits *limits)
 {
 	const struct rt_route *route = rq->route;
 
@@ -124,7 +126,7 @@
 
 static void rq_log_overload(const struct rq *rq, const struct adm_queue *queue)
 {
-	const struct adm *adm = tf_adm(rq->tf, rq->service->name);
+	const struct adm *adm = tf_admission(rq->tf, rq->service->name);
 
 	jl_begin(JL_KEEP, "overload");
 	jl_str("id", rq->request.id);
@@ -137,17 +139,17 @@
 	jl_end();
 }
 
-bool rq_begins_in_time(struct rq *rq)
+bool rq_admit_by_load(struct rq *rq)
 {
-	struct adm *adm = tf_adm(rq->tf, rq->service->name);
+	struct adm *adm = tf_admission(rq->tf, rq->service->name);
 	double less_urgent = (double)(rq->urgency - SH_USUAL) / (SH_LEAST_URGENT - SH_USUAL);
 	struct adm_limits limits;
 	struct adm_queue queue;
 
 	if (!rt_is_layered(rq->service) || rq->route->target_ms <= 0)
 		return true;
-	rq_limits(rq, &limits);
-	rq_queue(rq->tf, rq->service->name, &queue);
+	rq_fill_limits(rq, &limits);
+	rq_count_waiting(rq->tf, rq->service->name, &queue);
 	if (adm_admits(adm, &queue, &limits, CLAMP(less_urgent, 0, 1), tmr_now()))
 		return true;
 	rq_log_overload(rq, &queue);
@@ -155,7 +157,7 @@
 	return false;
 }
 
-void rq_charge(struct rq *rq)
+void rq_charge_share(struct rq *rq)
 {
 	int64_t priority = rq->route->priority;
 
--- a/router/rq_answer.c
+++ b/router/rq_answer.c
@@ -6,8 +6,7 @@
 
 #include <stdio.h>
 
-/* An answer of the router's own; the request ends. */
-void rq_tell(struct rq *rq, int status, const char *code, int64_t retry_us)
+void rq_reply_error(struct rq *rq, int status, const char *code, int64_t retry_us)
 {
 	char body[128];
 	int len = snprintf(body, sizeof(body), "{\"error\":{\"code\":\"%s\"}}", code);
@@ -23,12 +22,11 @@
 	hd_reply(rq->call, status, "application/json", body, (size_t)len);
 }
 
-/* One line for each request that the router refuses without sending it. */
 void rq_deny(struct rq *rq, int status, const char *code, int64_t retry_us)
 {
 	const struct router_view *view = rq->tf->view;
 
-	rq_tell(rq, status, code, retry_us);
+	rq_reply_error(rq, status, code, retry_us);
 	jl_begin(JL_KEEP, "denied");
 	jl_str("id", rq->request.id);
 	jl_int("status", status);
@@ -41,7 +39,7 @@
 	rq_free(rq);
 }
 
-static void rq_put_headers(struct rq *rq)
+static void rq_set_answer_headers(struct rq *rq)
 {
 	const GPtrArray *keep = rq->answer.keep;
 
@@ -55,7 +53,7 @@
 {
 	struct rq *rq = ctx;
 
-	rq_put_headers(rq);
+	rq_set_answer_headers(rq);
 	hd_reply(rq->call, rq->status, rq->answer.type, body, len);
 }
 
@@ -64,9 +62,9 @@
 	struct rq *rq = ctx;
 	struct adm_limits limits;
 
-	rq_put_headers(rq);
-	rq_limits(rq, &limits);
-	adm_on_begun(tf_adm(rq->tf, rq->service->name), &limits, rq->first_us - rq->sent_us,
+	rq_set_answer_headers(rq);
+	rq_fill_limits(rq, &limits);
+	adm_on_begun(tf_admission(rq->tf, rq->service->name), &limits, rq->first_us - rq->sent_us,
 		     rq->first_us);
 	hd_begin(rq->call, rq->status, rq->answer.type);
 }
@@ -88,11 +86,11 @@
 	hd_abort(((struct rq *)ctx)->call);
 }
 
-/* When the caller of a request that has not run may come back. */
-static int64_t rq_back_us(struct rq *rq, int64_t now_us)
+/* Returns the Retry-After, in us, for a request that has not run. */
+static int64_t rq_retry_after_us(struct rq *rq, int64_t now_us)
 {
 	struct tf *tf = rq->tf;
-	struct bk *back = tf_back(tf, rq->service->name);
+	struct bk *back = tf_retry_delay(tf, rq->service->name);
 	int64_t left_us = rq->fwd.rules.deadline_us - now_us;
 	int64_t rest_us;
 
@@ -102,7 +100,7 @@
 					bk_heeded_us(left_us));
 	rest_us = rq_rest_left_us(rq);
 	if (rest_us > 0)
-		return tf_rest_back_us(tf, rq->service->name, rq->request.id, rest_us);
+		return tf_rest_retry_us(tf, rq->service->name, rq->request.id, rest_us);
 	return bk_delay_us(back, left_us, now_us, &tf->seed);
 }
 
@@ -110,9 +108,9 @@
 {
 	struct rq *rq = ctx;
 	int64_t now_us = tmr_now();
-	int64_t back_us = not_run ? rq_back_us(rq, now_us) : 0;
+	int64_t back_us = not_run ? rq_retry_after_us(rq, now_us) : 0;
 
 	if (rq->fwd.failure == FWD_CRASHES)
-		back_us = rq_crashes_back_us(rq, now_us);
-	rq_tell(rq, status, fwd_cause_name(rq->fwd.failure), back_us);
+		back_us = rq_quarantine_retry_us(rq, now_us);
+	rq_reply_error(rq, status, fwd_cause_name(rq->fwd.failure), back_us);
 }
--- a/router/rq_crash.c
+++ b/router/rq_crash.c
@@ -10,12 +10,12 @@
 
 static struct quar_id rq_quar_id(const struct rq *rq)
 {
-	return (struct quar_id){rq->key, rq_account(rq)};
+	return (struct quar_id){rq->key, rq_account_name(rq)};
 }
 
 static bool rq_has_content(const struct rq *rq, const struct quar_key *key, const char *account)
 {
-	return quar_key_eq(&rq->key, key) && strcmp(rq_account(rq), account) == 0;
+	return quar_key_eq(&rq->key, key) && strcmp(rq_account_name(rq), account) == 0;
 }
 
 int64_t rq_quarantine_us(const struct rq *rq, int64_t now_us)
@@ -25,7 +25,7 @@
 	return quar_left_us(&rq->tf->quar, &id, now_us);
 }
 
-int64_t rq_crashes_back_us(const struct rq *rq, int64_t now_us)
+int64_t rq_quarantine_retry_us(const struct rq *rq, int64_t now_us)
 {
 	const struct quar_id id = rq_quar_id(rq);
 	int64_t left_us = rq_quarantine_us(rq, now_us);
@@ -34,10 +34,11 @@
 }
 
 /*
- * A request that has ended three endpoints is refused before it reaches another: it can't be
- * served, and each endpoint that ends takes up to 192 others with it and is empty for some seconds.
+ * A request that has crashed three endpoints is denied before it reaches another one: it can't be
+ * served, and each crash breaks up to 192 other requests and leaves the endpoint empty for some
+ * seconds.
  */
-bool rq_is_quarantined(struct rq *rq)
+bool rq_deny_if_quarantined(struct rq *rq)
 {
 	int64_t left_us = rq_quarantine_us(rq, tmr_now());
 
@@ -48,24 +49,23 @@
 	return true;
 }
 
-/* How long the attempt under way has gone on, as far as parts of its answer show. */
-int64_t rq_lasted(const struct rq *rq)
+int64_t rq_attempt_duration_us(const struct rq *rq)
 {
-	return rq->moved ? MAX(rq->part_us - rq->head_us, 0) : 0;
+	return rq->part_received ? MAX(rq->last_activity_us - rq->head_us, 0) : 0;
 }
 
-/* The same with the earlier attempts that it continues. */
-static int64_t rq_lasted_all(const struct rq *rq)
+/* The duration in us of the answer over all attempts, of which each continues the last. */
+static int64_t rq_total_duration_us(const struct rq *rq)
 {
-	return rq->lasted_before_us + rq_lasted(rq);
+	return rq->earlier_duration_us + rq_attempt_duration_us(rq);
 }
 
 int64_t rq_lasted_us(const struct rq *rq, const struct quar_id *id)
 {
-	return rq_has_content(rq, &id->key, id->account) ? rq_lasted_all(rq) : 0;
+	return rq_has_content(rq, &id->key, id->account) ? rq_total_duration_us(rq) : 0;
 }
 
-bool rq_crashes_too_often(const struct rq *rq)
+bool rq_reaches_crash_limit(const struct rq *rq)
 {
 	const struct quar_id id = rq_quar_id(rq);
 	int weight = 0;
@@ -75,51 +75,52 @@
 	for (int i = 0; i < rq->target.count; i++) {
 		const struct tf_ep *ep = rq->target.stages[i].ep;
 
-		if (ep == rq->cut_at && ep->crash)
-			weight = tf_quar_weight(rq->cut_progress);
+		if (ep == rq->broken_at && ep->crash)
+			weight = tf_quar_weight(rq->broken_progress);
 	}
 	return quar_points_after(&rq->tf->quar, &id, weight) >= QUAR_LIMIT;
 }
 
 /*
- * Plain services tell nothing before their answer; what they have taken they begin at once. An
- * engine may end before it has said anything of what it was just sent, and that may be the cause.
+ * Returns how far the attempt had come. A plain service sends nothing before its answer but begins
+ * a request at once, so it counts as begun. An engine may crash before it answers a request that
+ * was just sent, and that request may be the cause.
  */
 static enum crash_progress rq_progress(const struct rq *rq)
 {
-	if (rq_lasted(rq) >= QUAR_BEGIN_US)
+	if (rq_attempt_duration_us(rq) >= QUAR_BEGIN_US)
 		return CRASH_RUNNING;
-	if (rq->headed || !rq->target.layered)
+	if (rq->head_received || !rq->target.layered)
 		return CRASH_BEGUN;
-	return tmr_now() - rq->part_us < QUAR_BEGIN_US ? CRASH_SENT : CRASH_WAITING;
+	return tmr_now() - rq->last_activity_us < QUAR_BEGIN_US ? CRASH_SENT : CRASH_WAITING;
 }
 
-void rq_cut(struct rq *rq, struct tf_ep *ep)
+void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep)
 {
 	const struct crash_cut cut = {
 		.key = rq->key,
-		.account = (char *)rq_account(rq),
+		.account = (char *)rq_account_name(rq),
 		.id = rq->request.id,
 		.progress = rq_progress(rq),
-		.lasted_us = rq_lasted_all(rq),
+		.lasted_us = rq_total_duration_us(rq),
 	};
 
-	if (rq->cut_at == ep)
+	if (rq->broken_at == ep)
 		return;
-	rq->cut_at = ep;
-	rq->cut_progress = cut.progress;
+	rq->broken_at = ep;
+	rq->broken_progress = cut.progress;
 	crash_on_cut(rq->tf, ep, &cut);
 }
 
-void rq_note_part(struct rq *rq)
+void rq_on_part(struct rq *rq)
 {
 	const struct quar_id id = rq_quar_id(rq);
 
-	rq->moved = true;
-	tf_quar_on_part(rq->tf, &id, rq_lasted_all(rq));
+	rq->part_received = true;
+	tf_quar_on_part(rq->tf, &id, rq_total_duration_us(rq));
 }
 
-void rq_note_innocent(const struct rq *rq)
+void rq_on_served_whole(const struct rq *rq)
 {
 	const struct quar_id id = rq_quar_id(rq);
 
@@ -130,7 +131,7 @@
 {
 	if (!rq_has_content(rq, &entry->key, entry->account))
 		return;
-	/* One that goes on is no cause so far, and shows that if it ends well. */
-	if (rq->fwd.state != FWD_ENDED && rq_lasted(rq) < QUAR_BEGIN_US)
+	/* An answer that keeps arriving has caused no crash; it may still be served in full. */
+	if (rq->fwd.state != FWD_ENDED && rq_attempt_duration_us(rq) < QUAR_BEGIN_US)
 		fwd_on_quarantine(&rq->fwd);
 }
--- a/router/rq_int.h
+++ b/router/rq_int.h
@@ -4,86 +4,97 @@
 #include "router/tf.h"
 
 /*
- * One request on this host: rq_admit.c lets it in, rq.c is its way to endpoints and back,
- * rq_answer.c what its caller gets, rq_crash.c what it has to do with endpoints that end,
- * rq_repair.c what is done when a stage of its pipeline fails or slows down. What may be sent again
- * is decided in fwd/fwd.c.
+ * One caller's request on this host. rq_admit.c admits it, rq.c sends it to endpoints and receives
+ * their answers, rq_answer.c answers the caller, rq_crash.c handles crashes of endpoints that ran
+ * it, and rq_repair.c replaces stages of its pipeline that fail or slow down. The state machine in
+ * fwd/fwd.c decides what may be sent again.
  */
 enum {
 	/*
-	 * Silence before the first event, and between events, after which the first stage is asked
-	 * what it waits for. Usual are 120 ms and 70 ms; callers leave after 2 s.
+	 * Smallest initial limits, in ms, on the silence before the first event and between events.
+	 * After that the first stage is asked what it waits for. Usual are 120 ms and 70 ms;
+	 * callers leave after 2 s.
 	 */
 	RQ_FIRST_MIN_MS = 250,
 	RQ_GAP_MIN_MS = 120,
-	RQ_LOGGED_MAX = 200 /* bytes of an endpoint's refusal that go into the log */
+	RQ_LOGGED_BODY_MAX = 200 /* a refusal's body is logged if it has fewer bytes than this */
 };
 
 struct rq {
 	struct tf *tf;
-	struct hd_call *call;
-	struct seam_request request;
-	const struct rt_route *route;	  /* of conf */
-	const struct rt_service *service; /* of conf */
-	const struct rt_account *account; /* of conf */
-	struct rt_conf *conf;
-	struct fwd fwd;
-	struct tmr timer;
-	struct hc_call *attempt;
-	struct hc_call *order;	   /* that replaces a stage of the running pipeline */
-	struct tf_target target;   /* of the attempt under way */
-	struct tf_target repair;   /* that the order asks for */
-	int repairs;		   /* orders given for this request */
-	int64_t order_us;	   /* when it was given */
-	int64_t attempt_us;	   /* when the attempt under way was sent, by tmr_boot_now() */
-	int64_t part_us;	   /* when the attempt was sent, or last brought something */
-	int64_t gap_us;		   /* mean time between parts */
-	struct tf_target avoid;	   /* those that failed this request; no references to requests */
-	struct seam_answer answer; /* head of the attempt's answer */
-	int urgency;		   /* for engines; -1: not stated */
-	int64_t began_us;
-	int64_t sent_us;  /* when it was first sent; 0: not yet */
-	int64_t first_us; /* when the first part went to the caller */
-	char *body;
-	size_t body_len;
-	struct quar_key key;	    /* of what it asks for */
-	bool headed;		    /* the attempt under way has got the head of an answer */
-	bool moved;		    /* and a part of it */
-	int64_t head_us;	    /* when the head came */
-	int64_t lasted_before_us;   /* how long earlier attempts went on, which it continues */
-	const struct tf_ep *cut_at; /* where it was cut last; only to be compared */
-	enum crash_progress cut_progress; /* how far it had come then */
-	int status;
+	struct hd_call *call;		  /* the caller's HTTP request and the answer to it */
+	struct seam_request request;	  /* what the headers of the request state */
+	const struct rt_route *route;	  /* route that the request matches; owned by conf */
+	const struct rt_service *service; /* service that the route chose; owned by conf */
+	const struct rt_account *account; /* client account; NULL: none; owned by conf */
+	struct rt_conf *conf;		  /* configuration at admission; a reference */
+	struct fwd fwd;			  /* state machine of the request */
+	struct tmr timer;		  /* timer of fwd */
+	struct hc_call *attempt;	  /* attempt under way; NULL: none */
+	struct hc_call *order;		  /* order under way that replaces stages; NULL: none */
+	struct tf_target target;	  /* endpoints of the latest attempt */
+	struct tf_target repair;	  /* pipeline that the order under way asks for */
+	int repairs;			  /* number of orders sent for this request */
+	int64_t order_us;		  /* time at which the last order was sent, in us */
+	int64_t attempt_boot_us;   /* time at which the last attempt was sent, by tmr_boot_now() */
+	int64_t last_activity_us;  /* time at which the last attempt was sent or last brought data,
+				    * in us */
+	int64_t gap_us;		   /* running mean of the time between two parts of the answer */
+	struct tf_target avoid;	   /* endpoints that failed the request; they are referenced, but
+				    * their load is not changed */
+	struct seam_answer answer; /* head of the last attempt's answer */
+	int urgency;	     /* urgency sent to engines, 0 (most urgent) to 9; -1: not stated */
+	int64_t began_us;    /* time at which the whole request had been received, in us */
+	int64_t sent_us;     /* time of the first attempt, in us; 0: not sent yet */
+	int64_t first_us;    /* time at which the answer to the caller began, in us; 0: not yet */
+	char *body;	     /* body of the request; owned by call */
+	size_t body_len;     /* bytes of the body */
+	struct quar_key key; /* digest of account, path and body, for the quarantine */
+	bool head_received;  /* the last attempt has received the head of an answer */
+	bool part_received;  /* the last attempt has received a part of the answer */
+	int64_t head_us;     /* time at which the last head was received, in us */
+	int64_t earlier_duration_us;   /* time over which earlier attempts brought parts of the
+					* answer */
+	const struct tf_ep *broken_at; /* endpoint at which the attempt broke off; not referenced,
+					* only compared; NULL: none */
+	enum crash_progress broken_progress; /* progress of the attempt when it broke off */
+	int status;			     /* HTTP status sent to the caller; 0: none yet */
 };
 
-/* rq.c: the request is gone after this. */
+/* rq.c: frees the request. */
 void rq_free(struct rq *rq);
 
-/* rq_admit.c: finds route, account and service. Returns false when the request was denied. */
+/*
+ * rq_admit.c: finds route, account and service. Returns false if the request was denied; it is
+ * freed then.
+ */
 bool rq_admit(struct rq *rq);
 
-/* What may be done for the request, and until when. */
-void rq_rules(struct rq *rq, struct fwd_rules *rules);
+/* Fills in the rules of the state machine: deadline, limits on silence, waits and attempts. */
+void rq_fill_rules(struct rq *rq, struct fwd_rules *rules);
 
-/* How long it may wait for its first token. */
-void rq_limits(const struct rq *rq, struct adm_limits *limits);
+/* Fills in how long the request may wait for its first token. */
+void rq_fill_limits(const struct rq *rq, struct adm_limits *limits);
 
-/* Engines admit by urgency; plain services know none. */
-void rq_charge(struct rq *rq);
+/*
+ * Charges the request to its account's share and sets its urgency. Requests to plain services are
+ * not charged, as only engines admit by urgency.
+ */
+void rq_charge_share(struct rq *rq);
 
 /*
- * Whether it would begin in time; if not, it is denied. Streams only: plain services answer within
- * some ms or reject.
+ * Denies the request if it would get its first token too late; returns whether it was admitted.
+ * Applies to engines only: plain services answer within some ms or reject.
  */
-bool rq_begins_in_time(struct rq *rq);
+bool rq_admit_by_load(struct rq *rq);
 
-/* rq_answer.c: an answer of the router's own; the request ends. */
-void rq_tell(struct rq *rq, int status, const char *code, int64_t retry_us);
+/* rq_answer.c: answers the caller with an error of the router's own. retry_us 0: no Retry-After. */
+void rq_reply_error(struct rq *rq, int status, const char *code, int64_t retry_us);
 
-/* The same before the request was sent anywhere, with a line in the log; the request is freed. */
+/* Answers a request that was never sent with an error, logs that, and frees the request. */
 void rq_deny(struct rq *rq, int status, const char *code, int64_t retry_us);
 
-/* Those of fwd_ops. */
+/* Callbacks of struct fwd_ops; fwd/fwd.h describes them. */
 void rq_answer_whole(void *ctx, const char *body, size_t len);
 void rq_answer_begin(void *ctx);
 void rq_answer_data(void *ctx, const char *data, size_t len);
@@ -91,44 +102,56 @@
 void rq_answer_abort(void *ctx);
 void rq_refuse(void *ctx, int status, bool not_run);
 
-/* How long rests leave nobody who could serve the request; 0: they are not the reason. */
+/*
+ * Returns the time in us until rest periods leave enough endpoints for the request; 0 if rest
+ * periods are not what it lacks endpoints for.
+ */
 int64_t rq_rest_left_us(const struct rq *rq);
 
-/* The request is not sent to that endpoint again, nor through it. */
+/* Excludes the endpoint from further attempts and repairs of this request. */
 void rq_avoid(struct rq *rq, struct tf_ep *ep);
 
-/* rq_repair.c: the attempt is silent; as fwd_ops.on_silent. */
+/* rq_repair.c: handles a silent attempt, as fwd_ops.on_silent. */
 bool rq_on_silent(void *ctx);
 
-/* Its client account; "": none. */
-const char *rq_account(const struct rq *rq);
+/* Returns the name of the request's client account; "": none. */
+const char *rq_account_name(const struct rq *rq);
 
-/* rq_crash.c: the attempt under way was cut at that endpoint, which may have ended. */
-void rq_cut(struct rq *rq, struct tf_ep *ep);
+/* rq_crash.c: handles an attempt that broke off at an endpoint, which may have crashed. */
+void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep);
 
-/* Whether it is refused since endpoints ended while they ran it; it is denied then. */
-bool rq_is_quarantined(struct rq *rq);
+/*
+ * Denies the request if it is in quarantine, since endpoints crashed while they ran it; returns
+ * whether it was denied.
+ */
+bool rq_deny_if_quarantined(struct rq *rq);
 
-/* For how long it is refused for that; 0: it is not. */
+/* Returns the time in us for which the request stays in quarantine; 0 if it is not in it. */
 int64_t rq_quarantine_us(const struct rq *rq, int64_t now_us);
 
 /*
- * Whether this request is refused, or will be if the endpoint at which it was cut just now has
- * ended. Whether it has is known some ms later, which is too late for this attempt, or repair.
+ * Returns whether the request is in quarantine, or will be if the endpoint at which it just broke
+ * off has crashed. Whether that has crashed is known some ms later, too late for a decision on
+ * another attempt or a repair.
+ */
+bool rq_reaches_crash_limit(const struct rq *rq);
+
+/*
+ * Returns the time in us after which the caller may retry: the rest of the present quarantine
+ * term, or the length of the next one.
  */
-bool rq_crashes_too_often(const struct rq *rq);
+int64_t rq_quarantine_retry_us(const struct rq *rq, int64_t now_us);
 
-/* When its caller may come back: after the term that holds, or that is about to begin. */
-int64_t rq_crashes_back_us(const struct rq *rq, int64_t now_us);
+/* Returns the time in us from the head of the attempt's answer to its newest part. */
+int64_t rq_attempt_duration_us(const struct rq *rq);
 
-/* How long the attempt under way has gone on, as far as parts of its answer show. */
-int64_t rq_lasted(const struct rq *rq);
+/* Records that a part of the answer was received, which weakens suspicion of crashing endpoints. */
+void rq_on_part(struct rq *rq);
 
-/* A part of its answer came; it was answered whole: both speak for it. */
-void rq_note_part(struct rq *rq);
-void rq_note_innocent(const struct rq *rq);
+/* Records that the request was served in full, which clears it of crashing endpoints. */
+void rq_on_served_whole(const struct rq *rq);
 
-/* Ends an order that is under way. */
-void rq_drop_order(struct rq *rq);
+/* Cancels the order under way, if any. */
+void rq_cancel_order(struct rq *rq);
 
 #endif
--- a/router/rq_repair.c
+++ b/router/rq_repair.c
@@ -7,26 +7,33 @@
 #include <string.h>
 
 enum {
-	RQ_BEAR_US = 1300000,	 /* silence after which the stream is taken elsewhere in any case */
-	RQ_PROGRESS_US = 300000, /* an endpoint that brought something since then works */
-	RQ_ORDER_CONNECT_MS = 250,
-	RQ_ORDER_MS = 700,
-	RQ_REPAIRS_MAX = 6,
-	RQ_ACTIVE_US = 80000, /* a stream that brought something since then is not stalled */
-	RQ_QUIET_US = 40000,  /* longer than most pauses; enough to look after a hint */
+	/* A stream that is silent for this long, while others at its first stage are not, hangs. */
+	RQ_HANG_US = 1300000,
+	RQ_PROGRESS_US = 300000,   /* an endpoint that sent data within this time works */
+	RQ_ORDER_CONNECT_MS = 250, /* connection timeout of an order to the first stage */
+	RQ_ORDER_MS = 700,	   /* timeout of an order, with its answer */
+	RQ_REPAIRS_MAX = 6,	   /* most orders for one request */
+	RQ_ACTIVE_US = 80000,	   /* a stream that received data within this time is not stalled */
+	/*
+	 * Silence that justifies a check of a stage which another host got no answer from; it is
+	 * longer than most gaps.
+	 */
+	RQ_QUIET_US = 40000,
 	STATUS_ACCEPTED = 202,
 	STATUS_CONFLICT = 409,
 	STATUS_OK = 200
 };
 
-static void rq_recover(struct rq *rq);
+static void rq_repair_pipeline(struct rq *rq);
 static bool rq_on_order_head(void *ctx, int status, const GPtrArray *headers);
-static void rq_on_ordered(void *ctx, int status, int err, bool sent, const char *body, size_t len);
+static void rq_on_order_done(void *ctx, int status, int err, bool sent, const char *body,
+			     size_t len);
 
-static const struct hc_ops rq_order_ops = {.on_head = rq_on_order_head, .on_done = rq_on_ordered};
+static const struct hc_ops rq_order_ops = {.on_head = rq_on_order_head,
+					   .on_done = rq_on_order_done};
 
-/* The stage that the endpoint is of the request's pipeline, or -1. */
-static int rq_stage_of(const struct rq *rq, const struct tf_ep *ep)
+/* Returns the index of the endpoint's stage in the request's pipeline, or -1. */
+static int rq_stage_index(const struct rq *rq, const struct tf_ep *ep)
 {
 	for (int i = 0; i < rq->target.count; i++) {
 		if (rq->target.stages[i].ep == ep)
@@ -35,8 +42,8 @@
 	return -1;
 }
 
-/* The first stage that is known to be at fault, or -1. */
-static int rq_suspected_stage(const struct rq *rq)
+/* Returns the index of the first stage that is known to be faulty, or -1. */
+static int rq_faulty_stage(const struct rq *rq)
 {
 	int64_t now_us = tmr_now();
 
@@ -53,20 +60,21 @@
 	jl_str("id", rq->request.id);
 	jl_str("finding", finding);
 	jl_str("culprit", culprit);
-	jl_int("silent_ms", (tmr_now() - rq->part_us) / TMR_US_PER_MS);
+	jl_int("silent_ms", (tmr_now() - rq->last_activity_us) / TMR_US_PER_MS);
 	jl_int("parts", (int64_t)rq->fwd.parts);
 	jl_end();
 }
 
 /*
- * A stream that alone is silent, while others at the same first stage go on, hangs there. Where all
- * are slow it waits: sent elsewhere it would be read anew, and make the rest slower still. One that
- * has not begun waits its turn there, and others go on all the while: sent elsewhere it is last
- * again. After two losses at 39 endpoints up to 100 a second were, for 25 s.
+ * Returns whether the stream hangs at its first stage: it is silent while other streams there
+ * receive data. Where all are slow it is kept: elsewhere its prompt would have to be read again,
+ * which slows all others further. A stream that has not begun is kept, too. It waits its turn while
+ * others go on, and would be last in another queue: when two of 39 endpoints were lost, up to 100
+ * streams a second were moved in vain like that, for 25 s.
  */
 static bool rq_hangs_alone(const struct rq *rq, int64_t now_us)
 {
-	return rq->fwd.parts > 0 && now_us - rq->part_us > RQ_BEAR_US &&
+	return rq->fwd.parts > 0 && now_us - rq->last_activity_us > RQ_HANG_US &&
 	       now_us - rq->target.stages[0].ep->progress_us < RQ_PROGRESS_US;
 }
 
@@ -87,8 +95,8 @@
 	}
 	if (rq->order)
 		return true;
-	if (rq_suspected_stage(rq) >= 0)
-		rq_recover(rq);
+	if (rq_faulty_stage(rq) >= 0)
+		rq_repair_pipeline(rq);
 	else
 		stall_ask(rq->tf, &rq->target);
 	return true;
@@ -107,26 +115,26 @@
 	rq_log_silent(rq, "stalled", culprit);
 	if (ep) {
 		rq_avoid(rq, ep);
-		rq_cut(rq, ep);
-		tf_suspect(rq->tf, ep, TF_SUSPECT_US, "stalled", rq->request.id);
+		rq_on_attempt_broken(rq, ep);
+		tf_suspect(rq->tf, ep, TF_FAULT_US, "stalled", rq->request.id);
 	}
-	rq_recover(rq);
+	rq_repair_pipeline(rq);
 }
 
-/* Sends the request again from what the caller has, elsewhere. */
+/* Sends the request to other endpoints, to continue after the last event that the caller has. */
 static void rq_resume(struct rq *rq, const char *why)
 {
 	jl_begin(JL_KEEP, "resume");
 	jl_str("id", rq->request.id);
 	jl_str("why", why);
 	jl_int("parts", (int64_t)rq->fwd.parts);
-	jl_int("silent_ms", (tmr_now() - rq->part_us) / TMR_US_PER_MS);
+	jl_int("silent_ms", (tmr_now() - rq->last_activity_us) / TMR_US_PER_MS);
 	jl_end();
 	fwd_give_up_attempt(&rq->fwd, tmr_now());
 }
 
-/* Whether a stage after the first can be replaced; fills rq->repair. */
-static bool rq_can_repair(struct rq *rq)
+/* Chooses replacements for faulty stages after the first into rq->repair; returns false if none. */
+static bool rq_pick_repair(struct rq *rq)
 {
 	if (!rq->attempt || rq->repairs >= RQ_REPAIRS_MAX)
 		return false;
@@ -134,23 +142,23 @@
 			      &rq->repair) == 0;
 }
 
-/* Whether a stage is known to be at fault; one that is only slow or leaving still serves. */
-static bool rq_is_lost(const struct rq *rq)
+/* Whether a stage is known to be faulty; a slow or leaving one still serves. */
+static bool rq_has_faulty_stage(const struct rq *rq)
 {
-	return rq_suspected_stage(rq) >= 0;
+	return rq_faulty_stage(rq) >= 0;
 }
 
 /*
- * Stages after the first are replaced within the running pipeline: the other stages keep what they
- * have read, no attempt and no repeat is spent, and the stream goes on where it stands.
+ * Orders the first stage to replace faulty stages after it within the running pipeline. The other
+ * stages keep their cached context, no attempt and no repeat is spent, and the stream continues
+ * from its present position. If that is impossible, the request is sent to other endpoints.
  *
- * A stage that is only leaving is kept. It goes on for a while, and most streams end by then;
- * moved, each would pause for certain, for as long as its prompt is read anew, and make others
- * pause that share the way there (part of the value of answers earned on days with failures at 39
- * endpoints 0.720 instead of 0.691, one run and two). Where it ends too soon, it is replaced as a
- * dead one is.
+ * A stage that is only leaving is kept: it works for a while longer, and most streams end by then.
+ * Moving a stream makes it pause while its prompt is read again, and delays others on the same
+ * links. Keeping the stage earned 0.720 of the value of all answers on days with failures at 39
+ * endpoints, moving the streams 0.691. If the stage ends earlier, it is replaced as a dead one.
  */
-static void rq_recover(struct rq *rq)
+static void rq_repair_pipeline(struct rq *rq)
 {
 	const struct seam *seam = rq->tf->router->seam;
 	const char *headers[] = {"Content-Type: application/json", NULL};
@@ -166,21 +174,21 @@
 
 	if (rq->order)
 		return;
-	if (rq_is_lost(rq))
-		rq_cut(rq, rq->target.stages[rq_suspected_stage(rq)].ep);
-	if (rq_crashes_too_often(rq)) {
+	if (rq_has_faulty_stage(rq))
+		rq_on_attempt_broken(rq, rq->target.stages[rq_faulty_stage(rq)].ep);
+	if (rq_reaches_crash_limit(rq)) {
 		fwd_on_quarantine(&rq->fwd);
 		return;
 	}
-	if (!rq_can_repair(rq)) {
-		if (rq_is_lost(rq)) {
-			rq_avoid(rq, rq->target.stages[rq_suspected_stage(rq)].ep);
+	if (!rq_pick_repair(rq)) {
+		if (rq_has_faulty_stage(rq)) {
+			rq_avoid(rq, rq->target.stages[rq_faulty_stage(rq)].ep);
 			rq_resume(rq, "no_repair");
 		}
 		return;
 	}
 	rq->repairs++;
-	pipeline = tf_pipeline(rq->tf, &rq->repair);
+	pipeline = tf_format_pipeline(rq->tf, &rq->repair);
 	body = seam->engine.make_repath(rq->request.id, pipeline, rq->tf->view->fence);
 	url = g_strdup_printf("http://%s%s", rq->target.stages[0].ep->rec->addr,
 			      seam->engine.order_path());
@@ -200,8 +208,11 @@
 	g_free(url);
 }
 
-/* A refused repair may name a stage that is not there or has no room; the next one goes without. */
-static bool rq_learn_refusal(struct rq *rq, const char *body, size_t len)
+/*
+ * Excludes the stage that a refused order names as missing or without room from the next order.
+ * Returns false if the refusal names none.
+ */
+static bool rq_avoid_refused_stage(struct rq *rq, const char *body, size_t len)
 {
 	char *addr = rq->tf->router->seam->engine.parse_refusal(str_make(body, len));
 	struct tf_ep *ep = addr ? g_hash_table_lookup(rq->tf->by_addr, addr) : NULL;
@@ -210,7 +221,7 @@
 	if (!ep)
 		return false;
 	rq_avoid(rq, ep);
-	tf_on_named(ep, "refused_repair", rq->request.id);
+	tf_on_named_faulty(ep, "refused_repair", rq->request.id);
 	return true;
 }
 
@@ -222,7 +233,8 @@
 	return true;
 }
 
-static void rq_on_ordered(void *ctx, int status, int err, bool sent, const char *body, size_t len)
+static void rq_on_order_done(void *ctx, int status, int err, bool sent, const char *body,
+			     size_t len)
 {
 	struct rq *rq = ctx;
 	bool done = status == STATUS_OK || status == STATUS_ACCEPTED;
@@ -233,59 +245,59 @@
 	jl_str("id", rq->request.id);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? base_strerror(err) : NULL);
-	if (!done && len > 0 && len < RQ_LOGGED_MAX)
+	if (!done && len > 0 && len < RQ_LOGGED_BODY_MAX)
 		jl_str("answer", body);
 	jl_int("took_ms", (tmr_now() - rq->order_us) / TMR_US_PER_MS);
 	jl_end();
 	if (!done) {
-		tf_target_clear(&rq->repair);
-		if (status == STATUS_CONFLICT && rq_learn_refusal(rq, body, len))
-			rq_recover(rq);
-		else if (rq_is_lost(rq))
+		tf_target_release(&rq->repair);
+		if (status == STATUS_CONFLICT && rq_avoid_refused_stage(rq, body, len))
+			rq_repair_pipeline(rq);
+		else if (rq_has_faulty_stage(rq))
 			rq_resume(rq, "repair_refused");
 		return;
 	}
-	tf_target_clear(&rq->target);
+	tf_target_release(&rq->target);
 	rq->target = rq->repair;
 	memset(&rq->repair, 0, sizeof(rq->repair));
 	fwd_on_sign(&rq->fwd, tmr_now());
 }
 
-void rq_on_suspect(struct rq *rq, const struct tf_ep *ep)
+void rq_on_faulty(struct rq *rq, const struct tf_ep *ep)
 {
 	int64_t now_us = tmr_now();
 
-	if (!rq->target.layered || !rq->attempt || now_us - rq->part_us < RQ_ACTIVE_US)
+	if (!rq->target.layered || !rq->attempt || now_us - rq->last_activity_us < RQ_ACTIVE_US)
 		return;
-	if (rq_stage_of(rq, ep) >= 0)
-		rq_recover(rq);
+	if (rq_stage_index(rq, ep) >= 0)
+		rq_repair_pipeline(rq);
 }
 
-struct tf_ep *rq_waits_for(const struct rq *rq, const struct tf_ep *ep)
+struct tf_ep *rq_silent_first_stage(const struct rq *rq, const struct tf_ep *ep)
 {
-	if (!rq->target.layered || !rq->attempt || tmr_now() - rq->part_us < RQ_QUIET_US)
+	if (!rq->target.layered || !rq->attempt || tmr_now() - rq->last_activity_us < RQ_QUIET_US)
 		return NULL;
-	return rq_stage_of(rq, ep) > 0 ? rq->target.stages[0].ep : NULL;
+	return rq_stage_index(rq, ep) > 0 ? rq->target.stages[0].ep : NULL;
 }
 
-bool rq_proves(const struct rq *rq, const struct tf_ep *ep, int64_t now_us)
+bool rq_received_through(const struct rq *rq, const struct tf_ep *ep, int64_t now_us)
 {
-	if (!rq->attempt || rq->fwd.parts == 0 || now_us - rq->part_us >= RQ_ACTIVE_US)
+	if (!rq->attempt || rq->fwd.parts == 0 || now_us - rq->last_activity_us >= RQ_ACTIVE_US)
 		return false;
-	return rq_stage_of(rq, ep) >= 0;
+	return rq_stage_index(rq, ep) >= 0;
 }
 
 void rq_on_missing(struct rq *rq, struct tf_ep *ep)
 {
 	if (!rq->target.layered || !rq->attempt || rq->order || rq->repairs >= RQ_REPAIRS_MAX ||
-	    tmr_now() - rq->part_us < RQ_ACTIVE_US)
+	    tmr_now() - rq->last_activity_us < RQ_ACTIVE_US)
 		return;
-	if (rq_stage_of(rq, ep) < 1)
+	if (rq_stage_index(rq, ep) < 1)
 		return;
 	rq_avoid(rq, ep);
-	rq_cut(rq, ep);
+	rq_on_attempt_broken(rq, ep);
 	rq_log_silent(rq, "missing", ep->rec->addr);
-	rq_recover(rq);
+	rq_repair_pipeline(rq);
 }
 
 void rq_on_slow(struct rq *rq, const struct tf_ep *ep)
@@ -294,17 +306,17 @@
 
 	if (!rq->target.layered || !rq->attempt || !rq->fwd.begun || rq->repairs >= RQ_REPAIRS_MAX)
 		return;
-	stage = rq_stage_of(rq, ep);
+	stage = rq_stage_index(rq, ep);
 	if (stage < 1)
 		return;
 	rq_avoid(rq, rq->target.stages[stage].ep);
-	rq_recover(rq);
+	rq_repair_pipeline(rq);
 }
 
-void rq_drop_order(struct rq *rq)
+void rq_cancel_order(struct rq *rq)
 {
 	if (rq->order)
 		hc_cancel(rq->order);
 	rq->order = NULL;
-	tf_target_clear(&rq->repair);
+	tf_target_release(&rq->repair);
 }
--- a/router/tf.c
+++ b/router/tf.c
@@ -10,30 +10,36 @@
 
 enum {
 	/*
-	 * A caller that has left is noticed within this time, so that its endpoint stops work for
-	 * it well within half a second.
+	 * Interval of the sweep, in ms. It notices callers that have closed their connection, so
+	 * that their endpoints stop working for them well within half a second.
 	 */
 	TF_SWEEP_MS = 150,
-	TF_SEED = 12345
+	TF_SEED = 12345 /* seed of the random number generator, combined with the host's name */
 };
 
-/* Pace from which on an endpoint is called slow in the log. */
-static const double tf_slow = 1.5;
+/* Pace (step time as a multiple of the usual one) from which the log calls an endpoint slow. */
+static const double tf_slow_pace = 1.5;
 
-/* Pace from which on running streams are moved; below it a move, some 100 ms, costs them more. */
-static const double tf_slow_move = 2.5;
+/*
+ * Pace from which running streams are moved to other endpoints. Below it the move, which takes some
+ * 100 ms, costs a stream more than the slow endpoint does.
+ */
+static const double tf_move_pace = 2.5;
 
+/* Message from the control thread: a new view. */
 struct tf_view_msg {
 	struct tf *tf;
 	struct router_view *view;
 };
 
+/* A request that waits for the first complete view. */
 struct tf_parked {
 	struct hd_call *call;
-	int64_t came_us;
-	int64_t until_us; /* it waits for a first view until then */
+	int64_t received_us;
+	int64_t until_us; /* time until which it waits, in us */
 };
 
+/* Message from a thread of the HTTP library: a request. */
 struct tf_call_msg {
 	struct tf *tf;
 	struct hd_call *call;
@@ -41,10 +47,10 @@
 
 static void *tf_main(void *ctx);
 static void tf_on_sweep(void *ctx, int64_t now_us);
-static void tf_take_view(void *ctx);
-static void tf_take_call(void *ctx);
+static void tf_on_view(void *ctx);
+static void tf_on_posted_call(void *ctx);
 static void tf_sweep_parked(struct tf *tf, int64_t now_us);
-static void tf_unpark(struct tf *tf);
+static void tf_start_parked(struct tf *tf);
 
 struct tf *tf_start(struct router *router)
 {
@@ -52,7 +58,7 @@
 
 	tf->router = router;
 	tf->start_us = tmr_now();
-	tf->view_us = tf->start_us;
+	tf->view_valid_us = tf->start_us;
 	tf->seed = TF_SEED ^ (uint32_t)g_str_hash(router->settings.name);
 	tf->eps = g_hash_table_new(g_str_hash, g_str_equal);
 	tf->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
@@ -60,8 +66,8 @@
 	quar_init(&tf->quar, QUAR_LIMIT);
 	served_init(&tf->served);
 	tf->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	tf->backs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	tf->adms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	tf->retry_delays = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	tf->admissions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	lim_fair_init(&tf->limit_fair);
 	tf->limit_turns = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	tf->unknown_headers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -90,7 +96,7 @@
 	return ck_pr_load_uint(&tf->open);
 }
 
-static void tf_gauges(const struct tf *tf, int64_t now_us)
+static void tf_set_gauges(const struct tf *tf, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -111,7 +117,7 @@
 	struct tf *tf = ctx;
 
 	tf_sweep_parked(tf, now_us);
-	tf_gauges(tf, now_us);
+	tf_set_gauges(tf, now_us);
 	tf_quar_on_sweep(tf, now_us);
 	tf_limit_on_sweep(tf);
 	tf_rest_on_sweep(tf);
@@ -135,7 +141,7 @@
 
 	msg->tf = tf;
 	msg->view = view;
-	loop_post(&tf->loop, tf_take_view, msg);
+	loop_post(&tf->loop, tf_on_view, msg);
 }
 
 void tf_ep_unref(struct tf_ep *ep)
@@ -147,7 +153,7 @@
 	g_free(ep);
 }
 
-static void tf_take_endpoint(struct tf *tf, struct ep_rec *rec)
+static void tf_update_endpoint(struct tf *tf, struct ep_rec *rec)
 {
 	struct tf_ep *ep = g_hash_table_lookup(tf->eps, rec->incarnation);
 
@@ -168,9 +174,9 @@
 }
 
 /*
- * Endpoints that are no longer listed. Where another one has the address, the old one has ended and
- * took with it all that it had read: streams through it wait in vain, and are taken elsewhere at
- * once instead of when their silence shows it.
+ * Removes endpoints that are no longer listed. If another endpoint has the address of one, the old
+ * process has ended and its cached context is lost. Streams through it can't go on, so they are
+ * moved at once rather than after they have been silent for some time.
  */
 static void tf_drop_unlisted(struct tf *tf)
 {
@@ -191,7 +197,7 @@
 			tf_ep_unref(ep);
 	}
 	for (guint i = 0; i < ended->len; i++) {
-		tf_leave(tf, ended->pdata[i], TF_SUSPECT_US, "address_taken", NULL);
+		tf_mark_faulty_here(tf, ended->pdata[i], TF_FAULT_US, "address_taken", NULL);
 		tf_ep_unref(ended->pdata[i]);
 	}
 	g_ptr_array_unref(ended);
@@ -243,25 +249,25 @@
 	return bud;
 }
 
-struct bk *tf_back(struct tf *tf, const char *service)
+struct bk *tf_retry_delay(struct tf *tf, const char *service)
 {
-	struct bk *back = g_hash_table_lookup(tf->backs, service);
+	struct bk *back = g_hash_table_lookup(tf->retry_delays, service);
 
 	if (!back) {
 		back = g_new0(struct bk, 1);
-		g_hash_table_insert(tf->backs, g_strdup(service), back);
+		g_hash_table_insert(tf->retry_delays, g_strdup(service), back);
 	}
 	return back;
 }
 
-struct adm *tf_adm(struct tf *tf, const char *service)
+struct adm *tf_admission(struct tf *tf, const char *service)
 {
-	struct adm *adm = g_hash_table_lookup(tf->adms, service);
+	struct adm *adm = g_hash_table_lookup(tf->admissions, service);
 
 	if (!adm) {
 		adm = g_new0(struct adm, 1);
 		adm_init(adm, tmr_now());
-		g_hash_table_insert(tf->adms, g_strdup(service), adm);
+		g_hash_table_insert(tf->admissions, g_strdup(service), adm);
 	}
 	return adm;
 }
@@ -274,7 +280,7 @@
 		      (unsigned int)((limits->idle_ms + 999) / 1000));
 }
 
-static void tf_take_view(void *ctx)
+static void tf_on_view(void *ctx)
 {
 	struct tf_view_msg *msg = ctx;
 	struct tf *tf = msg->tf;
@@ -284,30 +290,30 @@
 	g_hash_table_remove_all(tf->by_addr);
 	g_hash_table_foreach(tf->eps, tf_mark_unlisted, NULL);
 	for (guint i = 0; i < view->endpoints->len; i++)
-		tf_take_endpoint(tf, view->endpoints->pdata[i]);
+		tf_update_endpoint(tf, view->endpoints->pdata[i]);
 	router_view_free(tf->view);
 	tf->view = view;
-	tf->view_us = MAX(tf->view_us, view->fresh_us);
+	tf->view_valid_us = MAX(tf->view_valid_us, view->fresh_us);
 	tf_drop_unlisted(tf);
 	tf_update_budgets(tf);
 	if (view->conf)
 		tf_apply_limits(tf);
-	g_atomic_int_set(&tf->router->is_ready, tf_knows(tf));
-	if (tf_knows(tf))
-		tf_unpark(tf);
+	g_atomic_int_set(&tf->router->is_ready, tf_has_view(tf));
+	if (tf_has_view(tf))
+		tf_start_parked(tf);
 }
 
-bool tf_knows(const struct tf *tf)
+bool tf_has_view(const struct tf *tf)
 {
 	return tf->view && tf->view->conf && tf->view->listed;
 }
 
-static void tf_unpark(struct tf *tf)
+static void tf_start_parked(struct tf *tf)
 {
 	struct tf_parked *parked;
 
 	while ((parked = g_queue_pop_head(tf->parked))) {
-		rq_start(tf, parked->call, parked->came_us);
+		rq_start(tf, parked->call, parked->received_us);
 		g_free(parked);
 	}
 }
@@ -324,7 +330,7 @@
 	reader->wire->read_header(&reader->request, name, value);
 }
 
-/* How long the request may wait for a first view. */
+/* Returns the time in us for which the request may wait for the first complete view. */
 static int64_t tf_park_us(const struct tf *tf, struct hd_call *call)
 {
 	struct tf_header_reader reader = {.wire = &tf->router->seam->wire};
@@ -342,12 +348,15 @@
 	struct tf_parked *parked = g_new0(struct tf_parked, 1);
 
 	parked->call = call;
-	parked->came_us = tmr_now();
-	parked->until_us = parked->came_us + tf_park_us(tf, call);
+	parked->received_us = tmr_now();
+	parked->until_us = parked->received_us + tf_park_us(tf, call);
 	g_queue_push_tail(tf->parked, parked);
 }
 
-/* Those whose time is over are refused; those whose callers have left end quietly. */
+/*
+ * Starts the parked requests whose time is over or whose callers have closed the connection.
+ * Without a view, rq_start() denies them.
+ */
 static void tf_sweep_parked(struct tf *tf, int64_t now_us)
 {
 	GList *link = tf->parked->head;
@@ -358,7 +367,7 @@
 
 		if (parked->until_us <= now_us || hd_gone(parked->call)) {
 			g_queue_delete_link(tf->parked, link);
-			rq_start(tf, parked->call, parked->came_us);
+			rq_start(tf, parked->call, parked->received_us);
 			g_free(parked);
 		}
 		link = next;
@@ -373,26 +382,26 @@
 	msg->tf = router->tf;
 	msg->call = call;
 	ck_pr_inc_uint(&router->tf->open);
-	loop_post(&router->tf->loop, tf_take_call, msg);
+	loop_post(&router->tf->loop, tf_on_posted_call, msg);
 }
 
-static void tf_take_call(void *ctx)
+static void tf_on_posted_call(void *ctx)
 {
 	struct tf_call_msg *msg = ctx;
 
-	if (tf_knows(msg->tf))
+	if (tf_has_view(msg->tf))
 		rq_start(msg->tf, msg->call, tmr_now());
 	else
 		tf_park(msg->tf, msg->call);
 	g_free(msg);
 }
 
-/* An endpoint that turns slow, or as fast as usual again. */
+/* Logs when an endpoint becomes slow, or fast again. */
 static void tf_log_pace(const struct tf_ep *ep, double pace)
 {
-	if ((ep->pace >= tf_slow) == (pace >= tf_slow))
+	if ((ep->pace >= tf_slow_pace) == (pace >= tf_slow_pace))
 		return;
-	jl_begin(JL_KEEP, pace >= tf_slow ? "endpoint_slow" : "endpoint_fast");
+	jl_begin(JL_KEEP, pace >= tf_slow_pace ? "endpoint_slow" : "endpoint_fast");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 	jl_real("pace", pace);
@@ -401,16 +410,17 @@
 	jl_end();
 }
 
+/* Message from the control thread: the view matched the store at fresh_us. */
 struct tf_fresh_msg {
 	struct tf *tf;
 	int64_t fresh_us;
 };
 
-static void tf_take_fresh(void *ctx)
+static void tf_on_fresh(void *ctx)
 {
 	struct tf_fresh_msg *msg = ctx;
 
-	msg->tf->view_us = MAX(msg->tf->view_us, msg->fresh_us);
+	msg->tf->view_valid_us = MAX(msg->tf->view_valid_us, msg->fresh_us);
 	g_free(msg);
 }
 
@@ -420,21 +430,22 @@
 
 	msg->tf = tf;
 	msg->fresh_us = fresh_us;
-	loop_post(&tf->loop, tf_take_fresh, msg);
+	loop_post(&tf->loop, tf_on_fresh, msg);
 }
 
+/* Message from the control thread: loads that endpoints reported. */
 struct tf_loads_msg {
 	struct tf *tf;
-	GArray *loads;
+	GArray *loads; /* struct router_load */
 };
 
-static void tf_tell_slow(struct tf *tf, const struct tf_ep *ep)
+static void tf_move_streams_from_slow(struct tf *tf, const struct tf_ep *ep)
 {
 	for (guint i = tf->reqs->len; i > 0; i--)
 		rq_on_slow(tf->reqs->pdata[i - 1], ep);
 }
 
-static void tf_take_loads(void *ctx)
+static void tf_on_loads(void *ctx)
 {
 	struct tf_loads_msg *msg = ctx;
 	int64_t now_us = tmr_now();
@@ -447,12 +458,12 @@
 		if (!ep)
 			continue;
 		tf_log_pace(ep, load->pace);
-		slowed = ep->pace < tf_slow_move && load->pace >= tf_slow_move;
+		slowed = ep->pace < tf_move_pace && load->pace >= tf_move_pace;
 		ep->pace = load->pace;
 		ep->full = (double)load->full / ROUTER_FULL;
 		ep->load_us = now_us;
 		if (slowed)
-			tf_tell_slow(msg->tf, ep);
+			tf_move_streams_from_slow(msg->tf, ep);
 	}
 	g_array_unref(msg->loads);
 	g_free(msg);
@@ -464,10 +475,10 @@
 
 	msg->tf = tf;
 	msg->loads = g_array_ref(loads);
-	loop_post(&tf->loop, tf_take_loads, msg);
+	loop_post(&tf->loop, tf_on_loads, msg);
 }
 
-int tf_zone(struct tf *tf, const char *name)
+int tf_zone_number(struct tf *tf, const char *name)
 {
 	gpointer number = g_hash_table_lookup(tf->zones, name);
 
--- a/router/tf.h
+++ b/router/tf.h
@@ -18,222 +18,274 @@
 #include "share/share.h"
 
 /*
- * An endpoint as the traffic thread sees it: its record, and what this host has found out itself.
- * Requests hold references, so it outlives its entry in the list.
+ * State of the traffic thread, which serves callers' requests. router/router.h describes the two
+ * threads of bgrouterd.
+ */
+
+/*
+ * An endpoint in the traffic thread: its record from the store, and what this host has measured and
+ * observed itself. Requests hold references, so it outlives its entry in the list of endpoints.
  */
 struct tf_ep {
-	struct ep_rec *rec;
-	int refs;
-	bool listed;	    /* in the present view */
-	int in_flight;	    /* requests of this host that pass through it */
-	double tokens;	    /* their tokens of context */
-	double pace;	    /* as it reported last; 1: as usual */
-	double full;	    /* part of its memory for requests that was taken then */
-	int64_t load_us;    /* when that report came; 0: never */
-	int64_t suspect_us; /* it is at fault until then: not chosen, and left by what runs there */
-	struct dbt doubt;   /* it may be at fault: not chosen */
-	int64_t unreached_us;	/* when this host last failed to reach it */
-	int64_t progress_us;	/* when a request sent to it last got something */
-	struct hc_call *report; /* being asked for */
-	int64_t report_us;	/* when it was last asked for */
-	struct hc_call *check;	/* whether it answers at all, being asked */
-	int64_t check_us;	/* when that was last asked */
-	int64_t missed_us;	/* when it did not answer, and nobody else has since; 0: it did */
-	struct crash_check *crash; /* attempts were cut there, and it is asked whether it lives */
-	struct lim_part limit;	   /* that it names, and the permits of this host */
-	int64_t limit_used;	   /* requests sent there with a permit */
-	bool limit_unreadable;	   /* it named something that is no rate, and that was logged */
-	int64_t limit_told_us;	   /* when the control thread was last told */
-	struct rst rest;	   /* that it asked this host for */
-	int64_t rest_since_us;	   /* when it last asked; 0: never */
-	char *rest_by;		   /* request whose answer said so; owned; NULL: a report's */
-	bool rest_told;		   /* that this rest is over was logged */
-	bool rest_unreadable;	   /* it asked in a way that can't be read, and that was logged */
-	bool leaving;		   /* it said so itself */
-	struct flg failing;	   /* recent failures of a plain service's */
+	struct ep_rec *rec; /* the endpoint's record as last read */
+	int refs;	    /* reference count: one of tf.eps, one of each user */
+	bool listed;	    /* the present view contains the endpoint */
+	int in_flight;	    /* requests of this host whose pipeline includes the endpoint */
+	double tokens;	    /* context tokens of those requests, as estimated */
+	double pace;	    /* step time last reported, as a multiple of the usual one; 1: usual */
+	double full;	    /* fraction of the memory for requests in use, as last reported */
+	int64_t load_us;    /* time at which pace and full were last reported, in us; 0: never */
+	int64_t suspect_us; /* the endpoint counts as faulty until this time, in us */
+	struct dbt doubt;   /* time for which the endpoint is not chosen, as it may be faulty */
+	int64_t last_unreachable_us; /* time of the last failure to connect, in us; 0: none */
+	int64_t progress_us; /* time of the last data from the endpoint as a first stage, in us */
+	struct hc_call *report;	   /* report request under way; NULL: none */
+	int64_t report_us;	   /* time at which a report was last requested, in us */
+	struct hc_call *check;	   /* liveness check under way; NULL: none */
+	int64_t check_us;	   /* time at which the last liveness check was sent, in us */
+	int64_t missed_us;	   /* time of a failed liveness check, in us; 0: none since another
+				    * endpoint answered */
+	struct crash_check *crash; /* check whether the endpoint has crashed, started when attempts
+				    * broke off there; NULL: none */
+	struct lim_part limit;	   /* rate limit set by the endpoint, and this host's permits */
+	int64_t limit_used;	   /* number of requests sent to the endpoint with a permit */
+	bool limit_unreadable;	   /* an unparsable rate limit of the endpoint has been logged */
+	int64_t limit_told_us; /* time of the last message on the limit to the control thread, in us
+				*/
+	struct rst rest; /* rest period, in which the endpoint takes no requests of this host */
+	int64_t rest_since_us; /* time of the last demand for a rest period, in us; 0: never */
+	char *rest_by;	       /* id of the request whose answer demanded the rest period; owned;
+				* NULL: an answer to another call, such as a report, did */
+	bool rest_end_logged;  /* the end of the latest rest period has been logged */
+	bool rest_unreadable_logged; /* an unparsable demand for a rest period has been logged */
+	bool leaving;		     /* an answer of the endpoint announced its shutdown */
+	struct flg failing;	     /* recent failures; used for endpoints of plain services */
 };
 
 enum {
-	TF_STAGES_MAX = PA_STAGES_MAX
+	TF_STAGES_MAX = PA_STAGES_MAX /* most stages of a pipeline */
 };
 
-/* One stage of a pipeline: layers from..to-1 at the endpoint. */
+/* One stage of a pipeline: the endpoint runs layers from..to-1. */
 struct tf_stage {
 	struct tf_ep *ep;
-	int from;
-	int to;
+	int from; /* first layer of the stage */
+	int to;	  /* first layer after the stage */
 };
 
-/* Where one attempt goes. */
+/* Endpoints chosen for one attempt: the stages of a pipeline, or one endpoint. */
 struct tf_target {
 	struct tf_stage stages[TF_STAGES_MAX];
-	int count;
-	bool layered;
-	double tokens; /* of context, as estimated */
-	struct hop_path hops;
+	int count;	      /* number of stages */
+	bool layered;	      /* a pipeline; false: one endpoint of a plain service */
+	double tokens;	      /* context tokens of the request, as estimated */
+	struct hop_path hops; /* hops between availability zones on the pipeline */
 };
 
+/* State of the traffic thread. */
 struct tf {
 	struct router *router;
 	struct loop loop;
 	pthread_t thread;
-	struct hc *hc;
-	struct router_view *view;
-	GHashTable *eps;	     /* incarnation -> struct tf_ep */
-	GHashTable *by_addr;	     /* address -> struct tf_ep; of those that are listed */
-	struct sh share;	     /* what client accounts have used */
-	struct served served;	     /* requests that this host has served whole lately */
-	struct quar quar;	     /* requests that crash endpoints */
-	int64_t quar_expire_us;	     /* when it is next looked through for what is outdated */
-	GHashTable *budgets;	     /* service -> struct bud */
-	GHashTable *backs;	     /* service -> struct bk */
-	GHashTable *adms;	     /* service -> struct adm */
-	struct lim_fair limit_fair;  /* who may use what limits leave */
-	GHashTable *limit_turns;     /* service -> struct lim_turn */
-	GHashTable *unknown_headers; /* a set of names in lower case; see tf_heard.h */
-	GHashTable *zones;	     /* name -> number, from 1 */
-	GPtrArray *zone_names;
-	GPtrArray *reqs; /* struct rq */
-	struct hop hop;	 /* what hops between zones cost */
-	GQueue *parked;	 /* struct tf_parked: requests that came before the first view */
-	struct tmr sweep;
-	uint32_t seed;
-	double checks;	     /* of stages that may be made now; see stall.c */
-	int64_t checks_us;   /* when that was last brought up to date */
-	int64_t check_ok_us; /* when a stage of a silent pipeline last answered */
-	int64_t heard_us;    /* when any endpoint last answered a request, or a part of one */
-	int64_t start_us;    /* when the process started */
-	unsigned int open;   /* atomic: requests that have not ended */
-	int64_t view_us;     /* until when the view is known to be what the store holds */
+	struct hc *hc;		     /* HTTP client for calls to endpoints */
+	struct router_view *view;    /* last view from the control thread; NULL: none yet */
+	GHashTable *eps;	     /* endpoints by incarnation: char * -> struct tf_ep */
+	GHashTable *by_addr;	     /* listed endpoints by address: char * -> struct tf_ep */
+	struct sh share;	     /* usage of each client account */
+	struct served served;	     /* contents of requests recently answered in full */
+	struct quar quar;	     /* quarantine of requests that crash endpoints */
+	int64_t quar_expire_us;	     /* next removal of expired quarantine entries, in us */
+	GHashTable *budgets;	     /* budget of repeats by service: char * -> struct bud */
+	GHashTable *retry_delays;    /* Retry-After computation by service: char * -> struct bk */
+	GHashTable *admissions;	     /* overload admission by service: char * -> struct adm */
+	struct lim_fair limit_fair;  /* shares scarce permits among client accounts */
+	GHashTable *limit_turns;     /* spread of callers refused for rate limits, by service:
+				      * char * -> struct lim_turn */
+	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
+	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
+	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
+	GPtrArray *reqs;	     /* requests that have not been freed (struct rq) */
+	struct hop hop;		     /* measured cost of hops between availability zones */
+	GQueue *parked;	   /* requests received before the first complete view (struct tf_parked) */
+	struct tmr sweep;  /* timer of the periodic sweep */
+	uint32_t seed;	   /* state of the random number generator */
+	double checks;	   /* liveness checks allowed now (a token bucket); see stall.c */
+	int64_t checks_us; /* time at which the token bucket was last refilled, in us */
+	int64_t check_ok_us; /* time at which an endpoint last answered a check or report, in us */
+	int64_t heard_us;    /* time of the last head or data from any endpoint, in us */
+	int64_t start_us;    /* time at which the traffic thread was started, in us */
+	unsigned int open;   /* atomic: number of requests received and not yet freed */
+	int64_t view_valid_us; /* last time at which the view was known to match the store, in us */
 };
 
-/* What a choice is made for. */
-struct tf_ask {
+/* Arguments of tf_pick() and tf_pick_rest_end_us(). */
+struct tf_pick_args {
 	const struct rt_service *service;
 	const struct seam_request *request;
-	const char *account;	       /* "": none */
-	const struct tf_target *avoid; /* endpoints that it must not go to; or NULL */
-	enum pa_trust trust;	       /* endpoints are trusted as little as that at the least */
+	const char *account;	       /* name of the client account; "": none */
+	const struct tf_target *avoid; /* endpoints that must not be chosen; NULL: none */
+	enum pa_trust trust;	       /* least trusted class of endpoints that may be chosen */
 	bool may_repeat;	       /* the request may run more than once */
 };
 
-/* pick.c: 0, or a negative FWD_E. The target holds references until tf_target_clear(). */
-int tf_pick(struct tf *tf, const struct tf_ask *ask, struct tf_target *target);
+/*
+ * pick.c: chooses the endpoints for one attempt. Returns 0 or a negative FWD_E. The target holds
+ * references until tf_target_release().
+ */
+int tf_pick(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target);
 
 /*
- * The same pipeline with the layers of its bad stages at other endpoints. Bad are those that are to
- * be avoided, suspected or no longer listed; the first stage can't be replaced. Returns 0 or a
- * negative FWD_E.
+ * Chooses other endpoints for the layers of the faulty stages of a pipeline and keeps the other
+ * stages. Faulty are endpoints in avoid, suspected or leaving ones, and those that are no longer
+ * listed as ready. The first stage can't be replaced. Returns 0 or a negative FWD_E.
  */
 int tf_pick_repair(struct tf *tf, const struct rt_service *service,
 		   const struct seam_request *request, const struct tf_target *now,
 		   const struct tf_target *avoid, struct tf_target *target);
 
 /*
- * When rests leave an endpoint or a pipeline for such a request; now, if they do or nobody rests;
- * -1: there is none, whatever rests.
+ * Returns the earliest time, in us, at which rest periods leave enough endpoints for the request:
+ * the present time if they do so already or no endpoint rests, -1 if there would not be enough even
+ * if no endpoint rested.
  */
-int64_t tf_pick_opens_us(struct tf *tf, const struct tf_ask *ask);
+int64_t tf_pick_rest_end_us(struct tf *tf, const struct tf_pick_args *args);
+
+/* Returns whether the endpoint is listed as ready, not leaving and not known to be faulty. */
+bool tf_ep_is_healthy(const struct tf_ep *ep, int64_t now_us);
+
+/* Formats the pipeline as it is sent to endpoints; free with g_free(). */
+char *tf_format_pipeline(const struct tf *tf, const struct tf_target *target);
 
-/* Whether the endpoint is listed as ready and not known to be at fault. */
-bool tf_ep_is_good(const struct tf_ep *ep, int64_t now_us);
+/* References the target's endpoints and adds the request to their load. */
+void tf_target_acquire(struct tf_target *target);
 
-/* The pipeline as the endpoints are told of it; free with g_free(). */
-char *tf_pipeline(const struct tf *tf, const struct tf_target *target);
-void tf_target_hold(struct tf_target *target);
-void tf_target_clear(struct tf_target *target);
+/* Undoes tf_target_acquire() and empties the target. */
+void tf_target_release(struct tf_target *target);
 
-/* stall.c: finds out which stage a silent pipeline waits for. */
+/* stall.c: starts to determine which stage of a silent pipeline is at fault. */
 void stall_ask(struct tf *tf, const struct tf_target *target);
 
-/* The first stage named the other one at fault, which may be dead or just have no memory. */
+/*
+ * Checks an endpoint that the first stage named as the cause of a failure: it may be dead, or only
+ * out of memory.
+ */
 void stall_on_named(struct tf *tf, struct tf_ep *first, struct tf_ep *culprit);
 
 enum {
-	TF_SUSPECT_US =
-		3000000 /* for which an endpoint that is certainly at fault is passed over */
+	TF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
 };
 
-/* tf.c */
+/* tf.c: return the state of the service, which is created on first use. */
 struct bud *tf_budget(struct tf *tf, const char *service);
-struct bk *tf_back(struct tf *tf, const char *service);
-struct adm *tf_adm(struct tf *tf, const char *service);
+struct bk *tf_retry_delay(struct tf *tf, const char *service);
+struct adm *tf_admission(struct tf *tf, const char *service);
+
+/* Drops a reference; frees the endpoint with the last one. */
 void tf_ep_unref(struct tf_ep *ep);
 
-/* tf_suspect.c: what this host holds against endpoints, and what it hears from others. */
+/* tf_suspect.c: faults of endpoints, found by this host or reported by others. */
 
-/* Does not choose the endpoint for that time, on this host only: for what may have other causes. */
+/*
+ * Excludes the endpoint from choice for that time, on this host only: for symptoms that may have
+ * another cause than a faulty endpoint.
+ */
 void tf_doubt(struct tf_ep *ep, int64_t for_us, const char *why, const char *request);
 
-/* The same where an engine named the endpoint; the longer, the more often that happens in a row. */
-void tf_on_named(struct tf_ep *ep, const char *why, const char *request);
+/*
+ * Excludes an endpoint that an engine named as faulty, on this host only. The time doubles with
+ * each such report in a row.
+ */
+void tf_on_named_faulty(struct tf_ep *ep, const char *why, const char *request);
 
 /*
- * Passes the endpoint over for that time, on all hosts. Only for what is certain: a host that only
- * guesses which stage of a pipeline is at fault would take sound endpoints from everybody.
+ * Excludes the endpoint for that time on all hosts. Only for certain faults: a host that merely
+ * guesses which stage of a pipeline is faulty would take sound endpoints from all hosts.
  */
 void tf_suspect(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *why,
 		const char *request);
 
-/* The same on this host only: what waits for the endpoint is taken elsewhere. */
-void tf_leave(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *why,
-	      const char *request);
-int tf_zone(struct tf *tf, const char *name);
+/*
+ * Excludes the endpoint for that time on this host only. Requests whose pipeline stalls there are
+ * moved to other endpoints.
+ */
+void tf_mark_faulty_here(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *why,
+			 const char *request);
+
+/* Returns the number of an availability zone, from 1; an unknown name gets the next number. */
+int tf_zone_number(struct tf *tf, const char *name);
 
 /*
- * The endpoint could not be reached. Once may be this host's fault, or the endpoint's queue for
- * connections may be full; a second time within a moment is taken as proof, and told to all hosts.
+ * Handles a failure to connect to the endpoint. A single failure may be this host's fault, or the
+ * endpoint's listen queue may be full; a second one within a short time is taken as proof of a
+ * fault and reported to all hosts.
  */
 void tf_unreached(struct tf *tf, struct tf_ep *ep, const char *why, const char *request);
 
-/* Whether the configuration and the endpoints are known. */
-bool tf_knows(const struct tf *tf);
+/* Returns whether the thread has received a configuration and a list of endpoints. */
+bool tf_has_view(const struct tf *tf);
 
-/* rq.c */
+/* rq.c: one request on its way through this host. */
 struct rq;
 
 /*
- * How long the request has waited at engines for its first token, if the service is the one; -1: it
- * does not. What it waited on this host, for a configuration or an endpoint, tells nothing of them.
+ * Returns the time in us for which the request has waited at engines of the service for its first
+ * token, or -1 if it does not wait for one there. The time that it waited on this host, for a
+ * configuration or an endpoint, is left out, since it says nothing about the engines.
  */
-int64_t rq_waits_us(const struct rq *rq, const char *service, int64_t now_us);
+int64_t rq_first_token_wait_us(const struct rq *rq, const char *service, int64_t now_us);
 
-/* Whether the request waits until the limits of the service's endpoints leave room for it. */
+/* Returns whether the request waits for room under the rate limits of the service's endpoints. */
 bool rq_waits_for_limit(const struct rq *rq, const char *service);
 
-/* came_us: when the whole request was there. */
-void rq_start(struct tf *tf, struct hd_call *call, int64_t came_us);
+/* Starts a request. received_us: time at which all of the request had been received. */
+void rq_start(struct tf *tf, struct hd_call *call, int64_t received_us);
 
-/* The endpoint was found at fault: if the request waits for it, it is taken elsewhere. */
-void rq_on_suspect(struct rq *rq, const struct tf_ep *ep);
+/* Repairs the request's pipeline if it is silent and includes an endpoint found faulty. */
+void rq_on_faulty(struct rq *rq, const struct tf_ep *ep);
 
-/* The endpoint does not answer: if the request is silent and passes through it, it is taken
- * elsewhere. */
+/*
+ * Repairs the request's pipeline if it is silent and a stage after the first is an endpoint that
+ * does not answer.
+ */
 void rq_on_missing(struct rq *rq, struct tf_ep *ep);
 
-/* The first stage of the request's pipeline if it is silent and passes through ep later; or NULL.
+/*
+ * Returns the first stage of the request's pipeline if the pipeline is silent and ep is a later
+ * stage of it; else NULL.
  */
-struct tf_ep *rq_waits_for(const struct rq *rq, const struct tf_ep *ep);
+struct tf_ep *rq_silent_first_stage(const struct rq *rq, const struct tf_ep *ep);
 
-/* Whether the request has just got something that came through the endpoint. */
-bool rq_proves(const struct rq *rq, const struct tf_ep *ep, int64_t now_us);
+/* Returns whether the request has recently received data through the endpoint. */
+bool rq_received_through(const struct rq *rq, const struct tf_ep *ep, int64_t now_us);
 
-/* The endpoint has turned slow: the request is taken off it, unless that costs a repeat. */
+/*
+ * Moves the request off an endpoint that has become slow, unless that would cost a repeat: only a
+ * stage after the first is replaced.
+ */
 void rq_on_slow(struct rq *rq, const struct tf_ep *ep);
 
-/* The first stage says that the request waits for the stage at that address. */
+/*
+ * Handles the report of the first stage that the request is stalled at the endpoint with that
+ * address. culprit: NULL if the report names none.
+ */
 void rq_on_stalled(struct rq *rq, const char *culprit);
 
-/* The request of that id that was sent to first, or NULL. */
+/* Returns whether the request has that id and its present attempt was sent to first. */
 bool rq_is(const struct rq *rq, const struct tf_ep *first, const char *id);
 
-/* The request of that entry is refused from now on; if it is this one, it ends. */
+/*
+ * Handles a new quarantine entry: if it matches this request, the request ends, unless its answer
+ * has already gone on for long enough to show that it does not crash the endpoint.
+ */
 void rq_on_quarantine(struct rq *rq, const struct quar_entry *entry);
 
-/* How long the attempt under way has gone on, if the request is that one; else 0. */
+/*
+ * Returns the time in us over which the request's answer has arrived so far, over all attempts; 0
+ * if the request has another content or account.
+ */
 int64_t rq_lasted_us(const struct rq *rq, const struct quar_id *id);
 
-/* Looks whether the caller has gone. */
+/* Ends the request if its caller has closed the connection. */
 void rq_on_sweep(struct rq *rq);
 
 #endif
--- a/router/tf_heard.c
+++ b/router/tf_heard.c
@@ -8,60 +8,63 @@
 #include <string.h>
 
 enum {
-	/* Headers that are remembered; an endpoint may make up a new name in each answer. */
-	TF_HEARD_UNKNOWN_MAX = 16,
-	TF_HEARD_STATUS_OTHER = 421 /* another endpoint has the address */
+	/* Names of unknown headers that are kept; an endpoint may use a new one in each answer. */
+	TF_HEAD_UNKNOWN_MAX = 16,
+	TF_HEAD_STATUS_MISDIRECTED = 421 /* HTTP 421: another endpoint has the address */
 };
 
-/* On its way from the control thread. */
-struct tf_heard_msg {
+/* Message from the control thread: the head of an answer that it received. */
+struct tf_head_msg {
 	struct tf *tf;
-	char *endpoint; /* its incarnation */
+	char *endpoint; /* incarnation of the endpoint */
 	struct seam_answer answer;
 };
 
-static void tf_heard_begin(const char *event, const struct tf_ep *ep)
+static void tf_head_log_begin(const char *event, const struct tf_ep *ep)
 {
 	jl_begin(JL_KEEP, event);
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 }
 
-static void tf_heard_unknown(struct tf *tf, const struct tf_ep *ep, const char *name,
-			     const char *request)
+static void tf_head_log_unknown(struct tf *tf, const struct tf_ep *ep, const char *name,
+				const char *request)
 {
 	met_add(met_counter("bg_headers_unknown_total", ""), 1);
-	if (g_hash_table_size(tf->unknown_headers) >= TF_HEARD_UNKNOWN_MAX ||
+	if (g_hash_table_size(tf->unknown_headers) >= TF_HEAD_UNKNOWN_MAX ||
 	    !g_hash_table_add(tf->unknown_headers, g_ascii_strdown(name, -1)))
 		return;
-	tf_heard_begin("header_unknown", ep);
+	tf_head_log_begin("header_unknown", ep);
 	jl_str("header", name);
 	jl_str("id", request);
 	jl_end();
 }
 
-/* An endpoint may say it in every answer; its first value that is no time is logged. */
-static void tf_heard_rest_unreadable(struct tf_ep *ep, const struct seam_answer *answer,
-				     const char *request)
+/*
+ * Logs the first unparsable demand of an endpoint for a rest period; later ones are only counted,
+ * as it may send one in every answer.
+ */
+static void tf_head_log_rest_unreadable(struct tf_ep *ep, const struct seam_answer *answer,
+					const char *request)
 {
 	met_add(met_counter("bg_rests_unreadable_total", ""), 1);
-	if (ep->rest_unreadable)
+	if (ep->rest_unreadable_logged)
 		return;
-	ep->rest_unreadable = true;
-	tf_heard_begin("rest_unreadable", ep);
+	ep->rest_unreadable_logged = true;
+	tf_head_log_begin("rest_unreadable", ep);
 	jl_int("values", answer->rest_values);
 	jl_int("unreadable", answer->rest == SEAM_REST_UNREADABLE);
 	jl_str("id", request);
 	jl_end();
 }
 
-static void tf_heard_leaving(struct tf *tf, struct tf_ep *ep, const char *request)
+static void tf_head_on_leaving(struct tf *tf, struct tf_ep *ep, const char *request)
 {
 	if (ep->leaving)
 		return;
 	ep->leaving = true;
 	met_add(met_counter("bg_endpoints_leaving_total", ""), 1);
-	tf_heard_begin("endpoint_leaving", ep);
+	tf_head_log_begin("endpoint_leaving", ep);
 	jl_str("from", "endpoint");
 	jl_str("id", request);
 	jl_int("in_flight", ep->in_flight);
@@ -69,26 +72,26 @@
 	heard_post_leaving(tf->router->rc, ep->rec->incarnation);
 }
 
-/* What any answer may say, to a request or to another call. */
-static void tf_heard_any(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
+/* Handles what the answer to a request or to any other call may state about the endpoint. */
+static void tf_head_read(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
 			 const char *request)
 {
 	if (answer->unknown)
-		tf_heard_unknown(tf, ep, answer->unknown, request);
+		tf_head_log_unknown(tf, ep, answer->unknown, request);
 	if (answer->rest == SEAM_REST_UNREADABLE || answer->rest_values > 1)
-		tf_heard_rest_unreadable(ep, answer, request);
+		tf_head_log_rest_unreadable(ep, answer, request);
 	if (answer->rest == SEAM_REST_FOR)
-		tf_rest_asked(tf, ep, answer->rest_us, request);
-	if (answer->leaving && answer->head.status != TF_HEARD_STATUS_OTHER)
-		tf_heard_leaving(tf, ep, request);
+		tf_rest_on_request(tf, ep, answer->rest_us, request);
+	if (answer->leaving && answer->head.status != TF_HEAD_STATUS_MISDIRECTED)
+		tf_head_on_leaving(tf, ep, request);
 }
 
-void tf_heard(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer, int64_t sent_us,
-	      const char *request)
+void tf_head_of_request(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
+			int64_t sent_us, const char *request)
 {
-	tf_heard_any(tf, ep, answer, request);
+	tf_head_read(tf, ep, answer, request);
 	if (!answer->head.not_run)
-		tf_rest_taken(ep);
+		tf_rest_on_accepted(ep);
 	tf_limit_on_answer(tf, ep, answer, sent_us, request);
 }
 
@@ -97,17 +100,17 @@
 	struct seam_answer answer;
 
 	tf->router->seam->wire.read_answer(status, headers, NULL, &answer);
-	tf_heard_any(tf, ep, &answer, NULL);
+	tf_head_read(tf, ep, &answer, NULL);
 	seam_answer_finish(&answer);
 }
 
-static void tf_heard_take(void *ctx)
+static void tf_head_on_posted(void *ctx)
 {
-	struct tf_heard_msg *msg = ctx;
+	struct tf_head_msg *msg = ctx;
 	struct tf_ep *ep = g_hash_table_lookup(msg->tf->eps, msg->endpoint);
 
 	if (ep)
-		tf_heard_any(msg->tf, ep, &msg->answer, NULL);
+		tf_head_read(msg->tf, ep, &msg->answer, NULL);
 	seam_answer_finish(&msg->answer);
 	g_free(msg->endpoint);
 	g_free(msg);
@@ -115,11 +118,11 @@
 
 void tf_heard_post(struct tf *tf, const char *endpoint, const struct seam_answer *answer)
 {
-	struct tf_heard_msg *msg;
+	struct tf_head_msg *msg;
 
 	if (answer->rest == SEAM_REST_NONE && !answer->leaving && !answer->unknown)
 		return;
-	msg = g_new0(struct tf_heard_msg, 1);
+	msg = g_new0(struct tf_head_msg, 1);
 	msg->tf = tf;
 	msg->endpoint = g_strdup(endpoint);
 	msg->answer.head = answer->head;
@@ -128,5 +131,5 @@
 	msg->answer.rest_values = answer->rest_values;
 	msg->answer.leaving = answer->leaving;
 	msg->answer.unknown = g_strdup(answer->unknown);
-	loop_post(&tf->loop, tf_heard_take, msg);
+	loop_post(&tf->loop, tf_head_on_posted, msg);
 }
--- a/router/tf_heard.h
+++ b/router/tf_heard.h
@@ -6,20 +6,23 @@
 G_BEGIN_DECLS
 
 /*
- * What the heads of endpoints' answers say of the endpoints themselves, in the traffic thread. All
- * that is known of it is read in one place, by the wire of the deployment, and handed out in one
- * place, here. What nobody knows gets a line in the log, once a header, so that an endpoint that
- * begins to say something new does not go unnoticed.
+ * Handles what the heads of answers state about the endpoints that sent them, in the traffic
+ * thread. Only the deployment's seam_wire parses these heads, and only this module passes the
+ * result on: to rate limits, rest periods and the list of leaving endpoints. A header that the
+ * router does not know is logged once by name, so that new information from endpoints is noticed.
  */
 
-/* The head of an answer to a request that was sent at sent_us, by tmr_boot_now(). */
-void tf_heard(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer, int64_t sent_us,
-	      const char *request);
+/* Handles the head of the answer to a request that was sent at sent_us, by tmr_boot_now(). */
+void tf_head_of_request(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
+			int64_t sent_us, const char *request);
 
-/* The head of an answer to a report or an order of the traffic thread's. */
+/* Handles the head of the answer to a report, a check or an order of the traffic thread. */
 void tf_heard_call(struct tf *tf, struct tf_ep *ep, int status, const GPtrArray *headers);
 
-/* The same of the control thread's. Any thread. */
+/*
+ * Passes the head of an answer that the control thread received on to the traffic thread; may be
+ * called in any thread. endpoint: its incarnation.
+ */
 void tf_heard_post(struct tf *tf, const char *endpoint, const struct seam_answer *answer);
 
 G_END_DECLS
--- a/router/tf_rest.c
+++ b/router/tf_rest.c
@@ -5,11 +5,17 @@
 #include "router/heard.h"
 
 enum {
-	/* Over which callers come back after a rest, so that they don't bring on the next one. */
-	TF_REST_BACK_US = 1000000
+	/*
+	 * Time over which callers' retries are spread after a rest period, so that their rush does
+	 * not cause the next one.
+	 */
+	TF_REST_RETRY_SPREAD_US = 1000000
 };
 
-/* A busy service has many rests: these lines are bounded as those of requests are. */
+/*
+ * Logs the start or end of a rest period. A busy service has many, so these lines count against the
+ * same limit as those of requests.
+ */
 static void tf_rest_log(const struct tf_ep *ep, const char *event, int64_t for_us,
 			const char *request)
 {
@@ -22,7 +28,7 @@
 	jl_end();
 }
 
-void tf_rest_asked(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *request)
+void tf_rest_on_request(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *request)
 {
 	int64_t now_us = tmr_now();
 	int64_t until_us = ep->rest.until_us;
@@ -37,11 +43,11 @@
 	ep->rest_since_us = now_us;
 	g_free(ep->rest_by);
 	ep->rest_by = g_strdup(request);
-	ep->rest_told = false;
+	ep->rest_end_logged = false;
 	heard_post_rest(tf->router->rc, ep->rec->incarnation, ep->rest.until_us, is_new);
 }
 
-void tf_rest_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us)
+void tf_rest_on_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us)
 {
 	if (rst_is_asked(&ep->rest, tmr_now()))
 		return;
@@ -50,7 +56,7 @@
 	dbt_set(&ep->doubt, for_us, tmr_now());
 }
 
-void tf_rest_taken(struct tf_ep *ep)
+void tf_rest_on_accepted(struct tf_ep *ep)
 {
 	rst_on_taken(&ep->rest, tmr_now());
 }
@@ -60,17 +66,17 @@
 	return rst_may_call(&ep->rest, tmr_now());
 }
 
-int64_t tf_rest_back_us(struct tf *tf, const char *service, const char *request, int64_t left_us)
+int64_t tf_rest_retry_us(struct tf *tf, const char *service, const char *request, int64_t left_us)
 {
-	int64_t back_us = left_us + (int64_t)(rnd_unit(&tf->seed) * TF_REST_BACK_US);
+	int64_t retry_us = left_us + (int64_t)(rnd_unit(&tf->seed) * TF_REST_RETRY_SPREAD_US);
 
 	jl_begin(JL_KEEP, "rest_refused");
 	jl_str("id", request);
 	jl_str("service", service);
-	jl_int("back_ms", back_us / TMR_US_PER_MS);
+	jl_int("back_ms", retry_us / TMR_US_PER_MS);
 	jl_end();
 	met_add(met_counter("bg_rest_refused_total", ""), 1);
-	return back_us;
+	return retry_us;
 }
 
 void tf_rest_on_sweep(struct tf *tf)
@@ -86,8 +92,8 @@
 
 		if (rst_is_asked(&ep->rest, now_us)) {
 			rests++;
-		} else if (ep->rest_since_us > 0 && !ep->rest_told) {
-			ep->rest_told = true;
+		} else if (ep->rest_since_us > 0 && !ep->rest_end_logged) {
+			ep->rest_end_logged = true;
 			tf_rest_log(ep, "rest_over", now_us - ep->rest_since_us, NULL);
 		}
 	}
--- a/router/tf_rest.h
+++ b/router/tf_rest.h
@@ -5,24 +5,39 @@
 
 G_BEGIN_DECLS
 
-/* Endpoints that want nothing of this host for a while, in the traffic thread; see ep/rest.h. */
-
-/* The endpoint asked for rest. */
-void tf_rest_asked(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *request);
-
-/* It asked another host: this one had better go elsewhere, but need not. */
-void tf_rest_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us);
-
-/* It took a request. */
-void tf_rest_taken(struct tf_ep *ep);
-
-/* Whether a report or a check may be asked of it now; counts it. */
+/*
+ * Rest periods in the traffic thread: times in which an endpoint has demanded that this host sends
+ * it no requests. ep/rest.h describes them.
+ */
+
+/*
+ * Handles an answer of the endpoint that demands a rest period of for_us. request: id of the
+ * request that was answered; NULL: another call.
+ */
+void tf_rest_on_request(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *request);
+
+/*
+ * Handles the message of another host that the endpoint demanded a rest period of that host. This
+ * host prefers other endpoints for that time, but is not bound by it.
+ */
+void tf_rest_on_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us);
+
+/* Records that the endpoint accepted a request. The first one after a rest period ends it. */
+void tf_rest_on_accepted(struct tf_ep *ep);
+
+/*
+ * Returns whether a report or a liveness check may be requested from the endpoint now, and counts
+ * it: only one is allowed in a rest period.
+ */
 bool tf_rest_may_call(struct tf_ep *ep);
 
-/* A request is refused since all that could serve it want rest so long. When to come back. */
-int64_t tf_rest_back_us(struct tf *tf, const char *service, const char *request, int64_t left_us);
+/*
+ * Returns the time in us after which the caller of a request may retry that is refused because of
+ * rest periods, which last for left_us more; logs and counts the refusal.
+ */
+int64_t tf_rest_retry_us(struct tf *tf, const char *service, const char *request, int64_t left_us);
 
-/* Lines for rests that are over, and gauges. */
+/* Logs rest periods that have ended and sets the gauge of those that go on. */
 void tf_rest_on_sweep(struct tf *tf);
 
 G_END_DECLS
