--- a/router/pick.c
+++ b/router/pick.c
@@ -13,7 +13,7 @@
  * share these links, so the cost is proportional to the rate. At 88 requests/s and 26 Gbit/s a cost
  * of 3 ms balances the zones: under faults, 0.68 of the value of all answers is earned in time,
  * 0.67 at 11 ms. At 304 requests/s and 10.4 Gbit/s crossings fill the links; there 25 ms is right
- * (0.72, 0.64 at 3 ms).
+ * (0.72 of the value; 0.64 at 3 ms).
  */
 static const double pick_full_link_ms = 3.0;
 
@@ -32,7 +32,7 @@
 /* Age in us up to which a report is used; reports are sent on every 5 s and on each change. */
 static const int64_t pick_report_valid_us = 11000000;
 
-/* Tokens of a prompt and of an answer that neither the caller nor the configuration states. */
+/* Tokens assumed for a prompt and an answer if neither caller nor configuration states them. */
 static const double pick_prompt_default = 500;
 static const double pick_answer_default = 200;
 
@@ -117,18 +117,20 @@
 	       hop_cost_ms(&d->tf->hop, zone_a - 1, zone_b - 1, tmr_now());
 }
 
-static double pick_usual_prompt(const struct rt_service *service)
+static double pick_usual_prompt_tokens(const struct rt_service *service)
 {
 	return service->engine.usual_prompt > 0 ? service->engine.usual_prompt
 						: pick_prompt_default;
 }
 
-static double pick_prompt(const struct rt_service *service, const struct seam_request *request)
+static double pick_prompt_tokens(const struct rt_service *service,
+				 const struct seam_request *request)
 {
-	return request->prompt > 0 ? request->prompt : pick_usual_prompt(service);
+	return request->prompt > 0 ? request->prompt : pick_usual_prompt_tokens(service);
 }
 
-static double pick_answer(const struct rt_service *service, const struct seam_request *request)
+static double pick_answer_tokens(const struct rt_service *service,
+				 const struct seam_request *request)
 {
 	double answer = request->hint > 0 ? request->hint : request->answer;
 
@@ -194,9 +196,9 @@
 	pick->eps = g_new0(struct tf_ep *, n + 1);
 	pick->ask.to = service->engine.layers;
 	pick->ask.zone = tf_zone_number(tf, tf->router->settings.zone);
-	pick->ask.prompt = pick_prompt(service, request);
-	pick->ask.answer = pick_answer(service, request);
-	pick->ask.cross_ms = pick_zone_crossing_ms(tf, service, pick_usual_prompt(service));
+	pick->ask.prompt = pick_prompt_tokens(service, request);
+	pick->ask.answer = pick_answer_tokens(service, request);
+	pick->ask.cross_ms = pick_zone_crossing_ms(tf, service, pick_usual_prompt_tokens(service));
 	pick->ask.seed = rnd_step(&tf->seed);
 	g_hash_table_iter_init(&iter, tf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -4,9 +4,9 @@
 #include "router/tf.h"
 
 /*
- * Choice of endpoints for one attempt, in the traffic thread: pick.c chooses pipelines and
- * replacements of their stages, pick_plain.c chooses endpoints of plain services, and pick_opens.c
- * computes when rest periods leave enough endpoints for a request.
+ * Choice of endpoints for one attempt, in the traffic thread: pipelines and replacements of their
+ * stages (pick.c), endpoints of plain services (pick_plain.c), and the time at which rest periods
+ * leave enough endpoints for a request.
  */
 
 /* State of a search for the stages of a pipeline. */
@@ -43,7 +43,7 @@
 /* Appends a stage for layers from..to-1 to the target. */
 void pick_add_stage(struct tf_target *target, struct tf_ep *ep, int from, int to);
 
-/* pick_plain.c: chooses one endpoint of a plain service. Returns 0 or a negative FWD_E. */
+/* Chooses one endpoint of a plain service. Returns 0 or a negative FWD_E. */
 int pick_plain(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target);
 
 #endif
--- a/router/pick_opens.c
+++ b/router/pick_opens.c
@@ -63,7 +63,7 @@
 	GArray *times = pick_rest_ends(tf, args);
 	guint low = 0;
 	guint high = times->len;
-	int64_t opens_us;
+	int64_t end_us;
 
 	/* No endpoint rests, so the present time is the answer. */
 	if (high == 1)
@@ -76,7 +76,7 @@
 		else
 			low = middle + 1;
 	}
-	opens_us = low < times->len ? g_array_index(times, int64_t, low) : -1;
+	end_us = low < times->len ? g_array_index(times, int64_t, low) : -1;
 	g_array_unref(times);
-	return opens_us;
+	return end_us;
 }
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -72,7 +72,7 @@
 int pick_plain(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
 {
 	struct pick_best best = {NULL, PA_FAULTY, 0};
-	struct pick_best open = {NULL, PA_FAULTY, 0};
+	struct pick_best permitted = {NULL, PA_FAULTY, 0};
 	GHashTableIter iter;
 	gpointer value;
 	int64_t now_us = tmr_now();
@@ -93,14 +93,14 @@
 		cost = pick_plain_cost(tf, value, now_us);
 		pick_keep_better(&best, value, trust, cost);
 		if (tf_limit_is_open(tf, value, args->account))
-			pick_keep_better(&open, value, trust, cost);
+			pick_keep_better(&permitted, value, trust, cost);
 	}
 	if (!best.ep)
 		return resting > 0 ? FWD_ERESTS : FWD_ENOENDPOINT;
-	if (best.ep != open.ep)
+	if (best.ep != permitted.ep)
 		tf_limit_lacked(tf, best.ep);
-	if (!open.ep)
+	if (!permitted.ep)
 		return FWD_ELIMIT;
-	pick_add_stage(target, pick_trial(tf, args, open.ep, now_us), 0, 0);
+	pick_add_stage(target, pick_trial(tf, args, permitted.ep, now_us), 0, 0);
 	return 0;
 }
--- a/router/rq.c
+++ b/router/rq.c
@@ -197,12 +197,12 @@
 int64_t rq_rest_left_us(const struct rq *rq)
 {
 	struct tf_pick_args args;
-	int64_t opens_us;
+	int64_t end_us;
 
 	rq_fill_pick_args(rq, PA_DOUBTED, &args);
 	args.avoid = NULL;
-	opens_us = tf_pick_rest_end_us(rq->tf, &args);
-	return MAX(opens_us - tmr_now(), 0);
+	end_us = tf_pick_rest_end_us(rq->tf, &args);
+	return MAX(end_us - tmr_now(), 0);
 }
 
 bool rq_waits_for_limit(const struct rq *rq, const char *service)
--- a/router/rq_answer.c
+++ b/router/rq_answer.c
@@ -108,9 +108,9 @@
 {
 	struct rq *rq = ctx;
 	int64_t now_us = tmr_now();
-	int64_t back_us = not_run ? rq_retry_after_us(rq, now_us) : 0;
+	int64_t retry_us = not_run ? rq_retry_after_us(rq, now_us) : 0;
 
 	if (rq->fwd.failure == FWD_CRASHES)
-		back_us = rq_quarantine_retry_us(rq, now_us);
-	rq_reply_error(rq, status, fwd_cause_name(rq->fwd.failure), back_us);
+		retry_us = rq_quarantine_retry_us(rq, now_us);
+	rq_reply_error(rq, status, fwd_cause_name(rq->fwd.failure), retry_us);
 }
--- a/router/rq_int.h
+++ b/router/rq_int.h
@@ -4,10 +4,10 @@
 #include "router/tf.h"
 
 /*
- * One caller's request on this host. rq_admit.c admits it, rq.c sends it to endpoints and receives
- * their answers, rq_answer.c answers the caller, rq_crash.c handles crashes of endpoints that ran
- * it, and rq_repair.c replaces stages of its pipeline that fail or slow down. The state machine in
- * fwd/fwd.c decides what may be sent again.
+ * One caller's request on this host: admission, attempts at endpoints, the answer to the caller,
+ * crashes of endpoints that ran it, and the repair of its pipeline when stages fail or slow down.
+ * Each of these has a source file of its own. The state machine in fwd/fwd.c decides what may be
+ * sent again.
  */
 enum {
 	/*
@@ -36,10 +36,10 @@
 	struct tf_target repair;	  /* pipeline that the order under way asks for */
 	int repairs;			  /* number of orders sent for this request */
 	int64_t order_us;		  /* time at which the last order was sent, in us */
-	int64_t attempt_boot_us;   /* time at which the last attempt was sent, by tmr_boot_now() */
-	int64_t last_activity_us;  /* time at which the last attempt was sent or last brought data,
-				    * in us */
-	int64_t gap_us;		   /* running mean of the time between two parts of the answer */
+	int64_t attempt_boot_us;  /* time at which the last attempt was sent, by tmr_boot_now() */
+	int64_t last_activity_us; /* time at which the last attempt was sent or last brought data,
+				   * in us */
+	int64_t gap_us; /* running mean of the time between two parts of the answer, in us */
 	struct tf_target avoid;	   /* endpoints that failed the request; they are referenced, but
 				    * their load is not changed */
 	struct seam_answer answer; /* head of the last attempt's answer */
@@ -54,20 +54,17 @@
 	bool part_received;  /* the last attempt has received a part of the answer */
 	int64_t head_us;     /* time at which the last head was received, in us */
 	int64_t earlier_duration_us;   /* time over which earlier attempts brought parts of the
-					* answer */
+					* answer, in us */
 	const struct tf_ep *broken_at; /* endpoint at which the attempt broke off; not referenced,
 					* only compared; NULL: none */
 	enum crash_progress broken_progress; /* progress of the attempt when it broke off */
 	int status;			     /* HTTP status sent to the caller; 0: none yet */
 };
 
-/* rq.c: frees the request. */
+/* Frees the request. */
 void rq_free(struct rq *rq);
 
-/*
- * rq_admit.c: finds route, account and service. Returns false if the request was denied; it is
- * freed then.
- */
+/* Finds route, account and service. If there is none, denies and frees it and returns false. */
 bool rq_admit(struct rq *rq);
 
 /* Fills in the rules of the state machine: deadline, limits on silence, waits and attempts. */
@@ -88,7 +85,7 @@
  */
 bool rq_admit_by_load(struct rq *rq);
 
-/* rq_answer.c: answers the caller with an error of the router's own. retry_us 0: no Retry-After. */
+/* Answers the caller with an error of the router's own. retry_us 0: no Retry-After. */
 void rq_reply_error(struct rq *rq, int status, const char *code, int64_t retry_us);
 
 /* Answers a request that was never sent with an error, logs that, and frees the request. */
@@ -111,13 +108,13 @@
 /* Excludes the endpoint from further attempts and repairs of this request. */
 void rq_avoid(struct rq *rq, struct tf_ep *ep);
 
-/* rq_repair.c: handles a silent attempt, as fwd_ops.on_silent. */
+/* Callback of struct fwd_ops: handles a silent attempt. Returns true if the attempt is kept. */
 bool rq_on_silent(void *ctx);
 
 /* Returns the name of the request's client account; "": none. */
 const char *rq_account_name(const struct rq *rq);
 
-/* rq_crash.c: handles an attempt that broke off at an endpoint, which may have crashed. */
+/* Handles an attempt that broke off at an endpoint, which may have crashed. */
 void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep);
 
 /*
--- a/router/rq_repair.c
+++ b/router/rq_repair.c
@@ -142,7 +142,7 @@
 			      &rq->repair) == 0;
 }
 
-/* Whether a stage is known to be faulty; a slow or leaving one still serves. */
+/* Returns whether a stage is known to be faulty; a slow or leaving one still serves. */
 static bool rq_has_faulty_stage(const struct rq *rq)
 {
 	return rq_faulty_stage(rq) >= 0;
--- a/router/tf.h
+++ b/router/tf.h
@@ -28,7 +28,7 @@
  */
 struct tf_ep {
 	struct ep_rec *rec; /* the endpoint's record as last read */
-	int refs;	    /* reference count: one of tf.eps, one of each user */
+	int refs;	    /* reference count: one for the table of endpoints, one for each user */
 	bool listed;	    /* the present view contains the endpoint */
 	int in_flight;	    /* requests of this host whose pipeline includes the endpoint */
 	double tokens;	    /* context tokens of those requests, as estimated */
@@ -38,19 +38,19 @@
 	int64_t suspect_us; /* the endpoint counts as faulty until this time, in us */
 	struct dbt doubt;   /* time for which the endpoint is not chosen, as it may be faulty */
 	int64_t last_unreachable_us; /* time of the last failure to connect, in us; 0: none */
-	int64_t progress_us; /* time of the last data from the endpoint as a first stage, in us */
-	struct hc_call *report;	   /* report request under way; NULL: none */
-	int64_t report_us;	   /* time at which a report was last requested, in us */
-	struct hc_call *check;	   /* liveness check under way; NULL: none */
-	int64_t check_us;	   /* time at which the last liveness check was sent, in us */
-	int64_t missed_us;	   /* time of a failed liveness check, in us; 0: none since another
-				    * endpoint answered */
+	int64_t progress_us;	/* time of the last data from the endpoint as first stage, in us */
+	struct hc_call *report; /* report request under way; NULL: none */
+	int64_t report_us;	/* time at which a report was last requested, in us */
+	struct hc_call *check;	/* liveness check under way; NULL: none */
+	int64_t check_us;	/* time at which the last liveness check was sent, in us */
+	int64_t missed_us;	/* time of a failed liveness check, in us; 0: none since another
+				 * endpoint answered */
 	struct crash_check *crash; /* check whether the endpoint has crashed, started when attempts
 				    * broke off there; NULL: none */
 	struct lim_part limit;	   /* rate limit set by the endpoint, and this host's permits */
 	int64_t limit_used;	   /* number of requests sent to the endpoint with a permit */
 	bool limit_unreadable;	   /* an unparsable rate limit of the endpoint has been logged */
-	int64_t limit_told_us; /* time of the last message on the limit to the control thread, in us
+	int64_t limit_told_us; /* time of the last report of the limit to the control thread, in us
 				*/
 	struct rst rest; /* rest period, in which the endpoint takes no requests of this host */
 	int64_t rest_since_us; /* time of the last demand for a rest period, in us; 0: never */
@@ -129,7 +129,7 @@
 };
 
 /*
- * pick.c: chooses the endpoints for one attempt. Returns 0 or a negative FWD_E. The target holds
+ * Chooses the endpoints for one attempt. Returns 0 or a negative FWD_E. The target holds
  * references until tf_target_release().
  */
 int tf_pick(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target);
@@ -162,7 +162,7 @@
 /* Undoes tf_target_acquire() and empties the target. */
 void tf_target_release(struct tf_target *target);
 
-/* stall.c: starts to determine which stage of a silent pipeline is at fault. */
+/* Starts to determine which stage of a silent pipeline is at fault; see stall.c. */
 void stall_ask(struct tf *tf, const struct tf_target *target);
 
 /*
@@ -175,7 +175,7 @@
 	TF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
 };
 
-/* tf.c: return the state of the service, which is created on first use. */
+/* Return the state of the service, which is created on first use. */
 struct bud *tf_budget(struct tf *tf, const char *service);
 struct bk *tf_retry_delay(struct tf *tf, const char *service);
 struct adm *tf_admission(struct tf *tf, const char *service);
@@ -183,7 +183,10 @@
 /* Drops a reference; frees the endpoint with the last one. */
 void tf_ep_unref(struct tf_ep *ep);
 
-/* tf_suspect.c: faults of endpoints, found by this host or reported by others. */
+/*
+ * Faults of endpoints, found by this host or reported by others. In the functions below, why is the
+ * reason as it is logged, and request the id of the request that showed the fault, or NULL.
+ */
 
 /*
  * Excludes the endpoint from choice for that time, on this host only: for symptoms that may have
@@ -224,7 +227,7 @@
 /* Returns whether the thread has received a configuration and a list of endpoints. */
 bool tf_has_view(const struct tf *tf);
 
-/* rq.c: one request on its way through this host. */
+/* One caller's request on this host. */
 struct rq;
 
 /*
