--- a/router/pick.c
+++ b/router/pick.c
@@ -57,7 +57,7 @@
 	       strcmp(ep->rec->service, service->name) == 0;
 }
 
-enum pa_trust pick_trust(const struct tf_ep *ep, int64_t now_us)
+enum pa_trust pick_trust_level(const struct tf_ep *ep, int64_t now_us)
 {
 	if (ep->suspect_us > now_us)
 		return PA_FAULTY;
@@ -174,7 +174,7 @@
 	node->room =
 		kind ? pl_token_room(&service->engine, kind->memory_mb, node->to - node->from) : 0;
 	pick_set_load(tf, ep, now_us, node);
-	node->trust = pick_trust(ep, now_us);
+	node->trust = pick_trust_level(ep, now_us);
 }
 
 void pick_finish(struct pick *pick)
--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -35,7 +35,7 @@
 bool pick_is_usable(const struct tf_ep *ep, const struct rt_service *service);
 
 /* Returns how far the endpoint is trusted: faulty if suspected, doubted or good. */
-enum pa_trust pick_trust(const struct tf_ep *ep, int64_t now_us);
+enum pa_trust pick_trust_level(const struct tf_ep *ep, int64_t now_us);
 
 /* Returns whether the endpoint is in avoid, which may be NULL. */
 bool pick_is_avoided(const struct tf_target *avoid, const struct tf_ep *ep);
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -60,7 +60,7 @@
 
 		if (ep == chosen || flg_recent(&ep->failing, now_us) == 0 ||
 		    !pick_is_usable(ep, args->service) || pick_is_avoided(args->avoid, ep) ||
-		    pick_trust(ep, now_us) != PA_GOOD || !rst_is_open(&ep->rest, now_us) ||
+		    pick_trust_level(ep, now_us) != PA_GOOD || !rst_is_open(&ep->rest, now_us) ||
 		    !tf_limit_is_open(tf, ep, args->account))
 			continue;
 		if (flg_on_passed(&ep->failing, now_us))
@@ -80,7 +80,7 @@
 
 	g_hash_table_iter_init(&iter, tf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		enum pa_trust trust = pick_trust(value, now_us);
+		enum pa_trust trust = pick_trust_level(value, now_us);
 		double cost;
 
 		if (!pick_is_usable(value, args->service) || pick_is_avoided(args->avoid, value) ||
--- a/router/rq.c
+++ b/router/rq.c
@@ -64,7 +64,7 @@
 	rq->avoid.count = 0;
 }
 
-void rq_avoid(struct rq *rq, struct tf_ep *ep)
+void rq_exclude_endpoint(struct rq *rq, struct tf_ep *ep)
 {
 	for (int i = 0; i < rq->avoid.count; i++) {
 		if (rq->avoid.stages[i].ep == ep)
@@ -334,7 +334,7 @@
 	if (rq->answer.culprit)
 		culprit = g_hash_table_lookup(rq->tf->by_addr, rq->answer.culprit);
 	if (culprit) {
-		rq_avoid(rq, culprit);
+		rq_exclude_endpoint(rq, culprit);
 		tf_on_named_faulty(culprit, "named_at_fault", rq->request.id);
 		if (first && first != culprit)
 			stall_on_named(rq->tf, first, culprit);
@@ -342,7 +342,7 @@
 	}
 	if (!first || err == 0)
 		return;
-	rq_avoid(rq, first);
+	rq_exclude_endpoint(rq, first);
 	/* A demand for a rest period is not a failure. */
 	if (rq->answer.rest != SEAM_REST_FOR) {
 		flg_on_failed(&first->failing, now_us);
--- a/router/rq_int.h
+++ b/router/rq_int.h
@@ -106,7 +106,7 @@
 int64_t rq_rest_left_us(const struct rq *rq);
 
 /* Excludes the endpoint from further attempts and repairs of this request. */
-void rq_avoid(struct rq *rq, struct tf_ep *ep);
+void rq_exclude_endpoint(struct rq *rq, struct tf_ep *ep);
 
 /* Callback of struct fwd_ops: handles a silent attempt. Returns true if the attempt is kept. */
 bool rq_on_silent(void *ctx);
@@ -134,18 +134,18 @@
 bool rq_reaches_crash_limit(const struct rq *rq);
 
 /*
- * Returns the time in us after which the caller may retry: the rest of the present quarantine
- * term, or the length of the next one.
+ * Returns the time in us after which the caller may retry: what is left of the present
+ * quarantine term, or the length of the next one.
  */
 int64_t rq_quarantine_retry_us(const struct rq *rq, int64_t now_us);
 
 /* Returns the time in us from the head of the attempt's answer to its newest part. */
 int64_t rq_attempt_duration_us(const struct rq *rq);
 
-/* Records that a part of the answer was received, which weakens suspicion of crashing endpoints. */
+/* Records that a part of the answer was received: evidence that the request is harmless. */
 void rq_on_part(struct rq *rq);
 
-/* Records that the request was served in full, which clears it of crashing endpoints. */
+/* Records that the request was served in full, so it can't be one that crashes endpoints. */
 void rq_on_served_whole(const struct rq *rq);
 
 /* Cancels the order under way, if any. */
--- a/router/rq_repair.c
+++ b/router/rq_repair.c
@@ -84,13 +84,13 @@
 	int64_t now_us = tmr_now();
 
 	if (!rq->target.layered) {
-		rq_avoid(rq, rq->target.stages[0].ep);
+		rq_exclude_endpoint(rq, rq->target.stages[0].ep);
 		flg_on_failed(&rq->target.stages[0].ep->failing, now_us);
 		return false;
 	}
 	if (rq_hangs_alone(rq, now_us)) {
 		rq_log_silent(rq, "hangs_alone", NULL);
-		rq_avoid(rq, rq->target.stages[0].ep);
+		rq_exclude_endpoint(rq, rq->target.stages[0].ep);
 		return false;
 	}
 	if (rq->order)
@@ -114,7 +114,7 @@
 
 	rq_log_silent(rq, "stalled", culprit);
 	if (ep) {
-		rq_avoid(rq, ep);
+		rq_exclude_endpoint(rq, ep);
 		rq_on_attempt_broken(rq, ep);
 		tf_suspect(rq->tf, ep, TF_FAULT_US, "stalled", rq->request.id);
 	}
@@ -182,7 +182,7 @@
 	}
 	if (!rq_pick_repair(rq)) {
 		if (rq_has_faulty_stage(rq)) {
-			rq_avoid(rq, rq->target.stages[rq_faulty_stage(rq)].ep);
+			rq_exclude_endpoint(rq, rq->target.stages[rq_faulty_stage(rq)].ep);
 			rq_resume(rq, "no_repair");
 		}
 		return;
@@ -220,7 +220,7 @@
 	g_free(addr);
 	if (!ep)
 		return false;
-	rq_avoid(rq, ep);
+	rq_exclude_endpoint(rq, ep);
 	tf_on_named_faulty(ep, "refused_repair", rq->request.id);
 	return true;
 }
@@ -294,7 +294,7 @@
 		return;
 	if (rq_stage_index(rq, ep) < 1)
 		return;
-	rq_avoid(rq, ep);
+	rq_exclude_endpoint(rq, ep);
 	rq_on_attempt_broken(rq, ep);
 	rq_log_silent(rq, "missing", ep->rec->addr);
 	rq_repair_pipeline(rq);
@@ -309,7 +309,7 @@
 	stage = rq_stage_index(rq, ep);
 	if (stage < 1)
 		return;
-	rq_avoid(rq, rq->target.stages[stage].ep);
+	rq_exclude_endpoint(rq, rq->target.stages[stage].ep);
 	rq_repair_pipeline(rq);
 }
 
--- a/router/tf.h
+++ b/router/tf.h
@@ -33,7 +33,7 @@
 	int in_flight;	    /* requests of this host whose pipeline includes the endpoint */
 	double tokens;	    /* context tokens of those requests, as estimated */
 	double pace;	    /* step time last reported, as a multiple of the usual one; 1: usual */
-	double full;	    /* fraction of the memory for requests in use, as last reported */
+	double full;	    /* fraction of its memory for requests in use, as last reported */
 	int64_t load_us;    /* time at which pace and full were last reported, in us; 0: never */
 	int64_t suspect_us; /* the endpoint counts as faulty until this time, in us */
 	struct dbt doubt;   /* time for which the endpoint is not chosen, as it may be faulty */
@@ -99,8 +99,8 @@
 	GHashTable *retry_delays;    /* Retry-After computation by service: char * -> struct bk */
 	GHashTable *admissions;	     /* overload admission by service: char * -> struct adm */
 	struct lim_fair limit_fair;  /* shares scarce permits among client accounts */
-	GHashTable *limit_turns;     /* spread of callers refused for rate limits, by service:
-				      * char * -> struct lim_turn */
+	GHashTable *limit_turns;     /* retry times given to callers refused for rate limits, by
+				      * service: char * -> struct lim_turn */
 	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
 	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
 	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
