--- a/router/heard.c
+++ b/router/heard.c
@@ -6,21 +6,24 @@
 #include <string.h>
 
 enum {
-	HEARD_MANY = 1024,    /* rests that are remembered from which on those that are over go */
-	HEARD_HINT_MS = 5000, /* the longest hint: who was not asked is not bound for longer */
-	HEARD_HINTS_MAX = 40  /* that may be handed on at once */
+	/* Number of stored back-offs from which on expired ones are removed. */
+	NOTICE_PRUNE_COUNT = 1024,
+	/* Longest duration of a hint, in ms; the endpoint requested nothing from its receivers. */
+	NOTICE_HINT_MS = 5000,
+	/* Number of hints that may be forwarded in one burst. */
+	NOTICE_HINT_BURST = 40
 };
 
-/* Hints that a host hands on to each other host a second; one takes some 90 bytes. */
-static const double heard_hints_per_s = 20;
+/* Rate limit of forwarded hints, per second and peer; a hint takes about 90 bytes. */
+static const double notice_hints_per_s = 20;
 
-/* On its way from the traffic thread. */
-struct heard_msg {
+/* A notice that the traffic thread posts to the control thread. */
+struct notice_msg {
 	struct rc *rc;
-	char *endpoint; /* its incarnation */
-	int64_t until_us;
-	bool is_new;
-	bool leaving;
+	char *endpoint;	  /* incarnation of the endpoint */
+	int64_t until_us; /* end of the back-off, by tmr_now() */
+	bool is_new;	  /* the back-off does not extend an earlier one */
+	bool leaving;	  /* the endpoint is leaving; until_us and is_new are unused */
 };
 
 void heard_head(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers)
@@ -32,11 +35,11 @@
 	seam_answer_finish(&answer);
 }
 
-bool heard_may_hint(struct rc *rc, int64_t now_us)
+bool notice_allow_hint(struct rc *rc, int64_t now_us)
 {
 	double age_s = (double)(now_us - rc->hints_us) / TMR_US_PER_S;
 
-	rc->hints = MIN(rc->hints + age_s * heard_hints_per_s, HEARD_HINTS_MAX);
+	rc->hints = MIN(rc->hints + age_s * notice_hints_per_s, NOTICE_HINT_BURST);
 	rc->hints_us = now_us;
 	if (rc->hints < 1)
 		return false;
@@ -44,64 +47,64 @@
 	return true;
 }
 
-static void heard_hint(struct rc *rc, const char *endpoint, int64_t for_us)
+static void notice_send_hint(struct rc *rc, const char *endpoint, int64_t for_us)
 {
 	const struct suspect suspect = {
-		endpoint, MIN(for_us / TMR_US_PER_MS, (int64_t)HEARD_HINT_MS), SUSPECT_RESTS, 0};
+		endpoint, MIN(for_us / TMR_US_PER_MS, (int64_t)NOTICE_HINT_MS), SUSPECT_RESTS, 0};
 
 	suspect_on_news(rc, &suspect, NULL);
 }
 
-static gboolean heard_is_over(gpointer endpoint, gpointer until_us, gpointer now_us)
+static gboolean notice_is_expired(gpointer endpoint, gpointer until_us, gpointer now_us)
 {
 	(void)endpoint;
 	return *(const int64_t *)until_us <= *(const int64_t *)now_us;
 }
 
-static void heard_take_rest(struct rc *rc, const struct heard_msg *msg)
+static void notice_apply_backoff(struct rc *rc, const struct notice_msg *msg)
 {
 	int64_t now_us = tmr_now();
 
-	if (g_hash_table_size(rc->rests) >= HEARD_MANY)
-		g_hash_table_foreach_remove(rc->rests, heard_is_over, &now_us);
+	if (g_hash_table_size(rc->rests) >= NOTICE_PRUNE_COUNT)
+		g_hash_table_foreach_remove(rc->rests, notice_is_expired, &now_us);
 	g_hash_table_replace(rc->rests, g_strdup(msg->endpoint),
 			     g_memdup2(&msg->until_us, sizeof(msg->until_us)));
 	if (msg->is_new)
-		heard_hint(rc, msg->endpoint, msg->until_us - now_us);
+		notice_send_hint(rc, msg->endpoint, msg->until_us - now_us);
 }
 
-static void heard_take_post(void *ctx)
+static void notice_on_post(void *ctx)
 {
-	struct heard_msg *msg = ctx;
+	struct notice_msg *msg = ctx;
 
 	if (msg->leaving)
-		heard_take_leaving(msg->rc, msg->endpoint, 0, NULL);
+		notice_apply_leaving(msg->rc, msg->endpoint, 0, NULL);
 	else
-		heard_take_rest(msg->rc, msg);
+		notice_apply_backoff(msg->rc, msg);
 	g_free(msg->endpoint);
 	g_free(msg);
 }
 
-static void heard_post(const struct heard_msg *news)
+static void notice_post(const struct notice_msg *notice)
 {
-	struct heard_msg *msg = g_memdup2(news, sizeof(*news));
+	struct notice_msg *msg = g_memdup2(notice, sizeof(*notice));
 
-	msg->endpoint = g_strdup(news->endpoint);
-	loop_post(msg->rc->loop, heard_take_post, msg);
+	msg->endpoint = g_strdup(notice->endpoint);
+	loop_post(msg->rc->loop, notice_on_post, msg);
 }
 
 void heard_post_rest(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new)
 {
-	const struct heard_msg news = {rc, (char *)endpoint, until_us, is_new, false};
+	const struct notice_msg notice = {rc, (char *)endpoint, until_us, is_new, false};
 
-	heard_post(&news);
+	notice_post(&notice);
 }
 
 void heard_post_leaving(struct rc *rc, const char *endpoint)
 {
-	const struct heard_msg news = {.rc = rc, .endpoint = (char *)endpoint, .leaving = true};
+	const struct notice_msg notice = {.rc = rc, .endpoint = (char *)endpoint, .leaving = true};
 
-	heard_post(&news);
+	notice_post(&notice);
 }
 
 bool heard_rests(const struct rc *rc, const char *endpoint, int64_t now_us)
@@ -111,13 +114,13 @@
 	return until_us && now_us < *until_us;
 }
 
-static void heard_send_to(void *ctx, struct frm_conn *conn)
+static void notice_send_to(void *ctx, struct frm_conn *conn)
 {
 	suspect_send(conn, ctx);
 }
 
-/* On the host that the endpoint told itself the traffic thread has written it down. */
-static void heard_log_leaving(const char *endpoint, int hops)
+/* Logs a notice from another host; the traffic thread logs those that this host receives. */
+static void notice_log_leaving(const char *endpoint, int hops)
 {
 	jl_begin(JL_KEEP, "endpoint_leaving");
 	jl_str("endpoint", endpoint);
@@ -126,19 +129,19 @@
 	jl_end();
 }
 
-void heard_take_leaving(struct rc *rc, const char *endpoint, int hops, const void *source)
+void notice_apply_leaving(struct rc *rc, const char *endpoint, int hops, const void *source)
 {
-	const struct suspect passed = {endpoint, 0, SUSPECT_LEAVING, hops + 1};
+	const struct suspect forwarded = {endpoint, 0, SUSPECT_LEAVING, hops + 1};
 
 	if (!ep_on_leaving(&rc->endpoints, endpoint, tmr_now()))
 		return;
 	if (source)
-		heard_log_leaving(endpoint, hops);
+		notice_log_leaving(endpoint, hops);
 	rc_view_due(rc);
-	if (passed.hops > SUSPECT_HOPS_MAX)
+	if (forwarded.hops > SUSPECT_HOPS_MAX)
 		return;
-	feed_each(rc->feed, source, heard_send_to, (void *)&passed);
-	follow_each(rc->follow, source, heard_send_to, (void *)&passed);
+	feed_each(rc->feed, source, notice_send_to, (void *)&forwarded);
+	follow_each(rc->follow, source, notice_send_to, (void *)&forwarded);
 }
 
 void heard_send_all(const struct rc *rc, struct frm_conn *conn)
--- a/router/heard.h
+++ b/router/heard.h
@@ -10,34 +10,44 @@
 G_BEGIN_DECLS
 
 /*
- * What endpoints say of themselves in the heads of their answers, in the control thread. The
- * traffic thread acts on it (tf_heard.h); this one keeps away from endpoints that want rest, counts
- * those that say they leave as leaving, and tells the other hosts. These are not bound by a rest
- * that one host was asked for; they take it as a hint, without which each would find out by a
- * rejection of its own.
+ * Notices that endpoints give in the headers of their responses, as the control thread handles
+ * them. A notice either requests a back-off, which is a time in which the host must send nothing to
+ * the endpoint, or announces that the endpoint is leaving. The traffic thread applies notices to
+ * requests. The control thread sends no calls of its own to an endpoint in back-off,
+ * marks a leaving endpoint as draining, and forwards notices to the other hosts.
+ *
+ * A back-off binds only the host that received it. Other hosts get a short hint, because otherwise
+ * each of them would learn of the overload by a rejected request of its own.
  */
 struct rc;
 
-/* The head of an answer to a call of the control thread's own, for a report or an order. */
+/* Reads the response headers of a report or an order that the control thread requested. */
 void heard_head(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers);
 
 /*
- * From the traffic thread: the endpoint wants nothing until then, which is a rest of its own or
- * only a longer one; it says that it leaves.
+ * Reports a back-off of an endpoint from the traffic thread. No calls may be sent before until_us.
+ * is_new is false if this only extends a back-off that is still in force.
  */
 void heard_post_rest(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new);
+
+/* Reports from the traffic thread that an endpoint has announced that it is leaving. */
 void heard_post_leaving(struct rc *rc, const char *endpoint);
 
-/* Whether one more hint may be handed on: hosts must not be busy with hints. Counts it. */
-bool heard_may_hint(struct rc *rc, int64_t now_us);
+/*
+ * Returns whether the rate limit for hints allows one more to be forwarded, and counts that one.
+ */
+bool notice_allow_hint(struct rc *rc, int64_t now_us);
 
-/* Whether the endpoint wants nothing of this host now. */
+/* Returns whether the endpoint is in a back-off that it requested from this host. */
 bool heard_rests(const struct rc *rc, const char *endpoint, int64_t now_us);
 
-/* Some host has heard that the endpoint leaves; hops: hosts that passed it on. */
-void heard_take_leaving(struct rc *rc, const char *endpoint, int hops, const void *source);
+/*
+ * Marks an endpoint as leaving and forwards that. hops is the number of hosts that have forwarded
+ * the notice so far; source is the connection that it came from, or NULL for this host's own.
+ */
+void notice_apply_leaving(struct rc *rc, const char *endpoint, int hops, const void *source);
 
-/* Tells a host that has just connected who is leaving. */
+/* Sends all endpoints known to be leaving to a host that has just connected. */
 void heard_send_all(const struct rc *rc, struct frm_conn *conn);
 
 G_END_DECLS
--- a/router/suspect.c
+++ b/router/suspect.c
@@ -7,9 +7,12 @@
 #include <string.h>
 
 enum {
-	SUSPECT_NEWS_MS = 500,	/* in which the same news is passed on once */
-	SUSPECT_MANY = 1024,	/* endpoints from which on those of long ago are dropped */
-	SUSPECT_KEPT_MS = 60000 /* what "long ago" is; more than anything here lasts */
+	/* Minimum interval between two forwarded reports about the same endpoint, in ms. */
+	SUSPECT_REPEAT_MS = 500,
+	/* Number of table entries above which old entries are removed. */
+	SUSPECT_PRUNE_COUNT = 1024,
+	/* Age of an entry that may be removed, in ms; no suspicion lasts that long. */
+	SUSPECT_KEEP_MS = 60000
 };
 
 struct router_suspect *router_suspect_new(void *to, const char *endpoint, int64_t for_ms,
@@ -31,19 +34,19 @@
 	g_free(suspect);
 }
 
-static void suspect_take_own(void *ctx)
+static void suspect_on_post(void *ctx)
 {
-	struct router_suspect *own = ctx;
-	int64_t for_ms = (own->until_us - tmr_now()) / TMR_US_PER_MS;
-	const struct suspect suspect = {own->endpoint, for_ms, own->why, 0};
+	struct router_suspect *post = ctx;
+	int64_t for_ms = (post->until_us - tmr_now()) / TMR_US_PER_MS;
+	const struct suspect suspect = {post->endpoint, for_ms, post->why, 0};
 
-	suspect_on_news(own->to, &suspect, NULL);
-	router_suspect_free(own);
+	suspect_on_news(post->to, &suspect, NULL);
+	router_suspect_free(post);
 }
 
 void suspect_post(struct rc *rc, const char *endpoint, int64_t for_ms, const char *why)
 {
-	loop_post(rc->loop, suspect_take_own, router_suspect_new(rc, endpoint, for_ms, why));
+	loop_post(rc->loop, suspect_on_post, router_suspect_new(rc, endpoint, for_ms, why));
 }
 
 static gboolean suspect_is_old(gpointer endpoint, gpointer value, gpointer before_us)
@@ -55,9 +58,9 @@
 static void suspect_set_time(GHashTable *table, const char *endpoint, int64_t time_us)
 {
 	int64_t *value = g_hash_table_lookup(table, endpoint);
-	int64_t before_us = tmr_now() - tmr_ms(SUSPECT_KEPT_MS);
+	int64_t before_us = tmr_now() - tmr_ms(SUSPECT_KEEP_MS);
 
-	if (g_hash_table_size(table) > SUSPECT_MANY)
+	if (g_hash_table_size(table) > SUSPECT_PRUNE_COUNT)
 		g_hash_table_foreach_remove(table, suspect_is_old, &before_us);
 	if (!value) {
 		value = g_new0(int64_t, 1);
@@ -66,8 +69,11 @@
 	*value = time_us;
 }
 
-/* Whether the endpoint is certainly gone, so that its layers are needed elsewhere. */
-static bool suspect_tells_dead(const struct suspect *suspect)
+/*
+ * Returns whether the report is proof that the endpoint is dead, so that its layers have to be
+ * loaded elsewhere.
+ */
+static bool suspect_proves_dead(const struct suspect *suspect)
 {
 	return strcmp(suspect->why, SUSPECT_NO_REPORT) == 0 ||
 	       strcmp(suspect->why, SUSPECT_RESTARTED) == 0 ||
@@ -75,16 +81,18 @@
 }
 
 /*
- * The same news may come by two ways; each is passed on once in a while. That an endpoint is dead
- * does not wait behind what was only suspected of it.
+ * Returns whether the report has to be forwarded, and records its time if so. The same report may
+ * arrive over two connections, so reports about one endpoint are forwarded once in
+ * SUSPECT_REPEAT_MS. The first proof that an endpoint is dead is exempt: a mere suspicion just
+ * before does not delay it.
  */
-static bool suspect_is_news(struct rc *rc, const struct suspect *suspect, int64_t now_us)
+static bool suspect_must_forward(struct rc *rc, const struct suspect *suspect, int64_t now_us)
 {
 	const char *endpoint = suspect->endpoint;
 	const int64_t *last = g_hash_table_lookup(rc->seen, endpoint);
-	bool known = !suspect_tells_dead(suspect) || suspect_is_dead(rc, endpoint, now_us);
+	bool may_skip = !suspect_proves_dead(suspect) || suspect_is_dead(rc, endpoint, now_us);
 
-	if (known && last && now_us - *last < tmr_ms(SUSPECT_NEWS_MS))
+	if (may_skip && last && now_us - *last < tmr_ms(SUSPECT_REPEAT_MS))
 		return false;
 	suspect_set_time(rc->seen, endpoint, now_us);
 	return true;
@@ -102,7 +110,7 @@
 	suspect_send(conn, ctx);
 }
 
-/* The placer takes its layers to be held by nobody from now on. */
+/* Logs that the placer no longer counts the layers of the endpoint as loaded. */
 static void suspect_log_dead(const struct suspect *suspect)
 {
 	jl_begin(JL_KEEP, "endpoint_dead");
@@ -115,11 +123,11 @@
 
 void suspect_on_news(struct rc *rc, const struct suspect *suspect, const void *source)
 {
-	struct suspect passed = *suspect;
+	struct suspect forwarded = *suspect;
 
-	if (!suspect_is_news(rc, suspect, tmr_now()))
+	if (!suspect_must_forward(rc, suspect, tmr_now()))
 		return;
-	if (suspect_tells_dead(suspect)) {
+	if (suspect_proves_dead(suspect)) {
 		if (!suspect_is_dead(rc, suspect->endpoint, tmr_now()))
 			suspect_log_dead(suspect);
 		suspect_set_time(rc->dead, suspect->endpoint, tmr_now() + tmr_ms(suspect->for_ms));
@@ -127,15 +135,18 @@
 	}
 	if (source)
 		tf_post_suspect(rc->router->tf, suspect->endpoint, suspect->for_ms, suspect->why);
-	if (++passed.hops > SUSPECT_HOPS_MAX)
+	if (++forwarded.hops > SUSPECT_HOPS_MAX)
 		return;
-	if (strcmp(suspect->why, SUSPECT_RESTS) == 0 && !heard_may_hint(rc, tmr_now()))
+	if (strcmp(suspect->why, SUSPECT_RESTS) == 0 && !notice_allow_hint(rc, tmr_now()))
 		return;
-	feed_each(rc->feed, source, suspect_send_to, &passed);
-	follow_each(rc->follow, source, suspect_send_to, &passed);
+	feed_each(rc->feed, source, suspect_send_to, &forwarded);
+	follow_each(rc->follow, source, suspect_send_to, &forwarded);
 }
 
-/* The message by which hosts tell each other of endpoints at fault; feeds carry it both ways. */
+/*
+ * Handles a report from another host that an endpoint is at fault, in back-off or leaving. Feeds
+ * carry these messages in both directions.
+ */
 int suspect_on_msg(struct rc *rc, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Feed__Suspect *msg = feed__suspect__unpack(NULL, len, body);
@@ -145,7 +156,7 @@
 		return BASE_EFRAME;
 	suspect = (struct suspect){msg->endpoint, msg->for_ms, msg->why, msg->hops};
 	if (strcmp(suspect.why, SUSPECT_LEAVING) == 0)
-		heard_take_leaving(rc, suspect.endpoint, suspect.hops, conn);
+		notice_apply_leaving(rc, suspect.endpoint, suspect.hops, conn);
 	else
 		suspect_on_news(rc, &suspect, conn);
 	feed__suspect__free_unpacked(msg, NULL);
