--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -7,31 +7,37 @@
 
 #include <string.h>
 
+/* Key by which all hosts choose the same home. */
 static const char limit_ask_key[] = "home of the limits";
 
 enum {
+	/* Minimum interval between two asks of a host that needs permits, in ms. */
+	LIMIT_ASK_MIN_MS = 50,
 	/*
-	 * Between two asks of a host that needs something, by the number of hosts: the home hears
-	 * some thousand a second at the most. And of one that only says that it is there.
+	 * Interval between two asks of a host that needs permits, in ms for each host of the
+	 * system. It bounds the load of the home to about a thousand asks per second.
 	 */
-	LIMIT_ASK_LEAST_MS = 50,
-	LIMIT_ASK_HOST_MS = 1,
+	LIMIT_ASK_PER_HOST_MS = 1,
+	/* Interval in ms between two asks of a host that needs no permits, to remain a member. */
 	LIMIT_ASK_IDLE_MS = 1000,
+	/* Interval between two heartbeats on the connection to the home, in ms. */
 	LIMIT_ASK_HEARTBEAT_MS = 400,
+	/* Silence after which the connection to the home counts as broken, in ms. */
 	LIMIT_ASK_SILENT_MS = 1000
 };
 
 struct limit_ask {
 	struct rc *rc;
 	struct limits *limits;
-	struct limit_home *own; /* this host's, for when it is the home itself */
-	struct frm_conn *conn;
-	char *home;	  /* that is asked; NULL: none */
-	int64_t asked_us; /* when; 0: not yet since this one is the home */
-	int64_t heard_us; /* newest time of the home's clock that it has told */
-	int64_t from_us;  /* no other home is asked before: the last one counts on this host */
-	bool soon;
-	struct tmr timer;
+	struct limit_home *own; /* home that runs on this host, used if this host is chosen */
+	struct frm_conn *conn;	/* connection to the home; NULL if there is none or it is local */
+	char *home;		/* name of the host that is the home; NULL if none is chosen */
+	int64_t asked_us;	/* time of the last ask to this home; 0 if none */
+	int64_t home_time_us;	/* newest time received of the home's clock; 0 if none */
+	/* Time before which no other home is asked, since the last one still counts this host. */
+	int64_t next_home_us;
+	bool scheduled;	  /* an ask before the idle interval ends is scheduled */
+	struct tmr timer; /* of the scheduled ask */
 };
 
 static int limit_ask_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -59,35 +65,38 @@
 	g_free(ask);
 }
 
-const char *limit_ask_home(const struct limit_ask *ask)
+const char *limit_ask_home_name(const struct limit_ask *ask)
 {
 	return ask->home;
 }
 
-static bool limit_ask_is_own(const struct limit_ask *ask)
+static bool limit_ask_is_local(const struct limit_ask *ask)
 {
 	return ask->home && strcmp(ask->home, ask->rc->router->settings.name) == 0;
 }
 
-/* The home that was asked may give permits on this host's account until the lease ends. */
-static void limit_ask_drop(struct limit_ask *ask)
+/*
+ * Forgets the home. Until the lease of this host ends, that home may still issue permits on its
+ * behalf, so no other home is asked before.
+ */
+static void limit_ask_reset(struct limit_ask *ask)
 {
 	if (ask->asked_us > 0)
-		ask->from_us = ask->asked_us + LIM_LEASE_US;
+		ask->next_home_us = ask->asked_us + LIM_LEASE_US;
 	ask->conn = NULL;
 	ask->asked_us = 0;
-	ask->heard_us = 0;
-	ask->soon = false;
+	ask->home_time_us = 0;
+	ask->scheduled = false;
 	g_clear_pointer(&ask->home, g_free);
 }
 
-static void limit_ask_leave(struct limit_ask *ask)
+static void limit_ask_disconnect(struct limit_ask *ask)
 {
 	if (ask->conn)
 		frm_close(ask->conn);
-	if (limit_ask_is_own(ask))
+	if (limit_ask_is_local(ask))
 		limit_home_on_close(ask->own, NULL);
-	limit_ask_drop(ask);
+	limit_ask_reset(ask);
 }
 
 static void limit_ask_log(const struct limit_ask *ask, const char *event, const char *error)
@@ -105,12 +114,12 @@
 					  tmr_ms(LIMIT_ASK_HEARTBEAT_MS)};
 
 	ask->home = g_strdup(home->name);
-	if (!limit_ask_is_own(ask)) {
+	if (!limit_ask_is_local(ask)) {
 		ask->conn = frm_connect(ask->rc->loop, home->control_addr, &limit_ask_ops, &limits,
 					ask);
 		if (!ask->conn) {
 			limit_ask_log(ask, "limit_home_bad_address", home->control_addr);
-			limit_ask_drop(ask);
+			limit_ask_reset(ask);
 			return;
 		}
 		frm_set_active(ask->conn, true);
@@ -118,57 +127,60 @@
 	limit_ask_log(ask, "limit_home", NULL);
 }
 
-/* The home is the same for all hosts, unless they can't reach it; then the next one is. */
-static void limit_ask_choose(struct limit_ask *ask, int64_t now_us)
+/*
+ * Connects to the home while any limit is in force, and changes to another home when the choice
+ * changes. All hosts choose the same one; a host that can't reach it chooses the next candidate.
+ */
+static void limit_ask_update_home(struct limit_ask *ask, int64_t now_us)
 {
 	const struct host *home = follow_home(ask->rc->follow, limit_ask_key);
 
-	if (!limits_bind(ask->limits)) {
-		limit_ask_leave(ask);
+	if (!limits_any_binding(ask->limits)) {
+		limit_ask_disconnect(ask);
 		return;
 	}
 	if (ask->home && (!home || strcmp(home->name, ask->home) != 0))
-		limit_ask_leave(ask);
-	if (!ask->home && home && now_us >= ask->from_us)
+		limit_ask_disconnect(ask);
+	if (!ask->home && home && now_us >= ask->next_home_us)
 		limit_ask_connect(ask, home);
 }
 
 static void limit_ask_send(struct limit_ask *ask, int64_t now_us)
 {
 	const char *name = ask->rc->router->settings.name;
-	GArray *notes = limits_to_ask(ask->limits, now_us);
+	GArray *updates = limits_collect_demand(ask->limits, now_us);
 	Feed__LimitAsk msg = FEED__LIMIT_ASK__INIT;
 	struct limit_items items;
 
 	ask->asked_us = now_us;
-	ask->soon = false;
-	if (limit_ask_is_own(ask)) {
-		limit_home_ask(ask->own, name, now_us, now_us, notes, NULL);
-		g_array_unref(notes);
+	ask->scheduled = false;
+	if (limit_ask_is_local(ask)) {
+		limit_home_on_ask(ask->own, name, now_us, now_us, updates, NULL);
+		g_array_unref(updates);
 		return;
 	}
-	limit_items_init(&items, notes);
+	limit_items_init(&items, updates);
 	msg.host = (char *)name;
 	msg.sent_us = now_us;
-	msg.heard_us = ask->heard_us;
+	msg.heard_us = ask->home_time_us;
 	msg.items = items.refs;
 	msg.n_items = items.n;
 	frm_send(ask->conn, MSG_LIMIT_ASK, &msg.base);
 	limit_items_finish(&items);
-	g_array_unref(notes);
+	g_array_unref(updates);
 }
 
 static int64_t limit_ask_due_us(const struct limit_ask *ask)
 {
 	int64_t hosts = g_hash_table_size(ask->rc->hosts);
-	int64_t wait_ms = MAX(hosts * LIMIT_ASK_HOST_MS, (int64_t)LIMIT_ASK_LEAST_MS);
+	int64_t wait_ms = MAX(hosts * LIMIT_ASK_PER_HOST_MS, (int64_t)LIMIT_ASK_MIN_MS);
 
 	if (ask->asked_us == 0)
 		return 0;
-	return ask->asked_us + tmr_ms(ask->soon ? wait_ms : LIMIT_ASK_IDLE_MS);
+	return ask->asked_us + tmr_ms(ask->scheduled ? wait_ms : LIMIT_ASK_IDLE_MS);
 }
 
-static void limit_ask_on_time(void *ctx, int64_t now_us)
+static void limit_ask_on_timer(void *ctx, int64_t now_us)
 {
 	struct limit_ask *ask = ctx;
 
@@ -178,20 +190,20 @@
 
 void limit_ask_on_tick(struct limit_ask *ask, int64_t now_us)
 {
-	limit_ask_choose(ask, now_us);
+	limit_ask_update_home(ask, now_us);
 	if (ask->home && now_us >= limit_ask_due_us(ask))
 		limit_ask_send(ask, now_us);
 }
 
-void limit_ask_soon(struct limit_ask *ask)
+void limit_ask_schedule(struct limit_ask *ask)
 {
 	int64_t wait_us;
 
-	if (ask->soon)
+	if (ask->scheduled)
 		return;
-	ask->soon = true;
+	ask->scheduled = true;
 	wait_us = MAX(limit_ask_due_us(ask) - tmr_boot_now(), 0);
-	loop_after(ask->rc->loop, &ask->timer, wait_us, limit_ask_on_time, ask);
+	loop_after(ask->rc->loop, &ask->timer, wait_us, limit_ask_on_timer, ask);
 }
 
 static int limit_ask_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -199,7 +211,7 @@
 {
 	struct limit_ask *ask = ctx;
 	Feed__LimitGrant *msg;
-	bool first = ask->heard_us == 0;
+	bool first = ask->home_time_us == 0;
 
 	(void)conn;
 	if (kind != MSG_LIMIT_GRANT)
@@ -207,18 +219,21 @@
 	msg = feed__limit_grant__unpack(NULL, len, body);
 	if (!msg)
 		return BASE_EFRAME;
-	ask->heard_us = MAX(ask->heard_us, msg->now_us);
+	ask->home_time_us = MAX(ask->home_time_us, msg->now_us);
 	for (size_t i = 0; i < msg->n_items; i++) {
-		struct limit_note note;
+		struct limit_update update;
 
-		limit_note_read(&note, msg->items[i], tmr_boot_now());
-		note.asked_us = msg->asked_us;
-		limits_grant(ask->limits, &note);
+		limit_update_unpack(&update, msg->items[i], tmr_boot_now());
+		update.asked_us = msg->asked_us;
+		limits_deliver_permits(ask->limits, &update);
 	}
 	feed__limit_grant__free_unpacked(msg, NULL);
-	/* The home counts this host from its second ask on, which shows that it got an answer. */
+	/*
+	 * The home counts this host as a member from the second ask on, which proves that it has
+	 * received a response.
+	 */
 	if (first)
-		limit_ask_soon(ask);
+		limit_ask_schedule(ask);
 	return 0;
 }
 
@@ -230,5 +245,5 @@
 	limit_ask_log(ask, "limit_home_lost", base_strerror(err));
 	follow_on_evidence(ask->rc->follow, ask->home,
 			   err == BASE_ESILENT ? HOST_SILENT : HOST_REFUSED);
-	limit_ask_drop(ask);
+	limit_ask_reset(ask);
 }
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -10,33 +10,35 @@
 #include <string.h>
 
 enum {
-	LIMIT_HOME_KEEP_MS = 30000, /* after which a limit that nobody asks for is forgotten */
-	LIMIT_HOME_LOOK_MS = 1000   /* between two looks at the list of hosts */
+	/* Time in ms after which a limit that no host asks for is removed. */
+	LIMIT_HOME_KEEP_MS = 30000,
+	/* Interval between two updates of the list of hosts, in ms. */
+	LIMIT_HOME_UPDATE_MS = 1000
 };
 
-/* The limit of one endpoint that is divided here. */
+/* The limit of one endpoint that this home divides. */
 struct limit_divided {
-	struct lim_home home;
-	int64_t asked_us; /* when a host last asked for it */
+	struct lim_home home; /* the limit and the demand of each host */
+	int64_t asked_us;     /* time at which a host last asked for permits of this limit */
 };
 
-/* A host that asks here. */
+/* A host that asks this home for permits. */
 struct limit_asker {
-	struct frm_conn *conn; /* NULL: this host itself */
-	int64_t sent_us;       /* of its last ask */
+	struct frm_conn *conn; /* connection to the host; NULL if it is this host */
+	int64_t sent_us;       /* send time of its last ask, by its own clock */
 };
 
 struct limit_home {
 	struct rc *rc;
 	struct limits *limits;
-	GHashTable *divided; /* incarnation -> struct limit_divided */
-	GHashTable *askers;  /* host -> struct limit_asker */
-	struct lim_members members;
-	int64_t look_us;
-	struct tmr timer;
+	GHashTable *divided;	    /* incarnation of an endpoint -> struct limit_divided */
+	GHashTable *askers;	    /* name of a host -> struct limit_asker */
+	struct lim_members members; /* hosts that count for the fraction of this home */
+	int64_t update_us;	    /* time of the next update of the list of hosts */
+	struct tmr timer;	    /* for the next permit that may be issued */
 };
 
-static void limit_home_give(void *ctx, int64_t now_us);
+static void limit_home_issue(void *ctx, int64_t now_us);
 
 static void limit_divided_free(gpointer data)
 {
@@ -67,33 +69,36 @@
 	g_free(home);
 }
 
-unsigned int limit_home_hosts(const struct limit_home *home)
+unsigned int limit_home_host_count(const struct limit_home *home)
 {
 	return lim_members_count(&home->members, tmr_boot_now());
 }
 
-double limit_home_part(const struct limit_home *home)
+double limit_home_fraction(const struct limit_home *home)
 {
 	return lim_members_part(&home->members, tmr_boot_now());
 }
 
-static struct limit_divided *limit_home_divided(struct limit_home *home,
-						const struct limit_note *note, int64_t now_us)
+static struct limit_divided *
+limit_home_get_divided(struct limit_home *home, const struct limit_update *update, int64_t now_us)
 {
-	struct limit_divided *divided = g_hash_table_lookup(home->divided, note->endpoint);
+	struct limit_divided *divided = g_hash_table_lookup(home->divided, update->endpoint);
 
 	if (!divided) {
 		divided = g_new0(struct limit_divided, 1);
 		lim_home_init(&divided->home, now_us);
-		g_hash_table_insert(home->divided, g_strdup(note->endpoint), divided);
+		g_hash_table_insert(home->divided, g_strdup(update->endpoint), divided);
 	}
-	if (note->news.said_us > divided->home.news.said_us)
-		lim_home_set(&divided->home, &note->news, now_us);
+	if (update->news.said_us > divided->home.news.said_us)
+		lim_home_set(&divided->home, &update->news, now_us);
 	divided->asked_us = now_us;
 	return divided;
 }
 
-/* permits: for one request at that endpoint; endpoint NULL: none, only that this host is here. */
+/*
+ * Sends a permit for one request to the endpoint. If endpoint is NULL, the message contains no
+ * permit; it only acknowledges the ask.
+ */
 static void limit_home_send(struct limit_home *home, const struct limit_asker *asker,
 			    const char *endpoint)
 {
@@ -102,11 +107,11 @@
 	Feed__Limit *refs[] = {&item};
 
 	if (!asker->conn) {
-		const struct limit_note note = {
+		const struct limit_update update = {
 			.endpoint = (char *)endpoint, .permits = 1, .asked_us = asker->sent_us};
 
 		if (endpoint)
-			limits_grant(home->limits, &note);
+			limits_deliver_permits(home->limits, &update);
 		return;
 	}
 	msg.asked_us = asker->sent_us;
@@ -120,13 +125,13 @@
 	frm_send(asker->conn, MSG_LIMIT_GRANT, &msg.base);
 }
 
-static void limit_home_give_one(struct limit_home *home, const char *endpoint,
-				struct lim_home *divided, double part)
+static void limit_home_issue_for(struct limit_home *home, const char *endpoint,
+				 struct lim_home *divided, double fraction)
 {
 	int64_t now_us = tmr_boot_now();
 	const char *host;
 
-	while ((host = lim_home_next(divided, part, now_us))) {
+	while ((host = lim_home_next(divided, fraction, now_us))) {
 		const struct limit_asker *asker = g_hash_table_lookup(home->askers, host);
 
 		if (asker)
@@ -134,12 +139,12 @@
 	}
 }
 
-/* Gives what may be given now, and comes back when there is more. */
-static void limit_home_give(void *ctx, int64_t now_us)
+/* Issues all permits that are available now, and sets a timer for the next ones. */
+static void limit_home_issue(void *ctx, int64_t now_us)
 {
 	struct limit_home *home = ctx;
 	int64_t boot_us = tmr_boot_now();
-	double part = lim_members_part(&home->members, boot_us);
+	double fraction = lim_members_part(&home->members, boot_us);
 	int64_t next_us = -1;
 	GHashTableIter iter;
 	gpointer name;
@@ -151,17 +156,17 @@
 		struct limit_divided *divided = value;
 		int64_t wait_us;
 
-		limit_home_give_one(home, name, &divided->home, part);
-		wait_us = lim_home_wait_us(&divided->home, part, boot_us);
+		limit_home_issue_for(home, name, &divided->home, fraction);
+		wait_us = lim_home_wait_us(&divided->home, fraction, boot_us);
 		if (wait_us >= 0 && (next_us < 0 || wait_us < next_us))
 			next_us = wait_us;
 	}
 	if (next_us >= 0)
-		loop_after(home->rc->loop, &home->timer, next_us, limit_home_give, home);
+		loop_after(home->rc->loop, &home->timer, next_us, limit_home_issue, home);
 }
 
-void limit_home_ask(struct limit_home *home, const char *host, int64_t sent_us, int64_t heard_us,
-		    const GArray *notes, struct frm_conn *conn)
+void limit_home_on_ask(struct limit_home *home, const char *host, int64_t sent_us,
+		       int64_t home_time_us, const GArray *updates, struct frm_conn *conn)
 {
 	int64_t now_us = tmr_boot_now();
 	struct limit_asker *asker = g_hash_table_lookup(home->askers, host);
@@ -172,44 +177,49 @@
 	}
 	asker->conn = conn;
 	asker->sent_us = sent_us;
-	/* It knows a time of this clock, so it asked after that, and until its lease nobody else.
+	/*
+	 * The host sent this ask after it received that time, and asks no other home until its
+	 * lease from then on ends.
 	 */
-	if (heard_us > 0 && heard_us <= now_us)
-		lim_members_heard(&home->members, host, heard_us);
-	for (guint i = 0; i < notes->len; i++) {
-		const struct limit_note *note = &g_array_index(notes, struct limit_note, i);
-		struct limit_divided *divided = limit_home_divided(home, note, now_us);
+	if (home_time_us > 0 && home_time_us <= now_us)
+		lim_members_heard(&home->members, host, home_time_us);
+	for (guint i = 0; i < updates->len; i++) {
+		const struct limit_update *update = &g_array_index(updates, struct limit_update, i);
+		struct limit_divided *divided = limit_home_get_divided(home, update, now_us);
 
-		lim_home_ask(&divided->home, host, note->wanted, note->returned, now_us);
+		lim_home_ask(&divided->home, host, update->wanted, update->returned, now_us);
 	}
 	limit_home_send(home, asker, NULL);
-	limit_home_give(home, tmr_now());
+	limit_home_issue(home, tmr_now());
 }
 
 int limit_home_on_msg(struct limit_home *home, struct frm_conn *conn, const uint8_t *body,
 		      size_t len)
 {
 	Feed__LimitAsk *msg = feed__limit_ask__unpack(NULL, len, body);
-	GArray *notes;
+	GArray *updates;
 
 	if (!msg)
 		return BASE_EFRAME;
-	notes = limit_notes_new();
+	updates = limit_updates_new();
 	for (size_t i = 0; i < msg->n_items; i++) {
-		struct limit_note note;
+		struct limit_update update;
 
-		limit_note_read(&note, msg->items[i], tmr_boot_now());
-		limits_take(home->limits, &note, conn);
-		note.endpoint = g_strdup(note.endpoint);
-		g_array_append_val(notes, note);
+		limit_update_unpack(&update, msg->items[i], tmr_boot_now());
+		limits_merge(home->limits, &update, conn);
+		update.endpoint = g_strdup(update.endpoint);
+		g_array_append_val(updates, update);
 	}
-	limit_home_ask(home, msg->host, msg->sent_us, msg->heard_us, notes, conn);
-	g_array_unref(notes);
+	limit_home_on_ask(home, msg->host, msg->sent_us, msg->heard_us, updates, conn);
+	g_array_unref(updates);
 	feed__limit_ask__free_unpacked(msg, NULL);
 	return 0;
 }
 
-/* A host that has left, or was killed, does not keep its part. */
+/*
+ * Removes the host, which has left or was killed, so that its part of the limits goes to the
+ * others.
+ */
 void limit_home_on_close(struct limit_home *home, const struct frm_conn *conn)
 {
 	GHashTableIter iter;
@@ -231,7 +241,7 @@
 	}
 }
 
-static void limit_home_list(struct limit_home *home, int64_t now_us)
+static void limit_home_update_members(struct limit_home *home, int64_t now_us)
 {
 	GPtrArray *names = g_ptr_array_new();
 	GHashTableIter iter;
@@ -249,11 +259,11 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (now_us < home->look_us)
+	if (now_us < home->update_us)
 		return;
-	home->look_us = now_us + tmr_ms(LIMIT_HOME_LOOK_MS);
+	home->update_us = now_us + tmr_ms(LIMIT_HOME_UPDATE_MS);
 	if (home->rc->hosts_heard)
-		limit_home_list(home, now_us);
+		limit_home_update_members(home, now_us);
 	g_hash_table_iter_init(&iter, home->divided);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct limit_divided *divided = value;
--- a/router/limit_msg.c
+++ b/router/limit_msg.c
@@ -4,29 +4,29 @@
 #include <math.h>
 
 enum {
-	/* More in one message would be another host's mistake. */
+	/* Maximum of each count in a message; a greater one is an error of the sender. */
 	LIMIT_COUNT_MAX = 100000
 };
 
-void limit_items_init(struct limit_items *items, const GArray *notes)
+void limit_items_init(struct limit_items *items, const GArray *updates)
 {
 	int64_t now_us = tmr_boot_now();
 
-	items->n = notes->len;
-	items->values = g_new0(Feed__Limit, notes->len + 1);
-	items->refs = g_new0(Feed__Limit *, notes->len + 1);
-	for (guint i = 0; i < notes->len; i++) {
-		const struct limit_note *note = &g_array_index(notes, struct limit_note, i);
+	items->n = updates->len;
+	items->values = g_new0(Feed__Limit, updates->len + 1);
+	items->refs = g_new0(Feed__Limit *, updates->len + 1);
+	for (guint i = 0; i < updates->len; i++) {
+		const struct limit_update *update = &g_array_index(updates, struct limit_update, i);
 		Feed__Limit *item = &items->values[i];
 
 		feed__limit__init(item);
-		item->endpoint = note->endpoint;
-		item->named = note->news.named;
-		item->rate = note->news.rate;
-		item->age_ms = (now_us - note->news.said_us) / TMR_US_PER_MS;
-		item->wanted = note->wanted;
-		item->returned = note->returned;
-		item->permits = note->permits;
+		item->endpoint = update->endpoint;
+		item->named = update->news.named;
+		item->rate = update->news.rate;
+		item->age_ms = (now_us - update->news.said_us) / TMR_US_PER_MS;
+		item->wanted = update->wanted;
+		item->returned = update->returned;
+		item->permits = update->permits;
 		items->refs[i] = item;
 	}
 }
@@ -37,18 +37,17 @@
 	g_free(items->refs);
 }
 
-/* What the other host can't have meant is cut to what it can. */
-void limit_note_read(struct limit_note *note, const Feed__Limit *from, int64_t now_us)
+void limit_update_unpack(struct limit_update *update, const Feed__Limit *from, int64_t now_us)
 {
 	bool readable = isfinite(from->rate) && from->rate >= 0;
 
-	note->endpoint = from->endpoint;
-	note->news.named = from->named;
-	note->news.rate = readable ? from->rate : 0;
-	/* What was said before this host was booted is news to it all the same. */
-	note->news.said_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
-	note->wanted = CLAMP(from->wanted, 0, LIMIT_COUNT_MAX);
-	note->returned = CLAMP(from->returned, 0, LIMIT_COUNT_MAX);
-	note->permits = CLAMP(from->permits, 0, LIMIT_COUNT_MAX);
-	note->asked_us = 0;
+	update->endpoint = from->endpoint;
+	update->news.named = from->named;
+	update->news.rate = readable ? from->rate : 0;
+	/* A limit announced before this host was booted is valid; 0 would mean that none was. */
+	update->news.said_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
+	update->wanted = CLAMP(from->wanted, 0, LIMIT_COUNT_MAX);
+	update->returned = CLAMP(from->returned, 0, LIMIT_COUNT_MAX);
+	update->permits = CLAMP(from->permits, 0, LIMIT_COUNT_MAX);
+	update->asked_us = 0;
 }
--- a/router/limits.c
+++ b/router/limits.c
@@ -8,46 +8,55 @@
 #include <string.h>
 
 enum {
+	/* Interval between two removals of outdated limits, in ms. */
 	LIMITS_PRUNE_MS = 10000,
-	/* After which a limit is taken to last: to load layers elsewhere takes some seconds. */
-	LIMITS_LAST_MS = 10000,
-	/* After which what is known of an endpoint that is not listed is forgotten. */
+	/*
+	 * Time in ms after which a limit counts as persistent. Loading layers elsewhere takes some
+	 * seconds, so it is of no use for shorter limits.
+	 */
+	LIMITS_PERSISTENT_MS = 10000,
+	/*
+	 * Time in ms since its last update after which a limit is removed if it is not in force or
+	 * its endpoint is not listed.
+	 */
 	LIMITS_KEEP_MS = 60000
 };
 
-/* What is known of the limit of one endpoint, by its incarnation. */
+/* The limit of one endpoint, and the demand for it on this host. */
 struct limit_known {
-	struct lim_part part; /* its permits stay unused: the traffic thread has them */
-	int wanted;	      /* not yet told to the home */
-	int returned;
-	int64_t touched_us;
-	int64_t since_us; /* when the limit was first named; 0: none is */
+	struct lim_part
+		part; /* the limit; its permits are unused, as the traffic thread holds them */
+	int wanted;   /* number of permits needed and not yet asked for */
+	int returned; /* number of unused permits not yet returned to the home */
+	int64_t touched_us; /* time of the last update */
+	int64_t since_us;   /* time at which the limit was first announced; 0 if none is */
 };
 
 struct limits {
 	struct rc *rc;
-	GHashTable *known; /* incarnation -> struct limit_known */
-	struct limit_home *home;
-	struct limit_ask *ask;
-	int64_t prune_us;
+	GHashTable *known;	 /* incarnation of an endpoint -> struct limit_known */
+	struct limit_home *home; /* home that runs on this host */
+	struct limit_ask *ask;	 /* asks the home that all hosts have chosen */
+	int64_t prune_us;	 /* time of the next removal of outdated limits */
 };
 
+/* An update that the traffic thread posts to the control thread. */
 struct limits_post {
 	struct rc *rc;
-	struct limit_note note;
+	struct limit_update update;
 };
 
-static void limit_note_clear(gpointer data)
+static void limit_update_clear(gpointer data)
 {
-	g_free(((struct limit_note *)data)->endpoint);
+	g_free(((struct limit_update *)data)->endpoint);
 }
 
-GArray *limit_notes_new(void)
+GArray *limit_updates_new(void)
 {
-	GArray *notes = g_array_new(FALSE, TRUE, sizeof(struct limit_note));
+	GArray *updates = g_array_new(FALSE, TRUE, sizeof(struct limit_update));
 
-	g_array_set_clear_func(notes, limit_note_clear);
-	return notes;
+	g_array_set_clear_func(updates, limit_update_clear);
+	return updates;
 }
 
 struct limits *limits_new(struct rc *rc)
@@ -69,7 +78,7 @@
 	g_free(limits);
 }
 
-static struct limit_known *limits_of(struct limits *limits, const char *endpoint)
+static struct limit_known *limits_get(struct limits *limits, const char *endpoint)
 {
 	struct limit_known *known = g_hash_table_lookup(limits->known, endpoint);
 
@@ -81,12 +90,12 @@
 	return known;
 }
 
-static void limits_send(struct frm_conn *conn, const GArray *notes)
+static void limits_send(struct frm_conn *conn, const GArray *updates)
 {
 	Feed__Limits msg = FEED__LIMITS__INIT;
 	struct limit_items items;
 
-	limit_items_init(&items, notes);
+	limit_items_init(&items, updates);
 	msg.items = items.refs;
 	msg.n_items = items.n;
 	frm_send(conn, MSG_FEED_LIMITS, &msg.base);
@@ -98,68 +107,69 @@
 	limits_send(conn, ctx);
 }
 
-/* To all hosts that this one has a feed with, but the one that it came from. */
-static void limits_pass_on(struct limits *limits, const struct limit_note *note, const void *source)
+/* Sends a limit to all hosts connected by a feed, except the one that it came from. */
+static void limits_forward(struct limits *limits, const struct limit_update *update,
+			   const void *source)
 {
-	GArray *notes = limit_notes_new();
-	struct limit_note copy = {.endpoint = g_strdup(note->endpoint), .news = note->news};
+	GArray *updates = limit_updates_new();
+	struct limit_update copy = {.endpoint = g_strdup(update->endpoint), .news = update->news};
 
-	g_array_append_val(notes, copy);
-	feed_each(limits->rc->feed, source, limits_send_to, notes);
-	follow_each(limits->rc->follow, source, limits_send_to, notes);
-	g_array_unref(notes);
+	g_array_append_val(updates, copy);
+	feed_each(limits->rc->feed, source, limits_send_to, updates);
+	follow_each(limits->rc->follow, source, limits_send_to, updates);
+	g_array_unref(updates);
 }
 
-void limits_take(struct limits *limits, const struct limit_note *note, const void *source)
+void limits_merge(struct limits *limits, const struct limit_update *update, const void *source)
 {
 	struct limit_known *known;
 
-	/* That there is no limit is news only of an endpoint that had one. */
-	if (!note->news.named && !g_hash_table_contains(limits->known, note->endpoint))
+	/* The absence of a limit matters only for an endpoint that had one. */
+	if (!update->news.named && !g_hash_table_contains(limits->known, update->endpoint))
 		return;
-	known = limits_of(limits, note->endpoint);
-	if (!lim_part_hear(&known->part, &note->news))
+	known = limits_get(limits, update->endpoint);
+	if (!lim_part_hear(&known->part, &update->news))
 		return;
-	if (!note->news.named)
+	if (!update->news.named)
 		known->since_us = 0;
 	else if (known->since_us == 0)
 		known->since_us = tmr_boot_now();
 	if (source)
-		tf_limit_post(limits->rc->router->tf, note);
-	limits_pass_on(limits, note, source);
-	limit_ask_soon(limits->ask);
+		tf_limit_post(limits->rc->router->tf, update);
+	limits_forward(limits, update, source);
+	limit_ask_schedule(limits->ask);
 }
 
-static void limits_take_post(void *ctx)
+static void limits_on_post(void *ctx)
 {
 	struct limits_post *post = ctx;
 	struct limits *limits = post->rc->limits;
 	struct limit_known *known;
 
-	limits_take(limits, &post->note, NULL);
-	known = limits_of(limits, post->note.endpoint);
-	known->wanted += post->note.wanted;
-	known->returned += post->note.returned;
-	if (limits_have_needs(limits))
-		limit_ask_soon(limits->ask);
-	g_free(post->note.endpoint);
+	limits_merge(limits, &post->update, NULL);
+	known = limits_get(limits, post->update.endpoint);
+	known->wanted += post->update.wanted;
+	known->returned += post->update.returned;
+	if (limits_have_demand(limits))
+		limit_ask_schedule(limits->ask);
+	g_free(post->update.endpoint);
 	g_free(post);
 }
 
-void limits_post(struct rc *rc, const struct limit_note *note)
+void limits_post(struct rc *rc, const struct limit_update *update)
 {
 	struct limits_post *post = g_new0(struct limits_post, 1);
 
 	post->rc = rc;
-	post->note = *note;
-	post->note.endpoint = g_strdup(note->endpoint);
-	loop_post(rc->loop, limits_take_post, post);
+	post->update = *update;
+	post->update.endpoint = g_strdup(update->endpoint);
+	loop_post(rc->loop, limits_on_post, post);
 }
 
-void limits_grant(struct limits *limits, const struct limit_note *note)
+void limits_deliver_permits(struct limits *limits, const struct limit_update *update)
 {
-	met_add(met_counter("bg_limit_permits_total", ""), (uint64_t)note->permits);
-	tf_limit_post(limits->rc->router->tf, note);
+	met_add(met_counter("bg_limit_permits_total", ""), (uint64_t)update->permits);
+	tf_limit_post(limits->rc->router->tf, update);
 }
 
 int limits_on_msg(struct limits *limits, struct frm_conn *conn, const uint8_t *body, size_t len)
@@ -170,20 +180,20 @@
 	if (!msg)
 		return BASE_EFRAME;
 	for (size_t i = 0; i < msg->n_items; i++) {
-		struct limit_note note;
+		struct limit_update update;
 
-		limit_note_read(&note, msg->items[i], now_us);
-		note.permits = 0;
-		limits_take(limits, &note, conn);
+		limit_update_unpack(&update, msg->items[i], now_us);
+		update.permits = 0;
+		limits_merge(limits, &update, conn);
 	}
 	feed__limits__free_unpacked(msg, NULL);
 	return 0;
 }
 
-/* Appends what is known and binds. */
+/* Returns the limits in force as an array of struct limit_update. */
 static GArray *limits_list(const struct limits *limits, int64_t now_us)
 {
-	GArray *notes = limit_notes_new();
+	GArray *updates = limit_updates_new();
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
@@ -191,30 +201,30 @@
 	g_hash_table_iter_init(&iter, limits->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const struct limit_known *known = value;
-		struct limit_note note = {.news = known->part.news,
-					  .wanted = known->wanted,
-					  .returned = known->returned};
+		struct limit_update update = {.news = known->part.news,
+					      .wanted = known->wanted,
+					      .returned = known->returned};
 
 		if (!lim_part_binds(&known->part, now_us))
 			continue;
-		note.endpoint = g_strdup(name);
-		g_array_append_val(notes, note);
+		update.endpoint = g_strdup(name);
+		g_array_append_val(updates, update);
 	}
-	return notes;
+	return updates;
 }
 
 void limits_send_all(struct limits *limits, struct frm_conn *conn)
 {
-	GArray *notes = limits_list(limits, tmr_boot_now());
+	GArray *updates = limits_list(limits, tmr_boot_now());
 
-	if (notes->len > 0)
-		limits_send(conn, notes);
-	g_array_unref(notes);
+	if (updates->len > 0)
+		limits_send(conn, updates);
+	g_array_unref(updates);
 }
 
-GArray *limits_to_ask(struct limits *limits, int64_t now_us)
+GArray *limits_collect_demand(struct limits *limits, int64_t now_us)
 {
-	GArray *notes = limits_list(limits, now_us);
+	GArray *updates = limits_list(limits, now_us);
 	GHashTableIter iter;
 	gpointer value;
 
@@ -225,10 +235,10 @@
 		known->wanted = 0;
 		known->returned = 0;
 	}
-	return notes;
+	return updates;
 }
 
-bool limits_bind(const struct limits *limits)
+bool limits_any_binding(const struct limits *limits)
 {
 	int64_t now_us = tmr_boot_now();
 	GHashTableIter iter;
@@ -242,7 +252,7 @@
 	return false;
 }
 
-bool limits_have_needs(const struct limits *limits)
+bool limits_have_demand(const struct limits *limits)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -257,7 +267,10 @@
 	return false;
 }
 
-/* A limit belongs to one start of an endpoint: it is forgotten with it, and when it is lifted. */
+/*
+ * Removes limits that have been lifted and those of endpoints that are no longer listed. A limit
+ * belongs to one incarnation of an endpoint and does not apply to the next.
+ */
 static void limits_prune(struct limits *limits, int64_t now_us)
 {
 	GHashTable *listed = ep_incarnations(&limits->rc->endpoints);
@@ -292,7 +305,7 @@
 	const struct limit_known *known = g_hash_table_lookup(limits->known, endpoint);
 
 	return known && known->since_us > 0 &&
-	       tmr_boot_now() - known->since_us > tmr_ms(LIMITS_LAST_MS);
+	       tmr_boot_now() - known->since_us > tmr_ms(LIMITS_PERSISTENT_MS);
 }
 
 struct limit_home *limits_home(const struct limits *limits)
@@ -319,9 +332,9 @@
 			json_pack("{s:s, s:b, s:f, s:I, s:s?, s:i, s:f}", "endpoint", name, "named",
 				  news->named, "rate", lim_rate(news, now_us), "age_ms",
 				  (json_int_t)((now_us - news->said_us) / TMR_US_PER_MS), "home",
-				  limit_ask_home(limits->ask), "asked_by",
-				  (int)limit_home_hosts(limits->home), "part",
-				  limit_home_part(limits->home)));
+				  limit_ask_home_name(limits->ask), "asked_by",
+				  (int)limit_home_host_count(limits->home), "part",
+				  limit_home_fraction(limits->home)));
 	}
 	return list;
 }
--- a/router/tf_limit.c
+++ b/router/tf_limit.c
@@ -6,17 +6,19 @@
 #include <string.h>
 
 enum {
-	TF_LIMIT_STATUS_OTHER = 421, /* another endpoint has the address */
-	/* Between two messages to the control thread about the same endpoint. */
-	TF_LIMIT_TELL_US = 20000
+	/* Status of a response from another endpoint, which now has the address. */
+	TF_LIMIT_STATUS_MISDIRECTED = 421,
+	/* Minimum interval in us between two reports of demand for the same endpoint. */
+	TF_LIMIT_REPORT_INTERVAL_US = 20000
 };
 
-/* Requests that may wait: what the limits let through in this time. */
-static const double tf_limit_wait_s = 0.5;
+/* Maximum queue of requests that wait for permits, as the time in s that the limits need for it. */
+static const double tf_limit_queue_s = 0.5;
 
+/* A limit or permits that the control thread posts to the traffic thread. */
 struct tf_limit_msg {
 	struct tf *tf;
-	struct limit_note note;
+	struct limit_update update;
 };
 
 static void tf_limit_log(const struct tf_ep *ep, const char *event, double before,
@@ -34,8 +36,8 @@
 	jl_end();
 }
 
-/* Gauges of one endpoint, by its id; it has none before it first names a limit. */
-static void tf_limit_gauges(const struct tf_ep *ep, int64_t now_us)
+/* Sets the gauges of one endpoint, which exist from the first limit that it announces. */
+static void tf_limit_set_gauges(const struct tf_ep *ep, int64_t now_us)
 {
 	bool binds = lim_part_binds(&ep->limit, now_us);
 	double rate = binds ? lim_rate(&ep->limit.news, now_us) : 0;
@@ -46,9 +48,12 @@
 	g_free(labels);
 }
 
-/* Each endpoint's first value that is no rate is logged; it may name it in every answer. */
-static void tf_limit_unreadable(struct tf_ep *ep, const struct seam_answer *answer,
-				const char *request)
+/*
+ * Counts an unreadable limit, and logs the first one of each endpoint, because it may come with
+ * every response.
+ */
+static void tf_limit_log_unreadable(struct tf_ep *ep, const struct seam_answer *answer,
+				    const char *request)
 {
 	met_add(met_counter("bg_limit_unreadable_total", ""), 1);
 	if (ep->limit_unreadable)
@@ -63,10 +68,10 @@
 	jl_end();
 }
 
-/* What is known, needed and unused of the endpoint goes to the control thread. */
-static void tf_limit_tell(struct tf *tf, struct tf_ep *ep)
+/* Reports the limit, the demand for permits and the unused permits to the control thread. */
+static void tf_limit_report_demand(struct tf *tf, struct tf_ep *ep)
 {
-	const struct limit_note note = {
+	const struct limit_update update = {
 		.endpoint = ep->rec->incarnation,
 		.news = ep->limit.news,
 		.wanted = ep->limit.wanted,
@@ -76,12 +81,12 @@
 	ep->limit.wanted = 0;
 	ep->limit.returned = 0;
 	ep->limit_told_us = tmr_now();
-	limits_post(tf->router->rc, &note);
+	limits_post(tf->router->rc, &update);
 }
 
-/* Takes what the endpoint said; returns whether it changes anything. */
-static bool tf_limit_hear(struct tf_ep *ep, const struct lim_news *news, const char *request,
-			  const char *from)
+/* Applies a limit, or the lifting of one. Returns whether that is a change. */
+static bool tf_limit_apply(struct tf_ep *ep, const struct lim_news *news, const char *request,
+			   const char *from)
 {
 	double before = ep->limit.news.named ? ep->limit.news.rate : -1;
 
@@ -94,8 +99,10 @@
 }
 
 /*
- * Only an answer to a request that was sent after the limit was last named tells that it is lifted;
- * others may have been on their way for long. Rejections may leave it out.
+ * Returns whether a response without a limit means that the limit has been lifted. That is so only
+ * if the request was sent after the limit was last announced, because earlier responses may have
+ * been delayed, and if the response bears the endpoint's seal, because a rejection may omit the
+ * limit.
  */
 static bool tf_limit_is_lifted(const struct tf_ep *ep, const struct seam_answer *answer,
 			       int64_t sent_us)
@@ -110,20 +117,23 @@
 	struct lim_news news = {answer->limit == SEAM_LIMIT_RATE, answer->limit_rate,
 				tmr_boot_now()};
 
-	if (!answer->head.ours || answer->head.status == TF_LIMIT_STATUS_OTHER)
+	if (!answer->head.ours || answer->head.status == TF_LIMIT_STATUS_MISDIRECTED)
 		return;
 	if (answer->limit_values > 1 || answer->limit == SEAM_LIMIT_UNREADABLE)
-		tf_limit_unreadable(ep, answer, request);
+		tf_limit_log_unreadable(ep, answer, request);
 	if (!news.named && !tf_limit_is_lifted(ep, answer, sent_us))
 		return;
 	if (!news.named)
 		news.rate = ep->limit.news.rate;
-	if (tf_limit_hear(ep, &news, request, "endpoint"))
-		tf_limit_tell(tf, ep);
+	if (tf_limit_apply(ep, &news, request, "endpoint"))
+		tf_limit_report_demand(tf, ep);
 }
 
-/* Most endpoints never name a limit, and are asked about at every choice. */
-static bool tf_limit_never_named(const struct tf_ep *ep)
+/*
+ * Returns whether the endpoint has never announced a limit, as most have not. This is the fast path
+ * of each endpoint selection.
+ */
+static bool tf_limit_never_announced(const struct tf_ep *ep)
 {
 	return ep->limit.news.said_us == 0;
 }
@@ -132,7 +142,7 @@
 {
 	int64_t now_us;
 
-	if (tf_limit_never_named(ep))
+	if (tf_limit_never_announced(ep))
 		return true;
 	now_us = tmr_boot_now();
 	if (!lim_part_is_open(&ep->limit, now_us))
@@ -141,34 +151,38 @@
 	       lim_fair_may_take(&tf->limit_fair, account, now_us);
 }
 
-static void tf_limit_needs(struct tf *tf, struct tf_ep *ep)
+/* Counts a permit as needed, and reports the demand unless one was reported just before. */
+static void tf_limit_add_demand(struct tf *tf, struct tf_ep *ep)
 {
 	ep->limit.wanted++;
-	if (tmr_now() - ep->limit_told_us >= TF_LIMIT_TELL_US)
-		tf_limit_tell(tf, ep);
+	if (tmr_now() - ep->limit_told_us >= TF_LIMIT_REPORT_INTERVAL_US)
+		tf_limit_report_demand(tf, ep);
 }
 
 void tf_limit_lacked(struct tf *tf, struct tf_ep *ep)
 {
 	met_add(met_counter("bg_limit_lacked_total", ""), 1);
-	tf_limit_needs(tf, ep);
+	tf_limit_add_demand(tf, ep);
 }
 
 void tf_limit_took(struct tf *tf, struct tf_ep *ep, const char *account)
 {
 	int64_t now_us = tmr_boot_now();
 
-	if (tf_limit_never_named(ep) || !lim_part_binds(&ep->limit, now_us))
+	if (tf_limit_never_announced(ep) || !lim_part_binds(&ep->limit, now_us))
 		return;
 	lim_part_take(&ep->limit, now_us);
 	ep->limit_used++;
 	lim_fair_took(&tf->limit_fair, account, now_us);
 	met_add(met_counter("bg_limit_sent_total", ""), 1);
-	tf_limit_needs(tf, ep);
+	tf_limit_add_demand(tf, ep);
 }
 
-/* Requests a second that the limits of the service's endpoints leave to this host, about. */
-static double tf_limit_rate(const struct tf *tf, const char *service)
+/*
+ * Returns this host's approximate part of the limits of a service, in requests per second, as if
+ * all hosts had equal parts.
+ */
+static double tf_limit_host_rate(const struct tf *tf, const char *service)
 {
 	int64_t now_us = tmr_boot_now();
 	GHashTableIter iter;
@@ -188,7 +202,7 @@
 
 bool tf_limit_waits(struct tf *tf, const char *service, const char *account)
 {
-	double most = 1 + tf_limit_wait_s * tf_limit_rate(tf, service);
+	double most = 1 + tf_limit_queue_s * tf_limit_host_rate(tf, service);
 	int waiting = 0;
 
 	lim_fair_lacked(&tf->limit_fair, account, tmr_boot_now());
@@ -212,7 +226,7 @@
 int64_t tf_limit_back_us(struct tf *tf, const char *service, const char *request, int64_t most_us)
 {
 	struct lim_turn *turn = g_hash_table_lookup(tf->limit_turns, service);
-	double rate = tf_limit_rate(tf, service);
+	double rate = tf_limit_host_rate(tf, service);
 	int64_t back_us;
 
 	if (!turn) {
@@ -235,39 +249,40 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct tf_ep *ep = value;
 
-		if (tf_limit_never_named(ep))
+		if (tf_limit_never_announced(ep))
 			continue;
-		tf_limit_gauges(ep, now_us);
+		tf_limit_set_gauges(ep, now_us);
 		if (!lim_part_binds(&ep->limit, now_us))
 			continue;
 		named++;
-		/* Permits that are void by now are found so. */
+		/* This call removes expired permits and counts them as returned. */
 		lim_part_is_open(&ep->limit, now_us);
 		if (ep->limit.wanted > 0 || ep->limit.returned > 0)
-			tf_limit_tell(tf, ep);
+			tf_limit_report_demand(tf, ep);
 	}
 	met_set(met_gauge("bg_limits", ""), (uint64_t)named);
 }
 
-static void tf_limit_take(void *ctx)
+static void tf_limit_on_post(void *ctx)
 {
 	struct tf_limit_msg *msg = ctx;
-	struct tf_ep *ep = g_hash_table_lookup(msg->tf->eps, msg->note.endpoint);
+	struct tf_ep *ep = g_hash_table_lookup(msg->tf->eps, msg->update.endpoint);
 
-	if (ep && msg->note.permits > 0)
-		lim_part_grant(&ep->limit, msg->note.permits, msg->note.asked_us, tmr_boot_now());
+	if (ep && msg->update.permits > 0)
+		lim_part_grant(&ep->limit, msg->update.permits, msg->update.asked_us,
+			       tmr_boot_now());
 	else if (ep)
-		tf_limit_hear(ep, &msg->note.news, NULL, "another host");
-	g_free(msg->note.endpoint);
+		tf_limit_apply(ep, &msg->update.news, NULL, "another host");
+	g_free(msg->update.endpoint);
 	g_free(msg);
 }
 
-void tf_limit_post(struct tf *tf, const struct limit_note *note)
+void tf_limit_post(struct tf *tf, const struct limit_update *update)
 {
 	struct tf_limit_msg *msg = g_new0(struct tf_limit_msg, 1);
 
 	msg->tf = tf;
-	msg->note = *note;
-	msg->note.endpoint = g_strdup(note->endpoint);
-	loop_post(&tf->loop, tf_limit_take, msg);
+	msg->update = *update;
+	msg->update.endpoint = g_strdup(update->endpoint);
+	loop_post(&tf->loop, tf_limit_on_post, msg);
 }
--- a/router/tf_limit.h
+++ b/router/tf_limit.h
@@ -5,32 +5,43 @@
 
 G_BEGIN_DECLS
 
-/* Limits that endpoints name, in the traffic thread: what holds for the next request. */
+/*
+ * Rate limits that endpoints announce, in the traffic thread, which decides by them whether the
+ * next request may be sent to an endpoint.
+ */
 
-/* The head of an answer to a request that was sent at sent_us, by tmr_boot_now(). */
+/*
+ * Handles the headers of a response. sent_us is the time at which the request was sent, by
+ * tmr_boot_now(); request is its identifier, for the log.
+ */
 void tf_limit_on_answer(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
 			int64_t sent_us, const char *request);
 
-/* Whether a request of the account may be sent to the endpoint now. */
+/* Returns whether the limit allows a request of the account to be sent to the endpoint now. */
 bool tf_limit_is_open(struct tf *tf, struct tf_ep *ep, const char *account);
 
-/* A request would have gone to the endpoint, had the limit left room. */
+/* Counts a request that was not sent to the endpoint because of its limit, and asks for a permit.
+ */
 void tf_limit_lacked(struct tf *tf, struct tf_ep *ep);
 
-/* A request is sent to the endpoint. */
+/* Uses a permit for a request of the account that is sent to the endpoint. */
 void tf_limit_took(struct tf *tf, struct tf_ep *ep, const char *account);
 
 /*
- * A request of the account found only endpoints that take no more. Returns whether it may wait for
- * a permit: no more wait than the limits will let through meanwhile.
+ * Returns whether a request of the account may wait for a permit after the limits of all endpoints
+ * of the service have turned it away. At most as many requests wait as the limits allow within half
+ * a second, plus one.
  */
 bool tf_limit_waits(struct tf *tf, const char *service, const char *account);
 
-/* When the caller of a request that is refused for limits should come back, at most so much later.
+/*
+ * Returns the time after which the caller of a request that is refused because of limits should
+ * retry, in microseconds and at most most_us. request is the identifier of the request, for the
+ * log.
  */
 int64_t tf_limit_back_us(struct tf *tf, const char *service, const char *request, int64_t most_us);
 
-/* Tells the control thread what it does not know yet. */
+/* Sends unreported demand for permits to the control thread and updates the gauges. */
 void tf_limit_on_sweep(struct tf *tf);
 
 G_END_DECLS
