--- a/router/quar_msg.c
+++ b/router/quar_msg.c
@@ -6,15 +6,15 @@
 #include <string.h>
 
 enum {
-	/* Entries in one message; 512 are 50 KB. */
+	/* Maximum number of entries in one message; 512 entries take 50 KB. */
 	QUAR_MSG_ITEMS = 512
 };
 
-/* A message with the memory that it refers to. */
+/* A message for one entry, with the memory that it refers to. */
 struct quar_msg {
 	Feed__Quarantine item;
-	Feed__Crash crashes[QUAR_CRASHES_MAX];
-	Feed__Crash *refs[QUAR_CRASHES_MAX];
+	Feed__Crash crashes[QUAR_CRASHES_MAX]; /* the crashes of the entry */
+	Feed__Crash *refs[QUAR_CRASHES_MAX];   /* pointers to them, as the message takes them */
 };
 
 static void quar_msg_fill(struct quar_msg *msg, const struct quar_entry *entry, int64_t now_us)
@@ -30,7 +30,9 @@
 	item->terms = entry->terms;
 	item->lasted_ms = entry->lasted_us / TMR_US_PER_MS;
 	item->age_ms = (now_us - entry->last_us) / TMR_US_PER_MS;
-	/* A term that is over is told as one about to end: else the other host would begin it anew.
+	/*
+	 * A term that has ended is sent as one that ends within 1 ms. Without a term, the crashes
+	 * of the entry would begin a new one on the other host.
 	 */
 	if (entry->until_us > 0)
 		item->left_ms = MAX(entry->until_us - now_us, 0) / TMR_US_PER_MS + 1;
@@ -44,7 +46,7 @@
 	item->n_crashes = (size_t)entry->n;
 }
 
-/* Another host's word; what it can't have meant is cut to what it can. */
+/* Converts a message from another host to an entry; values out of range are clamped. */
 static struct quar_entry *quar_msg_entry(const Feed__Quarantine *item, int64_t now_us)
 {
 	struct quar_entry *entry = g_new0(struct quar_entry, 1);
@@ -65,8 +67,8 @@
 	return entry;
 }
 
-static void quar_msg_send_some(struct frm_conn *conn, const GPtrArray *entries, guint from,
-			       int64_t now_us)
+static void quar_msg_send_range(struct frm_conn *conn, const GPtrArray *entries, guint from,
+				int64_t now_us)
 {
 	guint n = MIN(entries->len - from, (guint)QUAR_MSG_ITEMS);
 	struct quar_msg *msgs = g_new0(struct quar_msg, n);
@@ -87,10 +89,10 @@
 void quar_msg_send(struct frm_conn *conn, const GPtrArray *entries, int64_t now_us)
 {
 	for (guint from = 0; from < entries->len; from += QUAR_MSG_ITEMS)
-		quar_msg_send_some(conn, entries, from, now_us);
+		quar_msg_send_range(conn, entries, from, now_us);
 }
 
-GPtrArray *quar_msg_read(const uint8_t *body, size_t len, int64_t now_us)
+GPtrArray *quar_msg_unpack(const uint8_t *body, size_t len, int64_t now_us)
 {
 	Feed__Quarantines *list = feed__quarantines__unpack(NULL, len, body);
 	GPtrArray *entries;
@@ -104,7 +106,7 @@
 	return entries;
 }
 
-GByteArray *quar_msg_note(const struct quar_entry *entry, int64_t now_us, int64_t unix_ms)
+GByteArray *quar_msg_pack_record(const struct quar_entry *entry, int64_t now_us, int64_t unix_ms)
 {
 	GByteArray *bytes = g_byte_array_new();
 	struct quar_msg msg;
@@ -116,8 +118,11 @@
 	return bytes;
 }
 
-/* Times of day differ between hosts by seconds, and terms last minutes. */
-struct quar_entry *quar_msg_read_note(struct str value, int64_t now_us, int64_t unix_ms)
+/*
+ * The time of day is precise enough for the duration since the record was written: it differs
+ * between hosts by seconds, while terms last minutes.
+ */
+struct quar_entry *quar_msg_unpack_record(struct str value, int64_t now_us, int64_t unix_ms)
 {
 	Feed__Quarantine *item =
 		feed__quarantine__unpack(NULL, value.len, (const uint8_t *)value.data);
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -8,17 +8,20 @@
 #include <string.h>
 
 enum {
-	QUARANTINE_EXPIRE_MS = 10000 /* between looks for what is outdated */
+	QUARANTINE_EXPIRE_MS = 10000 /* interval between two removals of expired entries, in ms */
 };
 
 struct quarantine {
 	struct rc *rc;
 	struct quar table;
-	struct quar_note *note;
-	int64_t expire_us;
-	bool returned; /* the store came back from a copy, which may lack entries */
+	struct quar_note *store; /* writes entries to the store and reads them from it */
+	int64_t expire_us;	 /* time of the next removal of expired entries */
+	/* All entries have to be written again: the store was restored from a copy that may lack
+	 * some. */
+	bool rewrite;
 };
 
+/* Changed entries that the traffic thread posts to the control thread. */
 struct quarantine_post {
 	struct rc *rc;
 	GPtrArray *entries;
@@ -40,13 +43,13 @@
 
 	quarantine->rc = rc;
 	quar_init(&quarantine->table, QUAR_LIMIT);
-	quarantine->note = quar_note_new(rc, quarantine);
+	quarantine->store = quar_store_new(rc, quarantine);
 	return quarantine;
 }
 
 void quarantine_free(struct quarantine *quarantine)
 {
-	quar_note_free(quarantine->note);
+	quar_store_free(quarantine->store);
 	quar_finish(&quarantine->table);
 	g_free(quarantine);
 }
@@ -72,10 +75,10 @@
 	jl_end();
 }
 
-/* Merges the entries; returns those that were news. */
+/* Merges entries into the table. Returns copies of those that changed it. */
 static GPtrArray *quarantine_merge(struct quarantine *quarantine, const GPtrArray *entries)
 {
-	GPtrArray *news = quarantine_list_new();
+	GPtrArray *changed = quarantine_list_new();
 	int64_t now_us = tmr_now();
 
 	for (guint i = 0; i < entries->len; i++) {
@@ -83,9 +86,9 @@
 			quar_take(&quarantine->table, entries->pdata[i], now_us);
 
 		if (entry)
-			g_ptr_array_add(news, quar_entry_dup(entry));
+			g_ptr_array_add(changed, quar_entry_dup(entry));
 	}
-	return news;
+	return changed;
 }
 
 static void quarantine_send_to(void *ctx, struct frm_conn *conn)
@@ -93,43 +96,44 @@
 	quar_msg_send(conn, ctx, tmr_now());
 }
 
-static void quarantine_pass_on(struct quarantine *quarantine, const GPtrArray *news,
+static void quarantine_forward(struct quarantine *quarantine, const GPtrArray *changed,
 			       const void *source)
 {
 	struct rc *rc = quarantine->rc;
 
-	if (news->len == 0)
+	if (changed->len == 0)
 		return;
-	feed_each(rc->feed, source, quarantine_send_to, (void *)news);
-	follow_each(rc->follow, source, quarantine_send_to, (void *)news);
+	feed_each(rc->feed, source, quarantine_send_to, (void *)changed);
+	follow_each(rc->follow, source, quarantine_send_to, (void *)changed);
 }
 
-void quarantine_on_news(struct quarantine *quarantine, const GPtrArray *entries, const void *source)
+void quarantine_merge_remote(struct quarantine *quarantine, const GPtrArray *entries,
+			     const void *source)
 {
-	GPtrArray *news = quarantine_merge(quarantine, entries);
+	GPtrArray *changed = quarantine_merge(quarantine, entries);
 
-	if (news->len > 0)
-		tf_quar_post(quarantine->rc->router->tf, news);
-	quarantine_pass_on(quarantine, news, source);
-	g_ptr_array_unref(news);
+	if (changed->len > 0)
+		tf_quar_post(quarantine->rc->router->tf, changed);
+	quarantine_forward(quarantine, changed, source);
+	g_ptr_array_unref(changed);
 }
 
-/* What this host has found out itself, it also writes down. */
-static void quarantine_on_own(struct quarantine *quarantine, const GPtrArray *entries)
+/* Merges entries that this host has detected, which it also writes to the store. */
+static void quarantine_merge_local(struct quarantine *quarantine, const GPtrArray *entries)
 {
-	GPtrArray *news = quarantine_merge(quarantine, entries);
+	GPtrArray *changed = quarantine_merge(quarantine, entries);
 
-	for (guint i = 0; i < news->len; i++)
-		quar_note_change(quarantine->note, news->pdata[i]);
-	quarantine_pass_on(quarantine, news, NULL);
-	g_ptr_array_unref(news);
+	for (guint i = 0; i < changed->len; i++)
+		quar_store_put(quarantine->store, changed->pdata[i]);
+	quarantine_forward(quarantine, changed, NULL);
+	g_ptr_array_unref(changed);
 }
 
-static void quarantine_take_post(void *ctx)
+static void quarantine_on_post(void *ctx)
 {
 	struct quarantine_post *post = ctx;
 
-	quarantine_on_own(post->rc->quarantine, post->entries);
+	quarantine_merge_local(post->rc->quarantine, post->entries);
 	g_ptr_array_unref(post->entries);
 	g_free(post);
 }
@@ -140,22 +144,22 @@
 
 	post->rc = rc;
 	post->entries = entries;
-	loop_post(rc->loop, quarantine_take_post, post);
+	loop_post(rc->loop, quarantine_on_post, post);
 }
 
 int quarantine_on_msg(struct quarantine *quarantine, struct frm_conn *conn, const uint8_t *body,
 		      size_t len)
 {
-	GPtrArray *entries = quar_msg_read(body, len, tmr_now());
+	GPtrArray *entries = quar_msg_unpack(body, len, tmr_now());
 
 	if (!entries)
 		return BASE_EFRAME;
-	quarantine_on_news(quarantine, entries, conn);
+	quarantine_merge_remote(quarantine, entries, conn);
 	g_ptr_array_unref(entries);
 	return 0;
 }
 
-static void quarantine_add_told(void *ctx, const struct quar_entry *entry)
+static void quarantine_add_shared(void *ctx, const struct quar_entry *entry)
 {
 	if (quar_is_told(entry))
 		g_ptr_array_add(ctx, quar_entry_dup(entry));
@@ -165,17 +169,18 @@
 {
 	GPtrArray *entries = quarantine_list_new();
 
-	quar_each(&quarantine->table, quarantine_add_told, entries);
+	quar_each(&quarantine->table, quarantine_add_shared, entries);
 	quar_msg_send(conn, entries, tmr_now());
 	g_ptr_array_unref(entries);
 }
 
+/* A search for all entries of one request. */
 struct quarantine_search {
-	const char *content;
-	GPtrArray *found;
+	const char *content; /* digest of the request as text */
+	GPtrArray *found;    /* copies of the entries found, struct quar_entry */
 };
 
-static void quarantine_search_one(void *ctx, const struct quar_entry *entry)
+static void quarantine_match(void *ctx, const struct quar_entry *entry)
 {
 	struct quarantine_search *search = ctx;
 	char text[QUAR_TEXT_LEN + 1];
@@ -192,7 +197,7 @@
 	int64_t now_us = tmr_now();
 	int n;
 
-	quar_each(&quarantine->table, quarantine_search_one, &search);
+	quar_each(&quarantine->table, quarantine_match, &search);
 	for (guint i = 0; i < search.found->len; i++) {
 		const struct quar_entry *found = search.found->pdata[i];
 		const struct quar_id id = {found->key, found->account};
@@ -201,48 +206,51 @@
 		if (!entry)
 			continue;
 		g_ptr_array_add(cleared, quar_entry_dup(entry));
-		quar_note_change(quarantine->note, entry);
+		quar_store_put(quarantine->store, entry);
 		quarantine_log(entry, "operator", now_us);
 	}
 	n = (int)cleared->len;
 	if (n > 0)
 		tf_quar_post(quarantine->rc->router->tf, cleared);
-	quarantine_pass_on(quarantine, cleared, NULL);
+	quarantine_forward(quarantine, cleared, NULL);
 	g_ptr_array_unref(cleared);
 	g_ptr_array_unref(search.found);
 	return n;
 }
 
-static void quarantine_note_again(void *ctx, const struct quar_entry *entry)
+static void quarantine_rewrite_entry(void *ctx, const struct quar_entry *entry)
 {
 	struct quarantine *quarantine = ctx;
 
-	quar_note_change(quarantine->note, entry);
+	quar_store_put(quarantine->store, entry);
 }
 
 void quarantine_on_return(struct quarantine *quarantine)
 {
-	quarantine->returned = true;
+	quarantine->rewrite = true;
 }
 
-/* All hosts know the same entries, so one writes them, or who is the first reader after it. */
-static void quarantine_write_again(struct quarantine *quarantine)
+/*
+ * Writes all entries again after the store was restored from a copy. All hosts have the same
+ * entries, so only the first reader does that, or the host that succeeds it as the first reader.
+ */
+static void quarantine_rewrite(struct quarantine *quarantine)
 {
-	if (!quarantine->returned || !quarantine->rc->rank.first)
+	if (!quarantine->rewrite || !quarantine->rc->rank.first)
 		return;
-	quarantine->returned = false;
-	quar_each(&quarantine->table, quarantine_note_again, quarantine);
+	quarantine->rewrite = false;
+	quar_each(&quarantine->table, quarantine_rewrite_entry, quarantine);
 }
 
-static void quarantine_on_outdated(void *ctx, const struct quar_entry *entry)
+static void quarantine_on_expired(void *ctx, const struct quar_entry *entry)
 {
 	struct quarantine *quarantine = ctx;
 
 	if (quarantine->rc->rank.first && quar_is_kept(entry))
-		quar_note_remove(quarantine->note, entry);
+		quar_store_remove(quarantine->store, entry);
 }
 
-static void quarantine_count(void *ctx, const struct quar_entry *entry)
+static void quarantine_count_refused(void *ctx, const struct quar_entry *entry)
 {
 	*(uint64_t *)ctx += entry->until_us > 0;
 }
@@ -251,13 +259,13 @@
 {
 	uint64_t refused = 0;
 
-	quarantine_write_again(quarantine);
-	quar_note_on_tick(quarantine->note, now_us);
+	quarantine_rewrite(quarantine);
+	quar_store_on_tick(quarantine->store, now_us);
 	if (now_us < quarantine->expire_us)
 		return;
 	quarantine->expire_us = now_us + tmr_ms(QUARANTINE_EXPIRE_MS);
-	quar_expire(&quarantine->table, now_us, quarantine_on_outdated, quarantine);
-	quar_each(&quarantine->table, quarantine_count, &refused);
+	quar_expire(&quarantine->table, now_us, quarantine_on_expired, quarantine);
+	quar_each(&quarantine->table, quarantine_count_refused, &refused);
 	met_set(met_gauge("bg_quarantined", ""), refused);
 	met_set(met_gauge("bg_quarantine_entries", ""),
 		g_hash_table_size(quarantine->table.entries));
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -10,74 +10,105 @@
 G_BEGIN_DECLS
 
 /*
- * The quarantine of requests (quar/quar.h) over all hosts. Each of the two threads has the table:
- * the traffic thread refuses by its own and adds crashes to it, the control thread's is what hosts
- * tell each other and what is kept in the store. Both send each other what is news.
+ * Quarantine of requests that crash endpoints (quar/quar.h), shared by all hosts. Each of the two
+ * threads has its own table. The traffic thread refuses requests by its table and adds the crashes
+ * that it detects; the control thread exchanges entries with other hosts and with the store. The
+ * threads send each other the entries that have changed.
  *
- * Three crashes may be seen by three hosts. An entry goes to all others over the feeds, both ways
- * and from host to host, at once; on a new feed both sides send all they have, so a host that was
- * cut off, stopped or has just started is told, and tells. Entries are kept in the store for the
- * case that all hosts start anew; while the store is away, what waits is written when it is back.
+ * The crashes of one request may be detected by different hosts, so a changed entry is sent to all
+ * other hosts at once: over the feeds, in both directions, and from host to host. On a new feed
+ * both sides send all their entries, so a host that was cut off, was stopped or has just started
+ * receives what it lacks. Entries are also kept in the store, for a restart of all hosts. Entries
+ * that change while the store is unreachable are written when it is reachable again.
  */
 struct rc;
 struct tf;
 struct quarantine;
 
-/* A list of struct quar_entry that owns them. */
+/* Returns an array of struct quar_entry that frees its elements. */
 GPtrArray *quarantine_list_new(void);
 
-/* quarantine.c: the control thread's part. */
+/* quarantine.c: the table of the control thread. */
 struct quarantine *quarantine_new(struct rc *rc);
 void quarantine_free(struct quarantine *quarantine);
 void quarantine_on_tick(struct quarantine *quarantine, int64_t now_us);
 
-/* The store came back from a copy, which may lack entries. */
+/* Handles that the store was restored from a copy, in which entries may be missing. */
 void quarantine_on_return(struct quarantine *quarantine);
 
-/* News from this host's traffic thread; the list is taken over. Any thread. */
+/*
+ * Passes entries that have changed from the traffic thread to the control thread, which takes over
+ * the list. May be called from any thread.
+ */
 void quarantine_post(struct rc *rc, GPtrArray *entries);
 
-/* What other hosts, or the store, say; source: the connection it came by, which is not told. */
-void quarantine_on_news(struct quarantine *quarantine, const GPtrArray *entries,
-			const void *source);
+/*
+ * Merges entries from another host or from the store and forwards those that change the table.
+ * source is the connection that they came from, to which they are not sent back, or NULL.
+ */
+void quarantine_merge_remote(struct quarantine *quarantine, const GPtrArray *entries,
+			     const void *source);
 
-/* The message; 0 or BASE_EFRAME. */
+/* Handles the message with entries of another host. Returns 0 or BASE_EFRAME. */
 int quarantine_on_msg(struct quarantine *quarantine, struct frm_conn *conn, const uint8_t *body,
 		      size_t len);
 
-/* All that is known, to a host at the other end of a new feed. */
+/* Sends all entries that are shared to the host at the other end of a new feed. */
 void quarantine_send_all(const struct quarantine *quarantine, struct frm_conn *conn);
 
-/* An operator clears the request with that digest. Returns how many were cleared. */
+/*
+ * Clears the entries of a request for an operator. content is the digest of the request as text.
+ * Returns the number of entries cleared.
+ */
 int quarantine_clear(struct quarantine *quarantine, const char *content);
 
+/* Returns the table of the control thread. */
 const struct quar *quarantine_table(const struct quarantine *quarantine);
 
-/* quar_msg.c: entries as messages. Times are told as spans, since clocks differ. */
+/* quar_msg.c: conversion of entries to messages and records. */
+
+/*
+ * Sends entries to another host. Times are sent as durations, because the clocks of hosts differ.
+ */
 void quar_msg_send(struct frm_conn *conn, const GPtrArray *entries, int64_t now_us);
 
-/* Returns the entries, or NULL for what is no such message. */
-GPtrArray *quar_msg_read(const uint8_t *body, size_t len, int64_t now_us);
+/* Returns the entries of a message, or NULL if it is malformed. */
+GPtrArray *quar_msg_unpack(const uint8_t *body, size_t len, int64_t now_us);
 
-/* As a record of the store; unix_ms is the time of day. Free with g_byte_array_unref(). */
-GByteArray *quar_msg_note(const struct quar_entry *entry, int64_t now_us, int64_t unix_ms);
-struct quar_entry *quar_msg_read_note(struct str value, int64_t now_us, int64_t unix_ms);
+/*
+ * Returns the record of an entry for the store; free it with g_byte_array_unref(). unix_ms is the
+ * current time of day.
+ */
+GByteArray *quar_msg_pack_record(const struct quar_entry *entry, int64_t now_us, int64_t unix_ms);
+
+/*
+ * Returns the entry of a record from the store, or NULL if it is malformed. Its times are adjusted
+ * by the time of day that has passed since it was written.
+ */
+struct quar_entry *quar_msg_unpack_record(struct str value, int64_t now_us, int64_t unix_ms);
 
-/* quar_note.c: what is kept in the store. */
+/* quar_note.c: keeping entries in the store. */
 struct quar_note;
 
-struct quar_note *quar_note_new(struct rc *rc, struct quarantine *quarantine);
-void quar_note_free(struct quar_note *note);
+struct quar_note *quar_store_new(struct rc *rc, struct quarantine *quarantine);
+void quar_store_free(struct quar_note *store);
 
-/* The entry has changed, or is outdated and goes. */
-void quar_note_change(struct quar_note *note, const struct quar_entry *entry);
-void quar_note_remove(struct quar_note *note, const struct quar_entry *entry);
-void quar_note_on_tick(struct quar_note *note, int64_t now_us);
+/* Schedules a changed entry to be written, if it is one that is kept in the store. */
+void quar_store_put(struct quar_note *store, const struct quar_entry *entry);
 
-/* tf_quar.c: to the traffic thread, what others have told. */
+/* Schedules the removal of an expired entry from the store. */
+void quar_store_remove(struct quar_note *store, const struct quar_entry *entry);
+
+/* Starts calls to the store that are due. */
+void quar_store_on_tick(struct quar_note *store, int64_t now_us);
+
+/* Passes entries from other hosts or from the store to the traffic thread. */
 void tf_quar_post(struct tf *tf, const GPtrArray *entries);
 
-/* Says that the request is refused from now on, or no more; from: who found that out. */
+/*
+ * Logs that a request is refused from now on, or no longer. from is the origin of the change: this
+ * host, another host or an operator.
+ */
 void quarantine_log(const struct quar_entry *entry, const char *from, int64_t now_us);
 
 G_END_DECLS
--- a/router/tf_quar.c
+++ b/router/tf_quar.c
@@ -9,9 +9,10 @@
 #include <string.h>
 
 enum {
-	TF_QUAR_EXPIRE_MS = 10000
+	TF_QUAR_EXPIRE_MS = 10000 /* interval between two removals of expired entries, in ms */
 };
 
+/* Changed entries that the control thread posts to the traffic thread. */
 struct tf_quar_msg {
 	struct tf *tf;
 	GPtrArray *entries;
@@ -22,7 +23,7 @@
 	return progress == CRASH_BEGUN || progress == CRASH_SENT ? QUAR_STRONG : QUAR_WEAK;
 }
 
-static int tf_quar_weight_of(const struct crash_cut *cut)
+static int tf_quar_cut_weight(const struct crash_cut *cut)
 {
 	if (cut->progress == CRASH_SENT && cut->unproved)
 		return QUAR_WEAK;
@@ -30,15 +31,16 @@
 }
 
 /*
- * A request that ends endpoints before they say anything may come to each host in turn, and none
- * would learn of more than one crash.
+ * Returns whether the entry has to be sent to other hosts. That includes a first crash
+ * before any response, because such a request may be sent to one host after the other, each of
+ * which would detect only one crash.
  */
-static bool tf_quar_is_told(const struct quar_entry *entry, const struct crash_cut *cut)
+static bool tf_quar_must_share(const struct quar_entry *entry, const struct crash_cut *cut)
 {
 	return quar_is_told(entry) || cut->progress == CRASH_SENT;
 }
 
-static uint64_t tf_quar_endpoint(const struct tf_ep *ep)
+static uint64_t tf_quar_endpoint_hash(const struct tf_ep *ep)
 {
 	const char *incarnation = ep->rec->incarnation;
 
@@ -46,8 +48,9 @@
 }
 
 /*
- * The request is refused from now on. What is under way of it anywhere on this host would end the
- * endpoints where it waits as soon as it begins there, so it is ended too.
+ * Logs that a request is refused from now on, or no longer. A refused request is also ended if it
+ * is in progress on this host, because its attempts that wait at endpoints would crash them once
+ * begun.
  */
 static void tf_quar_enforce(struct tf *tf, const struct quar_entry *entry, const char *from)
 {
@@ -66,8 +69,8 @@
 	return entry && entry->until_us > 0;
 }
 
-/* The longest that an attempt of the same request goes on now on this host. */
-static int64_t tf_quar_lasted(const struct tf *tf, const struct quar_id *id)
+/* Returns the longest time that an attempt of the request has run on this host, in microseconds. */
+static int64_t tf_quar_longest_us(const struct tf *tf, const struct quar_id *id)
 {
 	int64_t longest_us = 0;
 
@@ -76,92 +79,93 @@
 	return longest_us;
 }
 
-/* Adds one crash; what others should hear of goes to the list. */
-static void tf_quar_add(struct tf *tf, uint64_t endpoint, const struct crash_cut *cut,
-			GPtrArray *told)
+/* Counts one crash; an entry that other hosts need is appended to shared. */
+static void tf_quar_count_crash(struct tf *tf, uint64_t endpoint, const struct crash_cut *cut,
+				GPtrArray *shared)
 {
 	const struct quar_id id = {cut->key, cut->account};
-	bool before = tf_quar_is_refused(tf, &id);
+	bool refused_before = tf_quar_is_refused(tf, &id);
 	int64_t longest_us;
 	int64_t now_us = tmr_now();
 	const struct quar_entry *entry;
 
 	if (served_lately(&tf->served, &cut->key, now_us))
 		return;
-	longest_us = tf_quar_lasted(tf, &id);
+	longest_us = tf_quar_longest_us(tf, &id);
 	tf_quar_on_part(tf, &id, longest_us);
-	entry = quar_on_crash(&tf->quar, &id, endpoint, tf_quar_weight_of(cut), cut->lasted_us,
+	entry = quar_on_crash(&tf->quar, &id, endpoint, tf_quar_cut_weight(cut), cut->lasted_us,
 			      now_us);
 	if (!entry)
 		return;
 	quar_on_part(&tf->quar, &id, MAX(cut->lasted_us, longest_us), now_us);
-	if (tf_quar_is_told(entry, cut))
-		g_ptr_array_add(told, quar_entry_dup(entry));
-	if (before != (entry->until_us > 0))
+	if (tf_quar_must_share(entry, cut))
+		g_ptr_array_add(shared, quar_entry_dup(entry));
+	if (refused_before != (entry->until_us > 0))
 		tf_quar_enforce(tf, entry, "this host");
 }
 
 void tf_quar_crashed(struct tf *tf, const struct tf_ep *ep, const GArray *cuts)
 {
-	uint64_t endpoint = tf_quar_endpoint(ep);
-	GPtrArray *told = quarantine_list_new();
+	uint64_t endpoint = tf_quar_endpoint_hash(ep);
+	GPtrArray *shared = quarantine_list_new();
 
 	for (guint i = 0; i < cuts->len; i++)
-		tf_quar_add(tf, endpoint, &g_array_index(cuts, struct crash_cut, i), told);
-	if (told->len > 0)
-		quarantine_post(tf->router->rc, g_ptr_array_ref(told));
-	g_ptr_array_unref(told);
+		tf_quar_count_crash(tf, endpoint, &g_array_index(cuts, struct crash_cut, i),
+				    shared);
+	if (shared->len > 0)
+		quarantine_post(tf->router->rc, g_ptr_array_ref(shared));
+	g_ptr_array_unref(shared);
 }
 
-static void tf_quar_add_told(void *ctx, const struct quar_entry *entry)
+static void tf_quar_add_shared(void *ctx, const struct quar_entry *entry)
 {
 	g_ptr_array_add(ctx, quar_entry_dup(entry));
 }
 
 void tf_quar_lives(struct tf *tf, const struct tf_ep *ep)
 {
-	GPtrArray *told = quarantine_list_new();
+	GPtrArray *shared = quarantine_list_new();
 
-	quar_on_lives(&tf->quar, tf_quar_endpoint(ep), tmr_now(), tf_quar_add_told, told);
+	quar_on_lives(&tf->quar, tf_quar_endpoint_hash(ep), tmr_now(), tf_quar_add_shared, shared);
 	jl_begin(JL_KEEP, "endpoint_lives");
 	jl_str("endpoint", ep->rec->incarnation);
-	jl_int("taken_back", told->len);
+	jl_int("taken_back", shared->len);
 	jl_end();
-	if (told->len > 0)
-		quarantine_post(tf->router->rc, g_ptr_array_ref(told));
-	g_ptr_array_unref(told);
+	if (shared->len > 0)
+		quarantine_post(tf->router->rc, g_ptr_array_ref(shared));
+	g_ptr_array_unref(shared);
 }
 
-/* What speaks for a request is told like what speaks against it. */
-static void tf_quar_tell(struct tf *tf, const struct quar_entry *entry, bool refused_before)
+/* Shares an entry that has changed in favor of its request, and applies the change on this host. */
+static void tf_quar_share(struct tf *tf, const struct quar_entry *entry, bool refused_before)
 {
-	GPtrArray *told;
+	GPtrArray *shared;
 
 	if (!entry)
 		return;
 	if (refused_before != (entry->until_us > 0))
 		tf_quar_enforce(tf, entry, "this host");
-	told = quarantine_list_new();
-	g_ptr_array_add(told, quar_entry_dup(entry));
-	quarantine_post(tf->router->rc, told);
+	shared = quarantine_list_new();
+	g_ptr_array_add(shared, quar_entry_dup(entry));
+	quarantine_post(tf->router->rc, shared);
 }
 
 void tf_quar_on_part(struct tf *tf, const struct quar_id *id, int64_t lasted_us)
 {
-	bool before = tf_quar_is_refused(tf, id);
+	bool refused_before = tf_quar_is_refused(tf, id);
 
-	tf_quar_tell(tf, quar_on_part(&tf->quar, id, lasted_us, tmr_now()), before);
+	tf_quar_share(tf, quar_on_part(&tf->quar, id, lasted_us, tmr_now()), refused_before);
 }
 
 void tf_quar_served(struct tf *tf, const struct quar_id *id)
 {
-	bool before = tf_quar_is_refused(tf, id);
+	bool refused_before = tf_quar_is_refused(tf, id);
 
 	served_note(&tf->served, &id->key, tmr_now());
-	tf_quar_tell(tf, quar_clear(&tf->quar, id, tmr_now()), before);
+	tf_quar_share(tf, quar_clear(&tf->quar, id, tmr_now()), refused_before);
 }
 
-static void tf_quar_take(void *ctx)
+static void tf_quar_on_post(void *ctx)
 {
 	struct tf_quar_msg *msg = ctx;
 	struct tf *tf = msg->tf;
@@ -169,10 +173,10 @@
 	for (guint i = 0; i < msg->entries->len; i++) {
 		const struct quar_entry *other = msg->entries->pdata[i];
 		const struct quar_id id = {other->key, other->account};
-		bool before = tf_quar_is_refused(tf, &id);
+		bool refused_before = tf_quar_is_refused(tf, &id);
 		const struct quar_entry *entry = quar_take(&tf->quar, other, tmr_now());
 
-		if (entry && before != (entry->until_us > 0))
+		if (entry && refused_before != (entry->until_us > 0))
 			tf_quar_enforce(tf, entry, "another host");
 	}
 	g_ptr_array_unref(msg->entries);
@@ -187,7 +191,7 @@
 	msg->entries = quarantine_list_new();
 	for (guint i = 0; i < entries->len; i++)
 		g_ptr_array_add(msg->entries, quar_entry_dup(entries->pdata[i]));
-	loop_post(&tf->loop, tf_quar_take, msg);
+	loop_post(&tf->loop, tf_quar_on_post, msg);
 }
 
 void tf_quar_on_sweep(struct tf *tf, int64_t now_us)
--- a/router/tf_quar.h
+++ b/router/tf_quar.h
@@ -4,26 +4,32 @@
 #include "quar/quar.h"
 #include "router/crash.h"
 
-/* The quarantine in the traffic thread: who is refused here, and what this host finds out. */
+/*
+ * The quarantine in the traffic thread, which refuses quarantined requests and counts the crashes
+ * that this host detects.
+ */
 struct tf;
 struct tf_ep;
 
-/* The endpoint ended with these attempts (struct crash_cut) under way. */
+/* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_cut. */
 void tf_quar_crashed(struct tf *tf, const struct tf_ep *ep, const GArray *cuts);
 
-/* The endpoint lives after all: what was counted at it is taken back, on all hosts. */
+/* Removes the crash of an endpoint that turned out to be alive from all entries, on all hosts. */
 void tf_quar_lives(struct tf *tf, const struct tf_ep *ep);
 
-/* An attempt of the request has brought a part, after so long. */
+/*
+ * Records how long an attempt of the request has run, from the response headers to the newest part
+ * of the response.
+ */
 void tf_quar_on_part(struct tf *tf, const struct quar_id *id, int64_t lasted_us);
 
-/* The request was served whole, so it is no cause of crashes. */
+/* Clears a request that was served completely, so that it can't be the cause of crashes. */
 void tf_quar_served(struct tf *tf, const struct quar_id *id);
 
-/* Drops what is outdated, now and then. */
+/* Removes expired entries from time to time. */
 void tf_quar_on_sweep(struct tf *tf, int64_t now_us);
 
-/* Points against a request for an attempt that was cut so. */
+/* Returns the points that count against a request if a crash cuts an attempt at that progress. */
 int tf_quar_weight(enum crash_progress progress);
 
 #endif
