--- a/router/heard.c
+++ b/router/heard.c
@@ -6,9 +6,12 @@
 #include <string.h>
 
 enum {
-	/* Number of stored back-offs from which on expired ones are removed. */
+	/* Number of stored back-offs at which expired ones are removed before one is added. */
 	NOTICE_PRUNE_COUNT = 1024,
-	/* Longest duration of a hint, in ms; the endpoint requested nothing from its receivers. */
+	/*
+	 * Longest duration of a hint, in ms. It is short because the endpoint did not request the
+	 * back-off from the hosts that receive the hint.
+	 */
 	NOTICE_HINT_MS = 5000,
 	/* Number of hints that may be forwarded in one burst. */
 	NOTICE_HINT_BURST = 40
--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -18,7 +18,10 @@
 	 * system. It bounds the load of the home to about a thousand asks per second.
 	 */
 	LIMIT_ASK_PER_HOST_MS = 1,
-	/* Interval in ms between two asks of a host that needs no permits, to remain a member. */
+	/*
+	 * Interval between two asks of a host that needs no permits, in ms. It asks nevertheless,
+	 * so that the home continues to count it.
+	 */
 	LIMIT_ASK_IDLE_MS = 1000,
 	/* Interval between two heartbeats on the connection to the home, in ms. */
 	LIMIT_ASK_HEARTBEAT_MS = 400,
@@ -36,8 +39,8 @@
 	int64_t home_time_us;	/* newest time received of the home's clock; 0 if none */
 	/* Time before which no other home is asked, since the last one still counts this host. */
 	int64_t next_home_us;
-	bool scheduled;	  /* an ask before the idle interval ends is scheduled */
-	struct tmr timer; /* of the scheduled ask */
+	bool scheduled;	  /* the timer is set for an ask before the idle interval ends */
+	struct tmr timer; /* timer of the scheduled ask */
 };
 
 static int limit_ask_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -229,7 +232,7 @@
 	}
 	feed__limit_grant__free_unpacked(msg, NULL);
 	/*
-	 * The home counts this host as a member from the second ask on, which proves that it has
+	 * The home counts this host from its second ask on, which proves that this host has
 	 * received a response.
 	 */
 	if (first)
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -31,11 +31,12 @@
 struct limit_home {
 	struct rc *rc;
 	struct limits *limits;
-	GHashTable *divided;	    /* incarnation of an endpoint -> struct limit_divided */
-	GHashTable *askers;	    /* name of a host -> struct limit_asker */
-	struct lim_members members; /* hosts that count for the fraction of this home */
-	int64_t update_us;	    /* time of the next update of the list of hosts */
-	struct tmr timer;	    /* for the next permit that may be issued */
+	GHashTable *divided; /* incarnation of an endpoint -> struct limit_divided */
+	GHashTable *askers;  /* name of a host -> struct limit_asker */
+	struct lim_members
+		members;   /* hosts that ask this home; they determine its fraction of each limit */
+	int64_t update_us; /* time of the next update of the list of hosts */
+	struct tmr timer;  /* timer that expires when the next permit may be issued */
 };
 
 static void limit_home_issue(void *ctx, int64_t now_us);
@@ -178,8 +179,8 @@
 	asker->conn = conn;
 	asker->sent_us = sent_us;
 	/*
-	 * The host sent this ask after it received that time, and asks no other home until its
-	 * lease from then on ends.
+	 * The host sent this ask after it received home_time_us, and asks no other home until the
+	 * lease that began at that time ends.
 	 */
 	if (home_time_us > 0 && home_time_us <= now_us)
 		lim_members_heard(&home->members, host, home_time_us);
--- a/router/limits.h
+++ b/router/limits.h
@@ -37,7 +37,7 @@
 	int64_t asked_us;     /* send time of the ask that the permits answer */
 };
 
-/* limits.c */
+/* limits.c: the limits known to this host. */
 struct limits *limits_new(struct rc *rc);
 void limits_free(struct limits *limits);
 void limits_on_tick(struct limits *limits, int64_t now_us);
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -83,7 +83,7 @@
 
 /*
  * Returns the entry of a record from the store, or NULL if it is malformed. Its times are adjusted
- * by the time of day that has passed since it was written.
+ * by the time that has passed since it was written.
  */
 struct quar_entry *quar_msg_unpack_record(struct str value, int64_t now_us, int64_t unix_ms);
 
--- a/router/stall.c
+++ b/router/stall.c
@@ -17,10 +17,10 @@
 	/* Minimum interval between two liveness checks of one endpoint, in us. */
 	STALL_CHECK_INTERVAL_US = 150000,
 	/*
-	 * Time in us between a failed check and a successful check of another endpoint within which
-	 * the two are compared.
+	 * Maximum time in us from a failed check of one endpoint to a response of another one for
+	 * the failure to count.
 	 */
-	STALL_COMPARE_US = 100000,
+	STALL_EVIDENCE_US = 100000,
 	/*
 	 * Minimum interval between two report requests to one endpoint, in us. A report covers all
 	 * requests of the endpoint and is about 200 ms old, so asking more often gains nothing.
@@ -62,10 +62,12 @@
 
 static bool stall_on_head(void *ctx, int status, const GPtrArray *headers);
 
-static const struct hc_ops stall_ops = {.on_head = stall_on_head, .on_done = stall_on_report};
+static const struct hc_ops stall_report_ops = {.on_head = stall_on_head,
+					       .on_done = stall_on_report};
 static const struct hc_ops stall_check_ops = {.on_head = stall_on_head,
 					      .on_done = stall_on_checked};
 
+/* Starts a request for the report of the endpoint, which also serves as a liveness check. */
 static struct hc_call *stall_call(struct tf *tf, struct tf_ep *ep, int64_t timeout_ms,
 				  const struct hc_ops *ops)
 {
@@ -148,13 +150,16 @@
 	if (!first->report && now_us - first->report_us >= STALL_REPORT_INTERVAL_US &&
 	    tf_rest_may_call(first)) {
 		first->report_us = now_us;
-		first->report = stall_call(tf, first, STALL_REPORT_MS, &stall_ops);
+		first->report = stall_call(tf, first, STALL_REPORT_MS, &stall_report_ops);
 	}
 	for (int i = 1; i < target->count; i++)
 		stall_check(tf, target->stages[i].ep, now_us);
 }
 
-/* Avoids an endpoint that failed a check while others passed, and moves its silent requests. */
+/*
+ * Avoids an endpoint that failed a check while others responded, and moves the silent requests that
+ * pass through it to other endpoints.
+ */
 static void stall_on_missing(struct tf *tf, struct tf_ep *ep)
 {
 	GPtrArray *reqs = tf->reqs;
@@ -169,9 +174,9 @@
 
 /*
  * Handles a successful response of an endpoint. It shows that this host is neither slow nor cut
- * off, so endpoints that failed a check within the last STALL_COMPARE_US are at fault. The failure
- * often comes before the success, because the host of an ended process refuses connections within a
- * millisecond.
+ * off, so endpoints that failed a check within the last STALL_EVIDENCE_US count as missing. The
+ * failure often comes before the success, because the host of an ended process refuses connections
+ * within a millisecond.
  */
 static void stall_on_response(struct tf *tf)
 {
@@ -185,7 +190,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct tf_ep *ep = value;
 
-		if (ep->missed_us > 0 && now_us - ep->missed_us < STALL_COMPARE_US)
+		if (ep->missed_us > 0 && now_us - ep->missed_us < STALL_EVIDENCE_US)
 			g_ptr_array_add(missing, ep);
 		ep->missed_us = 0;
 	}
--- a/router/tf_limit.c
+++ b/router/tf_limit.c
@@ -12,7 +12,8 @@
 	TF_LIMIT_REPORT_INTERVAL_US = 20000
 };
 
-/* Maximum queue of requests that wait for permits, as the time in s that the limits need for it. */
+/* Maximum number of requests that wait for permits, as the time in s in which the limits allow
+ * them. */
 static const double tf_limit_queue_s = 0.5;
 
 /* A limit or permits that the control thread posts to the traffic thread. */
