--- a/pool/paths.c
+++ b/pool/paths.c
@@ -4,39 +4,42 @@
 
 enum {
 	PERCENT = 100,
-	POOL_ASKEW_NUM = 3, /* stages off the flow's paths are used up to this part: 3/4 */
-	POOL_ASKEW_DEN = 4,
-	POOL_LINK_PART = 2 /* a link must carry one part in so many of what its ends can do */
+	POOL_SPARE_NUM = 3,   /* off the flow's paths, endpoints are filled to 3/4 of their limit */
+	POOL_SPARE_DEN = 4,   /* denominator of that fraction */
+	POOL_LINK_DIVISOR = 2 /* off the paths, a link needs 1/2 of the rate of its slower end */
 };
 
+/* The endpoints that pool_link_rate() indexes. */
 struct pool_link_ctx {
 	const struct pool *pool;
 	struct pool_endpoint **endpoints;
 };
 
-/* Whether the endpoint may follow the one before (NULL: it is the first). */
-typedef bool (*pool_fits_fn)(struct pool *pool, struct pool_endpoint *before,
+/* Returns whether the endpoint may follow the previous stage (NULL if it is the first stage). */
+typedef bool (*pool_fits_fn)(struct pool *pool, struct pool_endpoint *previous,
 			     struct pool_endpoint *endpoint);
+/* Returns the load of an endpoint; the least loaded one is chosen. */
 typedef double (*pool_load_fn)(const struct pool_endpoint *endpoint);
 
+/* Fills stages and returns their number, or 0 if the request must wait. */
 typedef int (*pool_choose_fn)(struct pool *pool, const char *version, char *const *exclude,
 			      struct pool_endpoint **stages);
 
-static int64_t pool_link(void *ctx, int from, int to);
-static void pool_paths_of(struct pool *pool, const char *version);
+static int64_t pool_link_rate(void *ctx, int from, int to);
+static void pool_paths_build_version(struct pool *pool, const char *version);
 static int pool_choose_flow(struct pool *pool, const char *version, char *const *exclude,
 			    struct pool_endpoint **stages);
-static int pool_choose_any(struct pool *pool, const char *version, char *const *exclude,
-			   struct pool_endpoint **stages);
+static int pool_choose_detour(struct pool *pool, const char *version, char *const *exclude,
+			      struct pool_endpoint **stages);
 static int pool_choose_weights(struct pool *pool, const char *version, char *const *exclude,
 			       struct pool_endpoint **stages);
-static int pool_choose_least(struct pool *pool, const char *version, char *const *exclude,
-			     struct pool_endpoint **stages);
+static int pool_choose_least_loaded(struct pool *pool, const char *version, char *const *exclude,
+				    struct pool_endpoint **stages);
 
 static const pool_choose_fn pool_choosers[POOL_POLICY_COUNT] = {
 	[POOL_POLICY_FLOW] = pool_choose_flow,
 	[POOL_POLICY_WEIGHTS] = pool_choose_weights,
-	[POOL_POLICY_LEAST_LOADED] = pool_choose_least,
+	[POOL_POLICY_LEAST_LOADED] = pool_choose_least_loaded,
 };
 
 static const char *const pool_policy_names[POOL_POLICY_COUNT] = {
@@ -56,9 +59,9 @@
 }
 
 /*
- * A request is in one stage of its pipeline at a time, or on a link, so an endpoint that batches so
- * many requests needs that many for each stage of the pipeline in flight, and some more for the
- * links; with fewer its batches stay part empty.
+ * A request is in one stage of its pipeline, or on a link, at a time. To fill the batches of an
+ * endpoint, its number of slots must be in flight for each stage of the pipeline, and some more for
+ * the links; with fewer its batches stay partly empty.
  */
 int pool_endpoint_limit(const struct pool *pool, const struct pool_endpoint *endpoint)
 {
@@ -72,12 +75,12 @@
 
 bool pool_endpoint_has_room(const struct pool *pool, const struct pool_endpoint *endpoint)
 {
-	return pool_endpoint_usable(endpoint) &&
-	       endpoint->inflight + endpoint->foreign < pool_endpoint_limit(pool, endpoint);
+	return pool_endpoint_usable(endpoint) && endpoint->inflight + endpoint->foreign_inflight <
+							 pool_endpoint_limit(pool, endpoint);
 }
 
-/* Tokens a second that a declared link carries; one that is not declared sets no limit. */
-static int64_t pool_link(void *ctx, int from, int to)
+/* Returns the rate of a declared link in tokens a second; an undeclared link has no limit. */
+static int64_t pool_link_rate(void *ctx, int from, int to)
 {
 	struct pool_link_ctx *link = ctx;
 	char *key =
@@ -96,6 +99,7 @@
 	pool->bound = 0;
 }
 
+/* Returns whether the stages of the grant are those of the path. */
 static bool pool_grant_is_on(const struct pool_grant *grant, const struct pool_path *path)
 {
 	if (grant->count != path->flow.count)
@@ -104,7 +108,7 @@
 		      sizeof(grant->stages[0]) * (size_t)grant->count) == 0;
 }
 
-static int pool_path_count(struct pool *pool, const struct pool_path *path)
+static int pool_path_count_grants(struct pool *pool, const struct pool_path *path)
 {
 	GHashTableIter iter;
 	gpointer grant;
@@ -116,7 +120,7 @@
 	return count;
 }
 
-void pool_paths_note(struct pool *pool, const struct pool_grant *grant, int change)
+void pool_paths_count_grant(struct pool *pool, const struct pool_grant *grant, int change)
 {
 	for (guint i = 0; i < pool->paths->len; i++) {
 		struct pool_path *path = pool->paths->pdata[i];
@@ -126,8 +130,8 @@
 	}
 }
 
-/* Endpoints of one version that may take work, for one run of the flow. */
-static void pool_paths_of(struct pool *pool, const char *version)
+/* Adds the paths of one version: those of the maximum flow through its usable endpoints. */
+static void pool_paths_build_version(struct pool *pool, const char *version)
 {
 	GPtrArray *used = g_ptr_array_new();
 	GArray *nodes = g_array_new(FALSE, TRUE, sizeof(struct flow_node));
@@ -145,7 +149,7 @@
 	}
 	link.endpoints = (struct pool_endpoint **)used->pdata;
 	pool->bound += flow_solve((struct flow_node *)(void *)nodes->data, (int)nodes->len,
-				  pool->layers, pool_link, &link, paths);
+				  pool->layers, pool_link_rate, &link, paths);
 	for (guint i = 0; i < paths->len; i++) {
 		struct pool_path *path = g_new0(struct pool_path, 1);
 
@@ -153,7 +157,7 @@
 		for (int s = 0; s < path->flow.count; s++)
 			path->stages[s] = used->pdata[path->flow.nodes[s]];
 		path->version = path->stages[0]->version;
-		path->inflight = pool_path_count(pool, path);
+		path->inflight = pool_path_count_grants(pool, path);
 		g_ptr_array_add(pool->paths, path);
 	}
 	g_array_free(paths, TRUE);
@@ -170,7 +174,7 @@
 		struct pool_endpoint *endpoint = pool->endpoints->pdata[i];
 
 		if (endpoint->declared && g_hash_table_add(versions, endpoint->version))
-			pool_paths_of(pool, endpoint->version);
+			pool_paths_build_version(pool, endpoint->version);
 	}
 	g_hash_table_destroy(versions);
 }
@@ -195,6 +199,7 @@
 	return false;
 }
 
+/* Returns whether all stages of a path have free capacity and none is excluded. */
 static bool pool_path_fits(const struct pool *pool, const struct pool_path *path,
 			   const char *version, char *const *exclude)
 {
@@ -209,25 +214,27 @@
 	return true;
 }
 
-/* How full the endpoint would be with one request more, in parts of what it can take. */
+/* Returns the requests in flight at the endpoint, with one more, as a multiple of its slots. */
 static double pool_endpoint_load(const struct pool_endpoint *endpoint)
 {
-	return (double)(endpoint->inflight + endpoint->foreign + 1) / MAX(endpoint->slots, 1);
+	return (double)(endpoint->inflight + endpoint->foreign_inflight + 1) /
+	       MAX(endpoint->slots, 1);
 }
 
-/* Work in flight on the path for its part of the flow. */
+/* Returns the requests in flight on the path, with one more, divided by its rate. */
 static double pool_path_load(const struct pool_path *path)
 {
 	return (double)(path->inflight + 1) / (double)MAX(path->flow.rate, 1);
 }
 
-static int pool_take_path(struct pool_path *path, struct pool_endpoint **stages)
+static int pool_copy_stages(struct pool_path *path, struct pool_endpoint **stages)
 {
 	for (int s = 0; s < path->flow.count; s++)
 		stages[s] = path->stages[s];
 	return path->flow.count;
 }
 
+/* Chooses the least loaded path of the maximum flow, else any stages with spare capacity. */
 static int pool_choose_flow(struct pool *pool, const char *version, char *const *exclude,
 			    struct pool_endpoint **stages)
 {
@@ -242,35 +249,37 @@
 			best = path;
 	}
 	if (best)
-		return pool_take_path(best, stages);
-	return pool_choose_any(pool, version, exclude, stages);
+		return pool_copy_stages(best, stages);
+	return pool_choose_detour(pool, version, exclude, stages);
 }
 
-static bool pool_link_carries(struct pool *pool, struct pool_endpoint *from,
-			      struct pool_endpoint *to)
+/* Returns whether the link carries 1/POOL_LINK_DIVISOR of the rate of its slower end. */
+static bool pool_link_suffices(struct pool *pool, struct pool_endpoint *from,
+			       struct pool_endpoint *to)
 {
 	struct pool_endpoint *ends[] = {from, to};
 	struct pool_link_ctx link = {pool, ends};
 
-	return pool_link(&link, 0, 1) >= MIN(from->rate, to->rate) / POOL_LINK_PART;
+	return pool_link_rate(&link, 0, 1) >= MIN(from->rate, to->rate) / POOL_LINK_DIVISOR;
 }
 
-static bool pool_has_much_room(const struct pool *pool, const struct pool_endpoint *endpoint)
+/* Returns whether one more request leaves the endpoint within 3/4 of its limit. */
+static bool pool_has_spare_capacity(const struct pool *pool, const struct pool_endpoint *endpoint)
 {
-	int used = endpoint->inflight + endpoint->foreign + 1;
+	int used = endpoint->inflight + endpoint->foreign_inflight + 1;
 
-	return used * POOL_ASKEW_DEN <= pool_endpoint_limit(pool, endpoint) * POOL_ASKEW_NUM;
+	return used * POOL_SPARE_DEN <= pool_endpoint_limit(pool, endpoint) * POOL_SPARE_NUM;
 }
 
-static bool pool_any_fits(struct pool *pool, struct pool_endpoint *before,
-			  struct pool_endpoint *endpoint)
+static bool pool_detour_fits(struct pool *pool, struct pool_endpoint *previous,
+			     struct pool_endpoint *endpoint)
 {
-	if (before && !pool_link_carries(pool, before, endpoint))
+	if (previous && !pool_link_suffices(pool, previous, endpoint))
 		return false;
-	return pool_has_much_room(pool, endpoint);
+	return pool_has_spare_capacity(pool, endpoint);
 }
 
-/* Stage by stage, the endpoint with room that fits behind the one before and has the least load. */
+/* Chooses for each stage the least loaded endpoint with free capacity that fits. */
 static int pool_choose_stages(struct pool *pool, const char *version, char *const *exclude,
 			      struct pool_endpoint **stages, pool_fits_fn fits, pool_load_fn load)
 {
@@ -278,7 +287,7 @@
 	int count = 0;
 
 	while (next < pool->layers && count < FLOW_STAGES_MAX) {
-		struct pool_endpoint *before = count > 0 ? stages[count - 1] : NULL;
+		struct pool_endpoint *previous = count > 0 ? stages[count - 1] : NULL;
 		struct pool_endpoint *best = NULL;
 
 		for (guint i = 0; i < pool->endpoints->len; i++) {
@@ -288,7 +297,7 @@
 				continue;
 			if (!pool_endpoint_has_room(pool, e) || pool_is_excluded(e, exclude))
 				continue;
-			if (fits(pool, before, e) && (!best || load(e) < load(best)))
+			if (fits(pool, previous, e) && (!best || load(e) < load(best)))
 				best = e;
 		}
 		if (!best)
@@ -300,19 +309,21 @@
 }
 
 /*
- * The flow's paths are one way to reach the bound, not all ways through the pool. When work in
- * flight sits askew on them (after an endpoint came back, say), each of them can be full while
- * others have room, and requests would wait before idle endpoints. So any stages with much room
- * will do, if the link between them is not far too slow for them. With little room left they would
- * take it from the flow's paths and lower the throughput.
+ * Chooses stages off the flow's paths. The paths of the maximum flow are one set of pipelines that
+ * reaches the bound, not all pipelines of the pool. When work in flight is spread unevenly over
+ * them, for instance after an endpoint has recovered, all paths can be full while some endpoints
+ * are idle. So any stages with spare capacity are used, unless the link between them is far too
+ * slow. Endpoints with little capacity left are not used: this would take it from the flow's paths
+ * and lower the throughput.
  */
-static int pool_choose_any(struct pool *pool, const char *version, char *const *exclude,
-			   struct pool_endpoint **stages)
+static int pool_choose_detour(struct pool *pool, const char *version, char *const *exclude,
+			      struct pool_endpoint **stages)
 {
-	return pool_choose_stages(pool, version, exclude, stages, pool_any_fits,
+	return pool_choose_stages(pool, version, exclude, stages, pool_detour_fits,
 				  pool_endpoint_load);
 }
 
+/* Smooth weighted round robin over the paths with free capacity, weighted by their rates. */
 static int pool_choose_weights(struct pool *pool, const char *version, char *const *exclude,
 			       struct pool_endpoint **stages)
 {
@@ -324,15 +335,15 @@
 
 		if (!pool_path_fits(pool, path, version, exclude))
 			continue;
-		path->current += path->flow.rate;
+		path->round_robin_credit += path->flow.rate;
 		total += path->flow.rate;
-		if (!best || path->current > best->current)
+		if (!best || path->round_robin_credit > best->round_robin_credit)
 			best = path;
 	}
 	if (!best)
 		return 0;
-	best->current -= total;
-	return pool_take_path(best, stages);
+	best->round_robin_credit -= total;
+	return pool_copy_stages(best, stages);
 }
 
 static double pool_reported_load(const struct pool_endpoint *endpoint)
@@ -340,25 +351,29 @@
 	return endpoint->reported;
 }
 
-static bool pool_all_fit(struct pool *pool, struct pool_endpoint *before,
-			 struct pool_endpoint *endpoint)
+static bool pool_always_fits(struct pool *pool, struct pool_endpoint *previous,
+			     struct pool_endpoint *endpoint)
 {
 	(void)pool;
-	(void)before;
+	(void)previous;
 	(void)endpoint;
 	return true;
 }
 
-/* Stage by stage, the endpoint that the last reports show as least loaded. Kept for comparison. */
-static int pool_choose_least(struct pool *pool, const char *version, char *const *exclude,
-			     struct pool_endpoint **stages)
+/*
+ * Chooses for each stage the endpoint that is least loaded by the last load reports. This policy
+ * exists for comparison with the others.
+ */
+static int pool_choose_least_loaded(struct pool *pool, const char *version, char *const *exclude,
+				    struct pool_endpoint **stages)
 {
-	return pool_choose_stages(pool, version, exclude, stages, pool_all_fit, pool_reported_load);
+	return pool_choose_stages(pool, version, exclude, stages, pool_always_fits,
+				  pool_reported_load);
 }
 
 /*
- * After a stall nobody knows which stage is at fault, so all of them are excluded; in a small pool
- * that may leave nothing, and then the stages that still answer are better than no answer.
+ * After a stall the stage at fault is unknown, so the entry excludes all stages of the attempt. In
+ * a small pool no pipeline may remain; then excluded endpoints that are still usable are chosen.
  */
 int pool_paths_choose(struct pool *pool, const char *version, char *const *exclude,
 		      struct pool_endpoint **stages)
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -3,13 +3,13 @@
 #include <string.h>
 
 static void pool_schedule(struct pool *pool, int64_t now_us);
-static void pool_start(struct pool *pool, const struct fair_item *item,
-		       struct fair_account *account, struct pool_wait *wait,
-		       struct pool_endpoint **stages, int count, int64_t now_us);
-static void pool_release(struct pool *pool, struct pool_grant *grant);
-static void pool_refuse(struct pool *pool, struct pool_wait *wait, enum pool_refusal why,
+static void pool_issue_grant(struct pool *pool, const struct fair_item *item,
+			     struct fair_account *account, struct pool_waiting *wait,
+			     struct pool_endpoint **stages, int count, int64_t now_us);
+static void pool_release_grant(struct pool *pool, struct pool_grant *grant);
+static void pool_refuse(struct pool *pool, struct pool_waiting *wait, enum pool_refusal why,
 			int64_t retry_us);
-static void pool_set_down(struct pool *pool, struct pool_endpoint *endpoint, int64_t now_us);
+static void pool_mark_down(struct pool *pool, struct pool_endpoint *endpoint, int64_t now_us);
 static void pool_rebuild(struct pool *pool, int64_t now_us);
 
 static const char *const pool_refusal_names[POOL_REFUSE_COUNT] = {
@@ -23,9 +23,9 @@
 	return pool_refusal_names[why];
 }
 
-static void pool_wait_free(gpointer data)
+static void pool_waiting_free(gpointer data)
 {
-	struct pool_wait *wait = data;
+	struct pool_waiting *wait = data;
 
 	g_free(wait->account);
 	g_free(wait->version);
@@ -56,21 +56,22 @@
 	pool->endpoints = g_ptr_array_new_with_free_func(pool_endpoint_unref);
 	pool->links = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	pool->paths = g_ptr_array_new_with_free_func(g_free);
-	pool->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, pool_wait_free);
+	pool->waiting =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, pool_waiting_free);
 	pool->grants = g_hash_table_new(g_int64_hash, g_int64_equal);
 	fair_init(&pool->fair);
 }
 
-static gboolean pool_free_grant(gpointer key, gpointer value, gpointer ctx)
+static gboolean pool_release_each(gpointer key, gpointer value, gpointer ctx)
 {
 	(void)key;
-	pool_release(ctx, value);
+	pool_release_grant(ctx, value);
 	return TRUE;
 }
 
 void pool_finish(struct pool *pool)
 {
-	g_hash_table_foreach_remove(pool->grants, pool_free_grant, pool);
+	g_hash_table_foreach_remove(pool->grants, pool_release_each, pool);
 	g_hash_table_destroy(pool->grants);
 	g_hash_table_destroy(pool->waiting);
 	fair_finish(&pool->fair);
@@ -93,7 +94,7 @@
 	return NULL;
 }
 
-static void pool_take_endpoint(void *ctx, const struct conf_obj *obj)
+static void pool_apply_endpoint(void *ctx, const struct conf_obj *obj)
 {
 	struct pool *pool = ctx;
 	struct pool_endpoint *e;
@@ -121,7 +122,7 @@
 	pool->model = g_strdup(obj->text[ENDPOINT_MODEL]);
 }
 
-static void pool_take_link(void *ctx, const struct conf_obj *obj)
+static void pool_apply_link(void *ctx, const struct conf_obj *obj)
 {
 	struct pool *pool = ctx;
 	char *key = g_strdup_printf("%s %s", obj->text[LINK_FROM], obj->text[LINK_TO]);
@@ -139,9 +140,9 @@
 	conf_state_unref(pool->conf);
 	pool->conf = conf;
 	pool_paths_clear(pool);
-	conf_each(conf, CONF_ENDPOINT, pool_take_endpoint, pool);
+	conf_each(conf, CONF_ENDPOINT, pool_apply_endpoint, pool);
 	g_hash_table_remove_all(pool->links);
-	conf_each(conf, CONF_LINK, pool_take_link, pool);
+	conf_each(conf, CONF_LINK, pool_apply_link, pool);
 	for (guint i = pool->endpoints->len; i-- > 0;) {
 		if (!((struct pool_endpoint *)pool->endpoints->pdata[i])->declared)
 			g_ptr_array_remove_index(pool->endpoints, i);
@@ -153,9 +154,9 @@
 }
 
 /*
- * While there is no pipeline the rate of before is kept: waits are estimated from it, and with a
- * rate of nothing each request would be told to come back in hours, though a pipeline may be back
- * at once.
+ * Recomputes the paths and starts what they now allow. While there is no pipeline the previous rate
+ * is kept, because expected waits are computed from it: a rate of zero would tell each client to
+ * retry after hours, although a pipeline may be available again at once.
  */
 static void pool_rebuild(struct pool *pool, int64_t now_us)
 {
@@ -169,18 +170,18 @@
 	pool_schedule(pool, now_us);
 }
 
-static void pool_refuse(struct pool *pool, struct pool_wait *wait, enum pool_refusal why,
+static void pool_refuse(struct pool *pool, struct pool_waiting *wait, enum pool_refusal why,
 			int64_t retry_us)
 {
 	pool->ops->refuse(pool->ctx, wait->entry, wait->ask_id, why, retry_us);
 }
 
 /*
- * Whether an endpoint of the version has been down, or without what is declared for it, for a
- * moment only. One that has been ordered to another version holds it before its next report says
- * so; requests of that version were refused until then, for a second.
+ * Returns whether an endpoint of the version became down or leaving within the grace period. An
+ * endpoint that was ordered to load another version holds it before its next load report says so;
+ * without this check requests for that version were refused for up to a second, until the report.
  */
-static bool pool_may_be_back(const struct pool *pool, const char *version, int64_t now_us)
+static bool pool_may_recover(const struct pool *pool, const char *version, int64_t now_us)
 {
 	int64_t since_us = now_us - pool->settings.no_path_grace_us;
 
@@ -196,12 +197,12 @@
 }
 
 /*
- * A pool without a pipeline, or a version of it, may get one back when an endpoint answers again;
- * not for long.
+ * Returns whether requests for the version are to be refused: it has no pipeline, and the grace
+ * period in which an endpoint may become usable again has passed.
  */
 static bool pool_is_unservable(const struct pool *pool, const char *version, int64_t now_us)
 {
-	if (pool_paths_exist(pool, version) || pool_may_be_back(pool, version, now_us))
+	if (pool_paths_exist(pool, version) || pool_may_recover(pool, version, now_us))
 		return false;
 	if (pool->no_path_since_us == 0)
 		return true;
@@ -213,7 +214,7 @@
 	struct fair_account *account = fair_get(&pool->fair, ask->account, &ask->limits);
 	struct fair_item item = {++pool->last_id, MAX(ask->tokens, 1), ask->deadline_us, now_us,
 				 ask->priority};
-	struct pool_wait *wait;
+	struct pool_waiting *wait;
 	int64_t retry_us = 0;
 	int err;
 
@@ -229,7 +230,7 @@
 				  retry_us);
 		return;
 	}
-	wait = g_new0(struct pool_wait, 1);
+	wait = g_new0(struct pool_waiting, 1);
 	wait->entry = ask->entry;
 	wait->ask_id = ask->ask_id;
 	wait->account = g_strdup(ask->account);
@@ -240,8 +241,9 @@
 }
 
 /*
- * Starts whoever is next while there is room. When the one whose turn it is does not fit, nobody
- * overtakes it: requests of a version with few endpoints would otherwise never start.
+ * Grants waiting requests in fair order while there is free capacity. If the next request cannot
+ * start, no later one overtakes it: requests for a version with few endpoints would otherwise never
+ * start.
  */
 static void pool_schedule(struct pool *pool, int64_t now_us)
 {
@@ -249,7 +251,7 @@
 	struct fair_account *account;
 
 	while (fair_pop(&pool->fair, &item, &account)) {
-		struct pool_wait *wait = g_hash_table_lookup(pool->waiting, &item.id);
+		struct pool_waiting *wait = g_hash_table_lookup(pool->waiting, &item.id);
 		struct pool_endpoint *stages[FLOW_STAGES_MAX];
 		int count = pool_paths_choose(pool, wait->version, wait->exclude, stages);
 
@@ -257,7 +259,7 @@
 			fair_unpop(&pool->fair, account, &item);
 			return;
 		}
-		pool_start(pool, &item, account, wait, stages, count, now_us);
+		pool_issue_grant(pool, &item, account, wait, stages, count, now_us);
 		g_hash_table_remove(pool->waiting, &item.id);
 	}
 }
@@ -275,37 +277,37 @@
 	return grant;
 }
 
-static void pool_grant_stage(struct pool_grant *grant, struct pool_endpoint *endpoint)
+static void pool_grant_add_stage(struct pool_grant *grant, struct pool_endpoint *endpoint)
 {
 	int before = grant->count > 0 ? grant->stages[grant->count - 1]->last + 1 : 0;
 
 	grant->first[grant->count] = before;
 	grant->stages[grant->count++] = endpoint;
 	endpoint->inflight++;
-	endpoint->peak = MAX(endpoint->peak, endpoint->inflight);
+	endpoint->inflight_peak = MAX(endpoint->inflight_peak, endpoint->inflight);
 	endpoint->granted++;
 	endpoint->refs++;
 }
 
-static void pool_start(struct pool *pool, const struct fair_item *item,
-		       struct fair_account *account, struct pool_wait *wait,
-		       struct pool_endpoint **stages, int count, int64_t now_us)
+static void pool_issue_grant(struct pool *pool, const struct fair_item *item,
+			     struct fair_account *account, struct pool_waiting *wait,
+			     struct pool_endpoint **stages, int count, int64_t now_us)
 {
 	struct pool_grant *grant =
 		pool_grant_new(pool, wait->entry, wait->ask_id, account, item->cost);
 
 	for (int s = 0; s < count; s++)
-		pool_grant_stage(grant, stages[s]);
+		pool_grant_add_stage(grant, stages[s]);
 	grant->waited_us = now_us - item->queued_us;
-	pool_paths_note(pool, grant, 1);
+	pool_paths_count_grant(pool, grant, 1);
 	g_hash_table_insert(pool->grants, &grant->id, grant);
 	pool->ops->grant(pool->ctx, grant, fair_wait_us(&pool->fair, account));
 }
 
-/* Gives back the slots; the grant is freed and must be out of the table. */
-static void pool_release(struct pool *pool, struct pool_grant *grant)
+/* Returns the slots of a grant and frees it. It must not be in pool->grants any more. */
+static void pool_release_grant(struct pool *pool, struct pool_grant *grant)
 {
-	pool_paths_note(pool, grant, -1);
+	pool_paths_count_grant(pool, grant, -1);
 	for (int s = 0; s < grant->count; s++) {
 		grant->stages[s]->inflight--;
 		pool_endpoint_unref(grant->stages[s]);
@@ -322,7 +324,7 @@
 	(void)now_us;
 	g_hash_table_iter_init(&iter, pool->waiting);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct pool_wait *wait = value;
+		struct pool_waiting *wait = value;
 
 		if (wait->entry != entry || wait->ask_id != ask_id)
 			continue;
@@ -332,7 +334,7 @@
 	}
 }
 
-static void pool_set_down(struct pool *pool, struct pool_endpoint *endpoint, int64_t now_us)
+static void pool_mark_down(struct pool *pool, struct pool_endpoint *endpoint, int64_t now_us)
 {
 	if (endpoint->down)
 		return;
@@ -341,13 +343,17 @@
 	pool_rebuild(pool, now_us);
 }
 
-static void pool_report_fault(struct pool *pool, const struct pool_grant *grant,
+/*
+ * Marks an endpoint down that refused or broke a connection, and probes it. For any other failure
+ * probes the endpoint at fault, or all stages of the grant if it is not known.
+ */
+static void pool_handle_fault(struct pool *pool, const struct pool_grant *grant,
 			      enum pool_outcome outcome, const char *bad, int64_t now_us)
 {
 	struct pool_endpoint *endpoint = bad ? pool_find(pool, bad) : NULL;
 
 	if (outcome == POOL_OUTCOME_REFUSED && endpoint) {
-		pool_set_down(pool, endpoint, now_us);
+		pool_mark_down(pool, endpoint, now_us);
 		pool->ops->probe(pool->ctx, endpoint);
 		return;
 	}
@@ -367,8 +373,8 @@
 	g_hash_table_remove(pool->grants, &grant_id);
 	fair_done(&pool->fair, grant->account, grant->tokens, tokens);
 	if (outcome != POOL_OUTCOME_OK)
-		pool_report_fault(pool, grant, outcome, bad, now_us);
-	pool_release(pool, grant);
+		pool_handle_fault(pool, grant, outcome, bad, now_us);
+	pool_release_grant(pool, grant);
 	pool_schedule(pool, now_us);
 }
 
@@ -382,14 +388,14 @@
 		struct pool_endpoint *endpoint = pool_find(pool, *name);
 
 		if (endpoint)
-			pool_grant_stage(grant, endpoint);
+			pool_grant_add_stage(grant, endpoint);
 	}
 	if (grant->count == 0) {
 		g_free(grant);
 		return 0;
 	}
 	fair_adopt(&pool->fair, account, ask->tokens);
-	pool_paths_note(pool, grant, 1);
+	pool_paths_count_grant(pool, grant, 1);
 	g_hash_table_insert(pool->grants, &grant->id, grant);
 	return grant->id;
 }
@@ -402,7 +408,7 @@
 
 	g_hash_table_iter_init(&iter, pool->waiting);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		if (((struct pool_wait *)value)->entry != entry)
+		if (((struct pool_waiting *)value)->entry != entry)
 			continue;
 		fair_withdraw(&pool->fair, *(uint64_t *)key);
 		g_hash_table_iter_remove(&iter);
@@ -415,14 +421,15 @@
 			continue;
 		g_hash_table_iter_remove(&iter);
 		fair_done(&pool->fair, grant->account, grant->tokens, grant->tokens);
-		pool_release(pool, grant);
+		pool_release_grant(pool, grant);
 	}
 	pool_schedule(pool, now_us);
 }
 
 /*
- * Reports lag: work granted since then is not in them, work that ended since then still is. So only
- * what a report shows beyond the most that was granted here of late can be another home's doing.
+ * Load reports lag: they may lack work granted since they were made and include work that has ended
+ * since. So only requests beyond the highest number recently granted here are attributed to another
+ * home.
  */
 void pool_on_load(struct pool *pool, const char *endpoint, int running, bool leaving,
 		  int64_t now_us)
@@ -435,9 +442,9 @@
 	was_usable = pool_endpoint_usable(e);
 	e->reported = running;
 	e->report_us = now_us;
-	e->foreign = MAX(running - MAX(e->peak, e->last_peak), 0);
-	e->last_peak = e->peak;
-	e->peak = e->inflight;
+	e->foreign_inflight = MAX(running - MAX(e->inflight_peak, e->previous_peak), 0);
+	e->previous_peak = e->inflight_peak;
+	e->inflight_peak = e->inflight;
 	if (leaving && !e->leaving)
 		e->leaving_us = now_us;
 	e->leaving = leaving;
@@ -453,7 +460,7 @@
 	struct pool_endpoint *e = pool_find(pool, endpoint);
 
 	if (e)
-		pool_set_down(pool, e, now_us);
+		pool_mark_down(pool, e, now_us);
 }
 
 void pool_on_tick(struct pool *pool, int64_t now_us)
@@ -464,14 +471,14 @@
 	gpointer value;
 
 	while (fair_expire(&pool->fair, now_us, &item)) {
-		struct pool_wait *wait = g_hash_table_lookup(pool->waiting, &item.id);
+		struct pool_waiting *wait = g_hash_table_lookup(pool->waiting, &item.id);
 
 		pool_refuse(pool, wait, POOL_REFUSE_DEADLINE, pool->settings.no_path_grace_us);
 		g_hash_table_remove(pool->waiting, &item.id);
 	}
 	g_hash_table_iter_init(&iter, pool->waiting);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct pool_wait *wait = value;
+		struct pool_waiting *wait = value;
 
 		if (!pool_is_unservable(pool, wait->version, now_us))
 			continue;
--- a/pool/pool.h
+++ b/pool/pool.h
@@ -10,157 +10,180 @@
 G_BEGIN_DECLS
 
 /*
- * A pool: the endpoints of one model that operators have put together, and the queue of client
- * accounts before them. Its home grants pipelines. Pure: events and the time in, grants and
- * refusals out through callbacks.
+ * A pool is the set of endpoints that operators assigned to it, all serving one model. It queues
+ * requests by client account and grants each of them a pipeline: a sequence of endpoints (stages)
+ * that together hold every layer of the model. The host that issues a pool's grants is the pool's
+ * home; the host that accepted a client's request and asks the home for a grant is its entry.
+ *
+ * Performs no I/O: the caller passes in events and the current time; grants and refusals are
+ * delivered through callbacks. All times are in microseconds.
  */
 enum pool_refusal {
-	POOL_REFUSE_FULL,     /* the account's queue is full */
-	POOL_REFUSE_DEADLINE, /* it would start after its deadline */
-	POOL_REFUSE_NO_PATH,  /* no pipeline covers every layer */
+	POOL_REFUSE_FULL,     /* the queue of the client account is full */
+	POOL_REFUSE_DEADLINE, /* the request would start after its deadline */
+	POOL_REFUSE_NO_PATH,  /* no pipeline covers every layer of the model */
 	POOL_REFUSE_COUNT
 };
 
-/* How an attempt that had a grant ended, as its entry tells. */
+/* How an attempt under a grant ended, as reported by its entry. */
 enum pool_outcome {
-	POOL_OUTCOME_OK,      /* whole, or given up by the caller */
-	POOL_OUTCOME_REFUSED, /* the endpoint refused the connection, or broke it */
-	POOL_OUTCOME_STALLED, /* no token in time; which stage is at fault is not known */
-	POOL_OUTCOME_NOT_RUN  /* the endpoint said so: leaving, or does not hold the layers */
+	POOL_OUTCOME_OK,      /* the answer was complete, or the caller disconnected */
+	POOL_OUTCOME_REFUSED, /* an endpoint refused the connection or broke it */
+	POOL_OUTCOME_STALLED, /* no token within the time limit; the stage at fault is unknown */
+	POOL_OUTCOME_NOT_RUN  /* the endpoint declined: it is leaving or lacks the layers */
 };
 
+/* How the stages of a request are chosen. */
 enum pool_policy {
-	POOL_POLICY_FLOW,	  /* the flow's paths, corrected by work in flight */
-	POOL_POLICY_WEIGHTS,	  /* the flow's paths by smooth weighted round robin alone */
-	POOL_POLICY_LEAST_LOADED, /* least loaded endpoint of each stage by the last reports */
+	POOL_POLICY_FLOW,	  /* the path of the maximum flow with the least work in flight */
+	POOL_POLICY_WEIGHTS,	  /* paths of the maximum flow by smooth weighted round robin */
+	POOL_POLICY_LEAST_LOADED, /* for each stage, the endpoint last reported least loaded */
 	POOL_POLICY_COUNT
 };
 
 struct pool_endpoint {
 	char *name;
 	char *address;
-	char *version;
-	int first;
-	int last;
-	int64_t rate;
-	int slots;	    /* requests that it batches */
-	bool declared;	    /* still in the configuration */
-	bool draining;	    /* by the configuration */
-	bool leaving;	    /* by its own word, or it does not hold what is declared */
-	int64_t leaving_us; /* since when */
-	bool down;	    /* by evidence */
-	int64_t down_us;    /* since when */
-	int inflight;	    /* granted here */
-	int foreign;	    /* running there beyond what was granted here, by the last report */
-	int reported;	    /* running there by the last report */
-	int peak;	    /* highest inflight since the last report */
-	int last_peak;	    /* the same between the two reports before */
-	int64_t report_us;
-	uint64_t granted; /* in all */
-	int refs;
+	char *version;	      /* version of the model that it is declared to hold */
+	int first;	      /* first layer that it holds, from 0 */
+	int last;	      /* last layer that it holds */
+	int64_t rate;	      /* tokens a second that it processes */
+	int slots;	      /* number of requests that it runs in one batch */
+	bool declared;	      /* present in the configuration in force */
+	bool draining;	      /* an operator has set it to drain */
+	bool leaving;	      /* reported that it is leaving or lacks the declared layers */
+	int64_t leaving_us;   /* time at which leaving became true */
+	bool down;	      /* it refused or broke a connection, or did not answer a load poll */
+	int64_t down_us;      /* time at which down became true */
+	int inflight;	      /* requests in flight that this pool granted */
+	int foreign_inflight; /* estimate of requests in flight that other homes granted */
+	int reported;	      /* requests running at it by the last load report */
+	int inflight_peak;    /* highest inflight since the last load report */
+	int previous_peak;    /* highest inflight between the two latest load reports */
+	int64_t report_us;    /* time of the last load report */
+	uint64_t granted;     /* number of grants with this endpoint since it was declared */
+	int refs;	      /* references: one of the pool, and one for each grant */
 };
 
+/* A request for a grant. */
 struct pool_ask {
-	uint64_t entry; /* who asks; the caller's own number for it */
-	uint64_t ask_id;
-	const char *account;
+	uint64_t entry;	     /* the caller's number for the entry's connection */
+	uint64_t ask_id;     /* the entry's number for this request for a grant */
+	const char *account; /* name of the client account */
 	struct fair_limits limits;
-	const char *version;
-	uint64_t tokens; /* estimate */
-	int64_t deadline_us;
-	int priority;
-	const char *const *exclude; /* endpoints to pass over if possible, NULL-terminated */
+	const char *version;	    /* version of the model */
+	uint64_t tokens;	    /* estimated number of tokens */
+	int64_t deadline_us;	    /* latest time at which it may start */
+	int priority;		    /* higher starts first among requests of the account */
+	const char *const *exclude; /* endpoints to avoid if possible, NULL-terminated */
 };
 
+/* A pipeline granted to one attempt of a request. */
 struct pool_grant {
 	uint64_t id;
 	uint64_t entry;
 	uint64_t ask_id;
 	struct fair_account *account;
-	uint64_t tokens;
+	uint64_t tokens; /* estimated number of tokens */
 	struct pool_endpoint *stages[FLOW_STAGES_MAX];
-	int first[FLOW_STAGES_MAX]; /* layers that the stage runs: first..last of the endpoint */
-	int count;
-	int64_t waited_us;
+	int first[FLOW_STAGES_MAX]; /* first layer that each stage runs; its last is the endpoint's
+				     */
+	int count;		    /* number of stages */
+	int64_t waited_us;	    /* time that the request spent in the queue */
 };
 
 struct pool_ops {
+	/* Sends a grant. wait_us: expected wait of the account's next request. */
 	void (*grant)(void *ctx, const struct pool_grant *grant, int64_t wait_us);
+
+	/* Refuses a request for a grant. retry_us: time after which a retry may succeed. */
 	void (*refuse)(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
 		       int64_t retry_us);
 
-	/* Something is wrong with the endpoint: ask it for its load now. */
+	/* Polls the load of an endpoint at once, because an attempt failed on it. */
 	void (*probe)(void *ctx, const struct pool_endpoint *endpoint);
 };
 
 struct pool_settings {
 	enum pool_policy policy;
-	int overlap_percent;  /* of what the stages of a pipeline batch, that is let in flight */
-	unsigned int divisor; /* uses one part in so many of the slots; 1 for a home */
-	int64_t no_path_grace_us; /* how long requests wait for a pipeline to appear */
+	int overlap_percent;	  /* limit of requests in flight, in percent of slots x stages */
+	unsigned int divisor;	  /* this host uses 1/divisor of the slots; 1 at the home */
+	int64_t no_path_grace_us; /* how long requests wait for a pipeline to become available */
 };
 
+/* A path of the maximum flow for one version. */
 struct pool_path {
-	struct flow_path flow; /* nodes are indices into the endpoints of one version */
+	struct flow_path flow; /* its nodes are indices into the usable endpoints of the version */
 	struct pool_endpoint *stages[FLOW_STAGES_MAX];
 	const char *version;
-	int64_t current; /* of smooth weighted round robin */
-	int inflight;
+	int64_t round_robin_credit; /* current weight in the smooth weighted round robin */
+	int inflight;		    /* requests in flight on exactly these stages */
 };
 
 struct pool {
 	char *name;
 	char *model;
-	int layers;
-	int64_t activation;
+	int layers;	    /* number of layers of the model; 0 if it is not configured */
+	int64_t activation; /* bytes that one token passes from stage to stage */
 	const struct pool_ops *ops;
 	void *ctx;
 	struct pool_settings settings;
 	struct conf_state *conf;
 	GPtrArray *endpoints; /* struct pool_endpoint, in order of name */
-	GHashTable *links;    /* "from to" -> bytes a second, as a pointer-sized number */
+	GHashTable *links;    /* "FROM TO" -> bandwidth in bytes a second, as an integer */
 	GPtrArray *paths;     /* struct pool_path */
-	int64_t bound;	      /* tokens a second of all versions */
+	int64_t bound;	      /* maximum flow of all versions together, in tokens a second */
 	struct fair fair;
-	GHashTable *waiting; /* item id -> struct pool_wait */
-	GHashTable *grants;  /* grant id -> struct pool_grant */
-	uint64_t last_id;
-	int64_t no_path_since_us; /* 0: there is one */
+	GHashTable *waiting;	  /* id of the queued item -> struct pool_waiting */
+	GHashTable *grants;	  /* grant id -> struct pool_grant */
+	uint64_t last_id;	  /* id given last to a queued item or a grant */
+	int64_t no_path_since_us; /* time at which the last path was lost; 0 while a path exists */
 };
 
 void pool_init(struct pool *pool, const char *name, const struct pool_settings *settings,
 	       const struct pool_ops *ops, void *ctx);
 void pool_finish(struct pool *pool);
 
-/* A new configuration is in force. Takes a reference on conf. */
+/* Applies a new configuration. Takes a reference on conf. */
 void pool_on_conf(struct pool *pool, struct conf_state *conf, int64_t now_us);
 
+/* Queues a request for a grant. The answer, grant or refuse, may be called at once. */
 void pool_on_ask(struct pool *pool, const struct pool_ask *ask, int64_t now_us);
+
+/* Removes a request for a grant that still waits. */
 void pool_on_withdraw(struct pool *pool, uint64_t entry, uint64_t ask_id, int64_t now_us);
 
-/* An attempt ended. bad names the endpoint at fault, or is NULL. */
+/*
+ * Ends a grant after its attempt ended. tokens: number actually generated. bad: name of the
+ * endpoint at fault, or NULL if none is known.
+ */
 void pool_on_done(struct pool *pool, uint64_t grant_id, uint64_t tokens, enum pool_outcome outcome,
 		  const char *bad, int64_t now_us);
 
 /*
- * An entry tells what it has in flight that another home granted. Returns the id of the grant that
- * stands for it here, or 0 when none of the stages is known.
+ * Records a grant that another home issued, after its entry has moved to this home with the
+ * attempt in flight. stages: names of its endpoints, NULL-terminated. Returns the id of the grant
+ * here, or 0 if none of the endpoints is known.
  */
 uint64_t pool_on_holding(struct pool *pool, const struct pool_ask *ask, const char *const *stages);
 
-/* The connection to an entry is gone: what it waited for and what it held is given up. */
+/* Drops the waiting requests and the grants of an entry whose connection was closed. */
 void pool_on_entry_gone(struct pool *pool, uint64_t entry, int64_t now_us);
 
-/* A load report; running counts every request at the endpoint. */
+/* Applies a load report. running: all requests at the endpoint, whoever granted them. */
 void pool_on_load(struct pool *pool, const char *endpoint, int running, bool leaving,
 		  int64_t now_us);
+
+/* Marks an endpoint as down until its next load report. */
 void pool_on_endpoint_down(struct pool *pool, const char *endpoint, int64_t now_us);
 
-/* To be called about ten times a second: expires what waited too long. */
+/* Refuses requests that waited too long. To be called about ten times a second. */
 void pool_on_tick(struct pool *pool, int64_t now_us);
 
+/* Returns the endpoint of that name, or NULL. */
 struct pool_endpoint *pool_find(const struct pool *pool, const char *endpoint);
 
+/* Names used in metrics and settings. */
 const char *pool_refusal_name(enum pool_refusal why);
 const char *pool_policy_name(enum pool_policy policy);
 
--- a/pool/pool_test.cc
+++ b/pool/pool_test.cc
@@ -15,14 +15,14 @@
 	const char *name;
 	std::vector<flow_node> nodes;
 	int layers;
-	int64_t link; /* same for all */
+	int64_t link; /* rate of every link, in tokens a second */
 	int64_t bound;
 	size_t paths;
 };
 
 const FlowCase kFlowCases[] = {
 	{"one node holds all", {{0, 3, 100}}, 4, FLOW_UNLIMITED, 100, 1},
-	{"a layer is missing", {{0, 1, 100}, {3, 3, 100}}, 4, FLOW_UNLIMITED, 0, 0},
+	{"no node holds layer 2", {{0, 1, 100}, {3, 3, 100}}, 4, FLOW_UNLIMITED, 0, 0},
 	{"two stages", {{0, 1, 100}, {2, 3, 60}}, 4, FLOW_UNLIMITED, 60, 1},
 	{"slow link", {{0, 1, 100}, {2, 3, 60}}, 4, 10, 10, 1},
 	{"two by two",
@@ -125,9 +125,11 @@
 	int64_t now_ = kSecond;
 };
 
-TEST_F(PoolTest, GrantsCoverEveryLayerAndKeepToTheSlots)
+TEST_F(PoolTest, GrantsCoverEveryLayerAndRespectTheSlots)
 {
-	/* One slot each, two stages: a request is in one of them at a time, so two are in flight.
+	/*
+	 * With one slot at each endpoint and two stages, two requests may be in flight at an
+	 * endpoint, because a request is in one stage at a time.
 	 */
 	std::map<std::string, int> load;
 	for (uint64_t i = 1; i <= 6; i++) {
@@ -137,7 +139,7 @@
 			load[a.stages.substr(0, 2)]++;
 			load[a.stages.substr(3, 2)]++;
 		} else {
-			EXPECT_EQ(a.ask, 0u) << "no slot is free: it waits";
+			EXPECT_EQ(a.ask, 0u) << "must wait: no slot is free";
 		}
 	}
 	for (const auto &[name, n] : load)
@@ -147,12 +149,11 @@
 	EXPECT_EQ(answers_.back().ask, 5u);
 }
 
-TEST_F(PoolTest, DeadStageGetsNothingUntilItAnswersAgain)
+TEST_F(PoolTest, DeadStageGetsNoRequestsUntilItAnswersAgain)
 {
 	/*
-	 * Symptom: requests go on being sent to a stage that died a moment ago.
-	 * Sequence: an entry reports that a2 refused; the list and the load reports lag.
-	 * Cause: not using what entries see.
+	 * Guards against sending further requests to a stage that has just died. An entry reports
+	 * the refused connection before the endpoint list and the load reports show the death.
 	 */
 	Answer first = Ask(1);
 	std::string bad = first.stages.substr(0, 2);
@@ -166,7 +167,7 @@
 	EXPECT_NE(answers_.back().stages.find(bad), std::string::npos);
 }
 
-TEST_F(PoolTest, StalledPipelineIsProbedAndPassedOver)
+TEST_F(PoolTest, StalledPipelineIsProbedAndAvoided)
 {
 	Answer first = Ask(1);
 	std::string a = first.stages.substr(0, 2);
@@ -178,12 +179,11 @@
 	EXPECT_EQ(again.stages.find(b), std::string::npos);
 }
 
-TEST_F(PoolTest, LeavingEndpointsGetNothingNew)
+TEST_F(PoolTest, LeavingEndpointsGetNoNewRequests)
 {
 	/*
-	 * Symptom: an endpoint that is being shut down gets new work until it vanishes.
-	 * Sequence: the operator drains a1; a2 itself reports that it is leaving.
-	 * Cause: using one source of news only.
+	 * Guards against new work for an endpoint that is being shut down. Both sources must count:
+	 * an operator drains a1, and a2 reports in its load report that it is leaving.
 	 */
 	Conf("drain endpoint a1");
 	EXPECT_EQ(Ask(1).stages.substr(0, 2), "a2");
@@ -193,12 +193,12 @@
 	EXPECT_EQ(answers_.back().stages.substr(0, 2), "a1");
 }
 
-TEST_F(PoolTest, WithoutAPipelineItRefusesSoonAndSaysWhen)
+TEST_F(PoolTest, RequestsWithoutAPipelineAreRefusedWithARetryTime)
 {
 	Ask(1);
 	pool_on_endpoint_down(&pool_, "a1", now_);
 	pool_on_endpoint_down(&pool_, "a2", now_);
-	EXPECT_EQ(Ask(2).ask, 0u) << "an endpoint may answer again at once";
+	EXPECT_EQ(Ask(2).ask, 0u) << "must wait: an endpoint may answer again";
 	now_ += 2 * kSecond;
 	pool_on_tick(&pool_, now_);
 	EXPECT_EQ(answers_.back().ask, 2u);
@@ -208,40 +208,42 @@
 }
 
 /*
- * Symptom: the first request of a new version was refused with no_pipeline though both endpoints of
- * it lived. Sequence: one of them refuses a connection on a busy machine; its next report is a
- * moment away; the other version still has a pipeline. Cause: the moment of grace was counted from
- * when the pool had no pipeline of any version.
+ * Guards against refusing the first request for a new version with no_pipeline while both of its
+ * endpoints run. On a busy machine one of them refuses a connection and its next load report is
+ * still to come. The other version has a pipeline, so the grace period must not be counted from the
+ * time at which the pool lost its last pipeline of any version.
  */
-TEST_F(PoolTest, AVersionThatIsDownForAMomentIsNotRefused)
+TEST_F(PoolTest, RequestsForAVersionDownForLessThanTheGracePeriodWait)
 {
 	Conf("endpoint a2 version v2\nendpoint b2 version v2\nmodel m version v2\n");
 	Answer first = Ask(1, {}, "acc", 1, "v2");
 	EXPECT_EQ(first.stages, "a2,b2");
 	pool_on_done(&pool_, first.grant, 0, POOL_OUTCOME_REFUSED, "a2", now_);
-	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").ask, 0u) << "it waits for the report";
+	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").ask, 0u) << "must wait for the load report";
 	pool_on_tick(&pool_, now_ + kSecond);
 	EXPECT_EQ(answers_.size(), 1u);
 	pool_on_load(&pool_, "a2", 0, false, now_ + kSecond);
 	EXPECT_EQ(answers_.back().stages, "a2,b2");
 	pool_on_endpoint_down(&pool_, "a2", now_ + kSecond);
 	now_ += 3 * kSecond;
-	EXPECT_EQ(Ask(3, {}, "acc", 1, "v2").refusal, POOL_REFUSE_NO_PATH) << "not for long";
-	EXPECT_EQ(Ask(4, {}, "acc", 1, "v3").refusal, POOL_REFUSE_NO_PATH) << "nobody holds it";
+	EXPECT_EQ(Ask(3, {}, "acc", 1, "v2").refusal, POOL_REFUSE_NO_PATH) << "grace period over";
+	EXPECT_EQ(Ask(4, {}, "acc", 1, "v3").refusal, POOL_REFUSE_NO_PATH)
+		<< "no endpoint holds v3";
 }
 
 /*
- * Symptom: the first request of a new version was refused with no_pipeline, 9 times in 28 on a busy
- * machine. Sequence: two endpoints are declared to hold it; the home's report of them comes before
- * they have loaded it; they load it, it becomes current, a request comes before the next report.
- * Cause: an endpoint that does not hold what is declared counted as one that leaves for good.
+ * Guards against refusing the first request for a new version with no_pipeline, seen 9 times in 28
+ * runs on a busy machine. Two endpoints are declared to hold the version, and their load reports
+ * arrive before they have loaded it. Then they load it, it becomes the current version, and a
+ * request arrives before their next reports. An endpoint that does not yet hold what is declared
+ * must not count as leaving for good.
  */
-TEST_F(PoolTest, AVersionThatWasLoadedSinceTheLastReportIsNotRefused)
+TEST_F(PoolTest, RequestsForAVersionLoadedSinceTheLastReportWait)
 {
 	Conf("endpoint a2 version v2\nendpoint b2 version v2\nmodel m version v2\n");
 	pool_on_load(&pool_, "a2", 0, true, now_);
 	pool_on_load(&pool_, "b2", 0, true, now_);
-	EXPECT_EQ(Ask(1, {}, "acc", 1, "v2").ask, 0u) << "it waits for the next report";
+	EXPECT_EQ(Ask(1, {}, "acc", 1, "v2").ask, 0u) << "must wait for the next load report";
 	now_ += kSecond;
 	pool_on_load(&pool_, "a2", 0, false, now_);
 	EXPECT_EQ(answers_.size(), 0u);
@@ -250,15 +252,15 @@
 	pool_on_load(&pool_, "a2", 0, true, now_);
 	now_ += 3 * kSecond;
 	pool_on_load(&pool_, "a2", 0, true, now_);
-	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").refusal, POOL_REFUSE_NO_PATH) << "not for long";
+	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").refusal, POOL_REFUSE_NO_PATH) << "grace period over";
 }
 
-TEST_F(PoolTest, LostPipelineDoesNotInflateTheWait)
+TEST_F(PoolTest, LostPipelineDoesNotInflateTheExpectedWait)
 {
 	/*
-	 * Symptom: requests are refused with a time to come back of more than an hour.
-	 * Sequence: the only stage for some layers is away for a moment while a request waits.
-	 * Cause: estimating waits from the bound, which is nothing then.
+	 * Guards against refusing requests with a retry time of more than an hour. The only stages
+	 * for some layers are down for a moment while a request waits; the expected wait must not
+	 * be computed from the bound, which is zero then.
 	 */
 	pool_on_endpoint_down(&pool_, "a1", now_);
 	pool_on_endpoint_down(&pool_, "a2", now_);
@@ -266,12 +268,13 @@
 	pool_on_ask(&pool_, &ask, now_);
 	ask.ask_id = 2;
 	pool_on_ask(&pool_, &ask, now_);
-	EXPECT_EQ(answers_.size(), 0u) << "both wait: 4000 tokens at 200 a second are 20 s";
+	EXPECT_EQ(answers_.size(), 0u)
+		<< "both must wait: 4000 tokens at 200 tokens a second take 20 s";
 	pool_on_load(&pool_, "a1", 0, false, now_);
 	EXPECT_EQ(answers_.size(), 2u);
 }
 
-TEST_F(PoolTest, EntryThatVanishesHoldsNothing)
+TEST_F(PoolTest, SlotsOfADisconnectedEntryAreFreed)
 {
 	for (uint64_t i = 1; i <= 4; i++)
 		Ask(i, {}, "acc", 7);
@@ -281,12 +284,12 @@
 	EXPECT_EQ(pool_find(&pool_, "a1")->inflight + pool_find(&pool_, "a2")->inflight, 1);
 }
 
-TEST_F(PoolTest, NewHomeLearnsWhatIsInFlight)
+TEST_F(PoolTest, NewHomeCountsAttemptsInFlight)
 {
 	/*
-	 * Symptom: after a home dies the next one doubles the load of every endpoint.
-	 * Sequence: entries move to a home that has granted nothing yet.
-	 * Cause: the new home counting only its own grants.
+	 * Guards against a new home that doubles the load of every endpoint. After the old home has
+	 * died, entries move to a home that has not granted anything; it must count the attempts
+	 * that they have in flight, not only its own grants.
 	 */
 	const char *stages[] = {"a1", "b1", nullptr};
 	pool_ask held = {1, 0, "acc", {1, 10, 100}, "v1", 10, 0, 0, nullptr};
@@ -300,21 +303,20 @@
 	EXPECT_EQ(answers_.back().stages, "a1,b1");
 }
 
-TEST_F(PoolTest, ReportsShowWhatOtherHomesGranted)
+TEST_F(PoolTest, ReportsShowRequestsGrantedByOtherHomes)
 {
 	/*
-	 * Symptom: two hosts that both believe they are home fill endpoints twice over.
-	 * Sequence: the reports show more than was granted here.
-	 * Cause: counting only own grants. Reports lag, so what this home granted a moment ago and
-	 * has ended must not be taken for somebody else's.
+	 * Guards against two hosts that both act as home and fill endpoints twice. The load reports
+	 * show more requests than were granted here; the excess must count. Reports lag, so a
+	 * request that was granted here and has just ended must not be attributed to another home.
 	 */
 	Answer own = Ask(1);
 	std::string a = own.stages.substr(0, 2);
 	pool_on_done(&pool_, own.grant, 10, POOL_OUTCOME_OK, nullptr, now_);
 	pool_on_load(&pool_, a.c_str(), 1, false, now_);
-	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign, 0);
+	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign_inflight, 0);
 	pool_on_load(&pool_, a.c_str(), 3, false, now_);
-	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign, 2);
+	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign_inflight, 2);
 	EXPECT_NE(Ask(2).stages.substr(0, 2), a);
 }
 
