--- a/req/code.c
+++ b/req/code.c
@@ -1,8 +1,8 @@
 #include "req/code.h"
 
 /*
- * The only table of endings. "no" stands only where nothing was ever dispatched, or where every
- * endpoint that was asked has said that it did not run the request.
+ * Properties of every code. REQ_RAN_NO is used only where nothing was ever dispatched, or where
+ * every endpoint to which the request was dispatched has answered that it did not run it.
  */
 static const struct req_code_info req_codes[REQ_CODE_COUNT] = {
 	[REQ_OK] = {"ok", 200, REQ_RAN_YES, "answered"},
--- a/req/matrix_test.cc
+++ b/req/matrix_test.cc
@@ -13,9 +13,9 @@
 #include <vector>
 
 /*
- * The fault matrix over the pure decisions: the life of a request and the claims, in a small world
- * with a clock of its own. Every fault is brought about at every step, alone and in pairs, and what
- * must always hold is looked at afterwards.
+ * Fault matrix of the request state machine (req) and the claims (once), run in a discrete-event
+ * simulation with its own clock. Every fault is injected at every step, alone and in pairs, and the
+ * invariants are checked afterwards.
  */
 namespace
 {
@@ -24,10 +24,11 @@
 constexpr int64_t kSecond = 1000 * kMs;
 constexpr uint64_t kTokens = 6;
 constexpr int64_t kDeadline = 20 * kSecond;
-constexpr int64_t kEnd = 150 * kSecond;
-constexpr int64_t kSilent = 900 * kMs; /* after which a silent peer is given up */
-constexpr int64_t kFreeze = 6 * kSecond;
+constexpr int64_t kEndOfSimulation = 150 * kSecond;
+constexpr int64_t kSilenceLimit = 900 * kMs; /* a peer silent for longer counts as lost */
+constexpr int64_t kFreezeTime = 6 * kSecond; /* how long a frozen host is suspended */
 
+/* Steps of the first request at which faults are injected. */
 enum Step {
 	kAccepted,
 	kGrantAsked,
@@ -38,7 +39,7 @@
 	kFirstToken,
 	kMidAnswer,
 	kLastToken,
-	kEndMark,
+	kEndFrame,
 	kSteps
 };
 
@@ -75,30 +76,32 @@
 	kLogOk,
 	kLogIsOut,
 	kLogIsSlow,
-	kLogLoses
+	kLogLosesAnswer
 };
 
 struct World;
 
+/* The faults of a pipeline. slow: factor on the time between tokens. */
 struct Pipeline {
 	bool first_dead = false, later_dead = false, silent = false, drained = false;
 	int slow = 1;
 };
 
-/* A run at an engine, and who listens to it. */
+/* A run at an engine, and the sessions that receive its stream. */
 struct Run {
 	std::string handle, key, request;
 	int pipeline = 0;
 	uint64_t first = 0, next = 0;
-	bool over = false, failed = false, detached = false;
+	bool ended = false, failed = false, detached = false;
 	struct Listener {
 		int session;
 		unsigned attempt;
-		bool mute;
+		bool muted;
 	};
 	std::vector<Listener> listeners;
 };
 
+/* A host that decides claims. */
 struct Home {
 	World *world = nullptr;
 	struct once once;
@@ -106,7 +109,7 @@
 	int64_t frozen_until = 0;
 };
 
-/* One request at one entry host. */
+/* One request at one entry host, with the tokens that its caller received. */
 struct Session {
 	World *world = nullptr;
 	int index = 0, entry = 0;
@@ -118,7 +121,7 @@
 	int winner_session = -1, run_pipeline = 0, pipeline = 0;
 	int64_t timer_due = -1;
 	uint64_t timer_serial = 0;
-	std::vector<uint64_t> got;
+	std::vector<uint64_t> received;
 	bool finished = false, caller_gone = false;
 	enum req_code code = REQ_OK;
 	std::vector<int> joiners;
@@ -127,7 +130,7 @@
 struct Entry {
 	bool dead = false, stopping = false;
 	int64_t frozen_until = 0;
-	int home = 0; /* of claims and grants, as this entry's list has it */
+	int home = 0; /* index of the home of claims and grants in this entry's list of hosts */
 };
 
 struct Injection {
@@ -137,31 +140,31 @@
 };
 
 struct World {
-	World(bool idempotent, bool second_at_once, std::vector<Injection> injections);
+	World(bool idempotent, bool two_callers, std::vector<Injection> injections);
 	~World();
 
-	void At(int64_t when, std::function<void()> fn)
+	void ScheduleAt(int64_t when, std::function<void()> fn)
 	{
 		events.push({when, serial++, std::move(fn)});
 	}
-	void After(int64_t delay, std::function<void()> fn)
+	void ScheduleAfter(int64_t delay, std::function<void()> fn)
 	{
-		At(now + delay, std::move(fn));
+		ScheduleAt(now + delay, std::move(fn));
 	}
-	/* For an entry: dropped when it is dead, put off while it is frozen. */
+	/* Schedules an event of an entry or home: dropped if dead, delayed while frozen. */
 	void ToEntry(int entry, int64_t delay, std::function<void()> fn);
 	void ToHome(int home, int64_t delay, std::function<void()> fn);
 	void Run();
-	void Hit(int session, Step step);
+	void ReachStep(int session, Step step);
 	void Inject(Fault fault);
-	int Open(int entry, bool again);
-	void Tell(Session *s);
+	int StartSession(int entry, bool repeated);
+	void OnSessionEnd(Session *s);
 	void Generate(std::shared_ptr<struct Run> run);
 	void Attach(std::shared_ptr<struct Run> run, Session *s, unsigned attempt, uint64_t from);
 	void AskHome(Session *s, unsigned attempt, bool supersede, const std::string &id, int home,
 		     int tries);
 	void Join(Session *s);
-	void Give(Session *from, int to);
+	void SendAnswer(Session *from, int to);
 	std::string Check();
 
 	struct Event {
@@ -185,7 +188,7 @@
 	Pipeline pipelines[2];
 	std::vector<std::unique_ptr<Session>> sessions;
 	std::vector<std::shared_ptr<struct Run>> runs;
-	std::map<std::string, int> claim_sessions; /* claim id -> session */
+	std::map<std::string, int> claim_sessions; /* id of the claim -> index of its session */
 	req_settings settings;
 	req_budget budget;
 	req_est first_est{}, gap_est{};
@@ -194,7 +197,7 @@
 
 void World::ToEntry(int entry, int64_t delay, std::function<void()> fn)
 {
-	After(delay, [this, entry, fn]() {
+	ScheduleAfter(delay, [this, entry, fn]() {
 		if (entries[entry].dead)
 			return;
 		if (entries[entry].frozen_until > now)
@@ -206,7 +209,7 @@
 
 void World::ToHome(int home, int64_t delay, std::function<void()> fn)
 {
-	After(delay, [this, home, fn]() {
+	ScheduleAfter(delay, [this, home, fn]() {
 		if (homes[home].dead)
 			return;
 		if (homes[home].frozen_until > now)
@@ -216,7 +219,7 @@
 	});
 }
 
-/* --- homes and the log --- */
+/* Callbacks of the homes, and the log. */
 
 void HomeAppend(void *ctx, const char *record)
 {
@@ -230,9 +233,9 @@
 		w->ToHome(index, 5 * kMs, [h]() { once_on_appended(&h->once, false); });
 		return;
 	}
-	w->After(mode == kLogIsSlow ? 1500 * kMs : 5 * kMs, [w, text]() {
+	w->ScheduleAfter(mode == kLogIsSlow ? 1500 * kMs : 5 * kMs, [w, text]() {
 		w->log.push_back(text);
-		w->Hit(0, kClaimAppended);
+		w->ReachStep(0, kClaimAppended);
 	});
 	if (mode == kLogOk)
 		w->ToHome(index, 5 * kMs, [h]() { once_on_appended(&h->once, true); });
@@ -247,7 +250,7 @@
 	int index = (int)(h - w->homes);
 
 	w->ToHome(index, 5 * kMs, [h, w, from]() {
-		bool ok = w->log_mode == kLogOk || w->log_mode == kLogLoses;
+		bool ok = w->log_mode == kLogOk || w->log_mode == kLogLosesAnswer;
 		for (size_t i = (size_t)from; ok && i < w->log.size(); i++)
 			once_on_record(&h->once, (int64_t)i, str_of(w->log[i].c_str()), w->now);
 		once_on_read(&h->once, ok, (int64_t)w->log.size(), w->now);
@@ -267,7 +270,7 @@
 	w->ToEntry(s->entry, kMs, [=]() {
 		if (s->finished)
 			return;
-		w->Hit(s->index, kClaimRead);
+		w->ReachStep(s->index, kClaimRead);
 		if (w->entries[s->entry].dead)
 			return;
 		if (verdict == ONCE_LOST && s->req.state == REQ_WAIT_CLAIM) {
@@ -289,12 +292,12 @@
 {
 	w->ToHome(home, 250 * kMs, [w, home]() {
 		once_on_tick(&w->homes[home].once, w->now);
-		if (w->now < kEnd)
+		if (w->now < kEndOfSimulation)
 			HomeTick(w, home);
 	});
 }
 
-/* --- what a request asks its entry host to do --- */
+/* Callbacks of the requests. */
 
 void ActAsk(void *ctx, unsigned attempt, char *const *exclude)
 {
@@ -305,21 +308,21 @@
 
 	for (char *const *name = exclude; name && *name; name++)
 		excluded[atoi(*name)] = true;
-	w->Hit(s->index, kGrantAsked);
-	w->ToEntry(s->entry, home_up ? 2 * kMs : kSilent, [=]() {
-		int pick = -1;
-		for (int p = 0; p < 2 && pick < 0; p++) {
+	w->ReachStep(s->index, kGrantAsked);
+	w->ToEntry(s->entry, home_up ? 2 * kMs : kSilenceLimit, [=]() {
+		int chosen = -1;
+		for (int p = 0; p < 2 && chosen < 0; p++) {
 			if (!excluded[p] && !w->pipelines[p].drained)
-				pick = p;
+				chosen = p;
 		}
-		if (pick < 0)
-			pick = w->pipelines[0].drained ? 1 : 0;
+		if (chosen < 0)
+			chosen = w->pipelines[0].drained ? 1 : 0;
 		if (s->finished || s->req.state != REQ_WAIT_GRANT || s->req.attempt != attempt)
 			return;
-		s->pipeline = pick;
-		std::string name = std::to_string(pick);
+		s->pipeline = chosen;
+		std::string name = std::to_string(chosen);
 		char *route[] = {(char *)name.c_str(), nullptr};
-		w->Hit(s->index, kGranted);
+		w->ReachStep(s->index, kGranted);
 		if (!w->entries[s->entry].dead)
 			req_on_granted(&s->req, attempt, route, w->now);
 	});
@@ -366,11 +369,11 @@
 	run->detached = !s->idempotent;
 	s->run_handle = run->handle;
 	s->run_pipeline = p;
-	w->Hit(s->index, kDispatched);
-	w->After(kMs, [=]() {
-		const Pipeline &pipe = w->pipelines[p];
-		if (pipe.first_dead || pipe.drained) {
-			req_break why = pipe.first_dead ? REQ_BREAK_NOT_SENT : REQ_BREAK_NOT_RUN;
+	w->ReachStep(s->index, kDispatched);
+	w->ScheduleAfter(kMs, [=]() {
+		const Pipeline &state = w->pipelines[p];
+		if (state.first_dead || state.drained) {
+			req_break why = state.first_dead ? REQ_BREAK_NOT_SENT : REQ_BREAK_NOT_RUN;
 			w->ToEntry(s->entry, kMs, [=]() {
 				if (!s->finished)
 					req_on_break(&s->req, attempt, why,
@@ -393,9 +396,9 @@
 
 	for (auto &run : w->runs) {
 		for (auto &l : run->listeners)
-			l.mute = l.mute || l.session == s->index;
+			l.muted = l.muted || l.session == s->index;
 	}
-	w->After(kMs, [=]() {
+	w->ScheduleAfter(kMs, [=]() {
 		std::shared_ptr<Run> found;
 		for (auto &run : w->runs) {
 			if (run->handle == handle)
@@ -421,9 +424,9 @@
 
 	for (auto &run : s->world->runs) {
 		for (auto &l : run->listeners)
-			l.mute = l.mute || l.session == s->index;
+			l.muted = l.muted || l.session == s->index;
 		if (run->request == s->request && (stop || !run->detached))
-			run->over = true;
+			run->ended = true;
 	}
 }
 
@@ -442,13 +445,13 @@
 {
 	Session *s = (Session *)ctx;
 
-	s->got.push_back(index);
-	if (s->got.size() == 1)
-		s->world->Hit(s->index, kFirstToken);
-	else if (s->got.size() == kTokens / 2)
-		s->world->Hit(s->index, kMidAnswer);
-	else if (s->got.size() == kTokens)
-		s->world->Hit(s->index, kLastToken);
+	s->received.push_back(index);
+	if (s->received.size() == 1)
+		s->world->ReachStep(s->index, kFirstToken);
+	else if (s->received.size() == kTokens / 2)
+		s->world->ReachStep(s->index, kMidAnswer);
+	else if (s->received.size() == kTokens)
+		s->world->ReachStep(s->index, kLastToken);
 }
 
 void ActFinish(void *ctx, req_code code, int64_t)
@@ -457,9 +460,9 @@
 
 	s->finished = true;
 	s->code = code;
-	s->world->Tell(s);
+	s->world->OnSessionEnd(s);
 	if (code == REQ_OK)
-		s->world->Hit(s->index, kEndMark);
+		s->world->ReachStep(s->index, kEndFrame);
 }
 
 void ActTimer(void *ctx, int64_t due)
@@ -477,10 +480,10 @@
 			 ActCancel, ActUngrant,	 ActJoin,  ActDeliver, ActFinish,   ActTimer};
 const once_ops kOnceOps = {HomeAppend, HomeRead, HomeAnswer};
 
-/* --- the world --- */
+/* The simulation. */
 
-World::World(bool idem, bool second_at_once, std::vector<Injection> inj)
-	: idempotent(idem), injections(std::move(inj))
+World::World(bool idempotent_request, bool two_callers, std::vector<Injection> injection_list)
+	: idempotent(idempotent_request), injections(std::move(injection_list))
 {
 	once_settings once = {500 * kMs, 3600 * kSecond};
 
@@ -492,9 +495,9 @@
 		once_init(&homes[h].once, &once, &kOnceOps, &homes[h]);
 		HomeTick(this, h);
 	}
-	Open(0, false);
-	if (second_at_once)
-		Open(1, false);
+	StartSession(0, false);
+	if (two_callers)
+		StartSession(1, false);
 }
 
 World::~World()
@@ -505,8 +508,8 @@
 		once_finish(&h.once);
 }
 
-/* A caller asks, at one entry host; the same caller again after it had no whole answer. */
-int World::Open(int entry, bool again)
+/* Starts the caller's request at an entry host, or its repetition after an incomplete answer. */
+int World::StartSession(int entry, bool repeated)
 {
 	auto s = std::make_unique<Session>();
 	req_params params = {&settings,	 &budget, &first_est,	   &gap_est,
@@ -518,15 +521,15 @@
 	s->idempotent = idempotent;
 	s->request = "r" + std::to_string(s->index);
 	req_init(&s->req, &params, &kReqOps, s.get());
-	Session *raw = s.get();
+	Session *started = s.get();
 	sessions.push_back(std::move(s));
-	(void)again;
-	ToEntry(entry, kMs, [this, raw]() {
-		Hit(raw->index, kAccepted);
-		if (!entries[raw->entry].dead)
-			req_start(&raw->req, now);
+	(void)repeated;
+	ToEntry(entry, kMs, [this, started]() {
+		ReachStep(started->index, kAccepted);
+		if (!entries[started->entry].dead)
+			req_start(&started->req, now);
 	});
-	return raw->index;
+	return started->index;
 }
 
 void World::AskHome(Session *s, unsigned attempt, bool supersede, const std::string &id, int home,
@@ -536,7 +539,7 @@
 
 	ToHome(home, kMs, [=]() {
 		std::string handle = s->request + "-" + std::to_string(attempt);
-		std::string pipe = std::to_string(s->pipeline);
+		std::string route = std::to_string(s->pipeline);
 		std::string old;
 		if (supersede)
 			old = !s->winner_id.empty()  ? s->winner_id
@@ -544,13 +547,13 @@
 						     : "";
 		once_claim claim = {(char *)"a/k",	    (char *)id.c_str(),
 				    (char *)handle.c_str(), (char *)"e",
-				    (char *)pipe.c_str(),   (char *)"d",
+				    (char *)route.c_str(),  (char *)"d",
 				    (char *)old.c_str()};
 		once_on_ask(&homes[home].once, {(uint64_t)s->index, attempt}, &claim, now);
 	});
-	/* A home that is lost is found so by its silence; the claim goes to the next one. */
+	/* A lost home is detected by its silence; the claim is then sent to the other home. */
 	if (down && tries < 2)
-		ToEntry(s->entry, kSilent, [=]() {
+		ToEntry(s->entry, kSilenceLimit, [=]() {
 			if (!s->finished && s->req.state == REQ_WAIT_CLAIM)
 				AskHome(s, attempt, supersede, id, 1 - home, tries + 1);
 		});
@@ -562,41 +565,41 @@
 	size_t l = run->listeners.size() - 1;
 	for (uint64_t i = from; i < run->next; i++)
 		ToEntry(s->entry, kMs, [=]() {
-			if (!s->finished && !run->listeners[l].mute)
+			if (!s->finished && !run->listeners[l].muted)
 				req_on_token(&s->req, attempt, i, "t", 1, now);
 		});
 	if (run->next == kTokens)
 		ToEntry(s->entry, kMs, [=]() {
-			if (!s->finished && !run->listeners[l].mute)
+			if (!s->finished && !run->listeners[l].muted)
 				req_on_end(&s->req, attempt, kTokens, now);
 		});
 }
 
-/* The next token of a run, twenty milliseconds on; or what became of it. */
+/* Generates the next token of a run after 20 ms, or reports that the run failed. */
 void World::Generate(std::shared_ptr<struct Run> run)
 {
 	const int64_t step = 20 * kMs * pipelines[run->pipeline].slow;
 
-	After(step, [=]() {
-		const Pipeline &pipe = pipelines[run->pipeline];
-		if (run->over || run->next == kTokens)
+	ScheduleAfter(step, [=]() {
+		const Pipeline &state = pipelines[run->pipeline];
+		if (run->ended || run->next == kTokens)
 			return;
-		if (pipe.silent) {
-			After(50 * kMs, [=]() { Generate(run); });
+		if (state.silent) {
+			ScheduleAfter(50 * kMs, [=]() { Generate(run); });
 			return;
 		}
-		bool dead = pipe.first_dead || pipe.later_dead;
+		bool dead = state.first_dead || state.later_dead;
 		uint64_t index = run->next;
 		if (dead)
-			run->over = run->failed = true;
+			run->ended = run->failed = true;
 		else
 			run->next++;
 		for (size_t i = 0; i < run->listeners.size(); i++) {
 			Session *s = sessions[(size_t)run->listeners[i].session].get();
 			unsigned attempt = run->listeners[i].attempt;
-			bool first = pipe.first_dead;
+			bool first = state.first_dead;
 			ToEntry(s->entry, kMs, [=]() {
-				if (s->finished || run->listeners[i].mute)
+				if (s->finished || run->listeners[i].muted)
 					return;
 				if (dead) {
 					req_on_break(&s->req, attempt,
@@ -624,23 +627,23 @@
 		return;
 	}
 	if (entries[winner->entry].frozen_until > now && winner->entry != s->entry) {
-		ToEntry(s->entry, kSilent, [=]() {
+		ToEntry(s->entry, kSilenceLimit, [=]() {
 			if (!s->finished && s->req.state == REQ_JOINING)
 				req_on_join_lost(&s->req, now);
 		});
 		return;
 	}
 	if (winner->finished)
-		Give(winner, s->index);
+		SendAnswer(winner, s->index);
 	else
 		winner->joiners.push_back(s->index);
 }
 
-void World::Give(Session *from, int to)
+void World::SendAnswer(Session *from, int to)
 {
 	Session *s = sessions[(size_t)to].get();
 	bool never = !from->req.dispatched && req_code_info(from->code)->ran == REQ_RAN_NO;
-	size_t n = from->got.size();
+	size_t n = from->received.size();
 	req_code code = from->code;
 
 	ToEntry(s->entry, kMs, [=]() {
@@ -656,19 +659,22 @@
 	});
 }
 
-/* A session has ended: joiners hear of it, and a caller without its answer asks again elsewhere. */
-void World::Tell(Session *s)
+/*
+ * Handles the end of a session: sends its answer to joined sessions, and starts a repetition at
+ * another entry if the caller has no answer.
+ */
+void World::OnSessionEnd(Session *s)
 {
 	for (int j : s->joiners)
-		Give(s, j);
+		SendAnswer(s, j);
 	s->joiners.clear();
 	if (s->code == REQ_OK || sessions.size() >= 4 || s->code == REQ_EUNKNOWN)
 		return;
 	int entry = entries[1].dead ? 0 : 1;
-	After(kSecond, [this, entry]() { Open(entry, true); });
+	ScheduleAfter(kSecond, [this, entry]() { StartSession(entry, true); });
 }
 
-void World::Hit(int session, Step step)
+void World::ReachStep(int session, Step step)
 {
 	if (session != 0)
 		return;
@@ -689,7 +695,7 @@
 		entries[0].dead = true;
 		for (auto &run : runs) {
 			if (!run->detached)
-				run->over = true;
+				run->ended = true;
 		}
 		for (auto &s : sessions) {
 			std::vector<int> joiners = s->joiners;
@@ -701,20 +707,20 @@
 				});
 		}
 		if (!sessions[0]->finished)
-			After(10 * kMs, [this]() { Open(1, true); });
+			ScheduleAfter(10 * kMs, [this]() { StartSession(1, true); });
 		break;
 	case kHomeDies:
 		homes[0].dead = true;
 		for (auto &s : sessions) {
-			Session *raw = s.get();
-			if (raw->finished || raw->req.state != REQ_WAIT_CLAIM)
+			Session *started = s.get();
+			if (started->finished || started->req.state != REQ_WAIT_CLAIM)
 				continue;
-			unsigned attempt = raw->req.attempt;
-			std::string id = raw->claims.back();
-			bool supersede = raw->req.superseded;
-			ToEntry(raw->entry, 5 * kMs, [=]() {
-				if (!raw->finished && raw->req.state == REQ_WAIT_CLAIM)
-					AskHome(raw, attempt, supersede, id, 1, 1);
+			unsigned attempt = started->req.attempt;
+			std::string id = started->claims.back();
+			bool supersede = started->req.supersedes_claim;
+			ToEntry(started->entry, 5 * kMs, [=]() {
+				if (!started->finished && started->req.state == REQ_WAIT_CLAIM)
+					AskHome(started, attempt, supersede, id, 1, 1);
 			});
 		}
 		break;
@@ -733,7 +739,7 @@
 	case kConnectionSilent:
 		for (auto &run : runs) {
 			for (auto &l : run->listeners)
-				l.mute = true;
+				l.muted = true;
 		}
 		break;
 	case kLogOut:
@@ -743,15 +749,15 @@
 		log_mode = kLogIsSlow;
 		break;
 	case kAppendAnswerLost:
-		log_mode = kLogLoses;
+		log_mode = kLogLosesAnswer;
 		break;
 	case kEntryFrozen:
-		entries[0].frozen_until = now + kFreeze;
+		entries[0].frozen_until = now + kFreezeTime;
 		if (!sessions[0]->finished)
-			After(kSecond, [this]() { Open(1, true); });
+			ScheduleAfter(kSecond, [this]() { StartSession(1, true); });
 		break;
 	case kHomeFrozen:
-		homes[0].frozen_until = now + kFreeze;
+		homes[0].frozen_until = now + kFreezeTime;
 		break;
 	case kHostListStale:
 		entries[0].home = 1;
@@ -769,7 +775,7 @@
 
 void World::Run()
 {
-	while (!events.empty() && events.top().when <= kEnd) {
+	while (!events.empty() && events.top().when <= kEndOfSimulation) {
 		Event e = events.top();
 		events.pop();
 		now = e.when;
@@ -777,7 +783,7 @@
 	}
 }
 
-/* What must always hold. Returns "" or what is wrong. */
+/* Checks the invariants. Returns "" or a description of the violated one. */
 std::string World::Check()
 {
 	std::map<std::string, int> runs_of;
@@ -794,22 +800,22 @@
 		if (!s->finished && !lost)
 			return "request " + s->request + " never ended, state " +
 			       req_state_name(s->req.state);
-		for (size_t i = 0; i < s->got.size(); i++) {
-			if (s->got[i] != i)
-				return "tokens out of order or doubled in " + s->request;
+		for (size_t i = 0; i < s->received.size(); i++) {
+			if (s->received[i] != i)
+				return "tokens out of order or duplicated in " + s->request;
 		}
 		if (!s->finished)
 			continue;
-		if (s->code == REQ_OK && s->got.size() != kTokens)
-			return "an incomplete answer was given as whole";
+		if (s->code == REQ_OK && s->received.size() != kTokens)
+			return "an incomplete answer was reported as complete";
 		if (req_code_info(s->code)->ran == REQ_RAN_NO && runs_of[s->request] > 0)
-			return "said not to have run, but ran: " + s->request + " " +
+			return "reported as not run, but ran: " + s->request + " " +
 			       req_code_info(s->code)->name;
 	}
 	return "";
 }
 
-/* Faults that a repeatable request must survive without its caller noticing. */
+/* Returns whether an idempotent request must succeed at its first entry despite the fault. */
 bool MustSucceed(Fault fault)
 {
 	return fault != kEntryDies && fault != kFaults;
@@ -821,17 +827,18 @@
 
 TEST_P(Matrix, EveryFaultAtEveryStep)
 {
-	bool idem = GetParam();
+	bool idempotent_request = GetParam();
 
 	for (int second = 0; second < 2; second++) {
 		for (int step = 0; step < kSteps; step++) {
 			for (int fault = 0; fault < kFaults; fault++) {
-				World w(idem, second != 0, {{(Step)step, (Fault)fault, false}});
+				World w(idempotent_request, second != 0,
+					{{(Step)step, (Fault)fault, false}});
 				w.Run();
 				EXPECT_EQ(w.Check(), "")
 					<< kFaultNames[fault] << " at " << kStepNames[step]
-					<< (second ? ", both ask at once" : "");
-				if (!idem || !MustSucceed((Fault)fault))
+					<< (second ? ", two callers at once" : "");
+				if (!idempotent_request || !MustSucceed((Fault)fault))
 					continue;
 				EXPECT_EQ(req_code_info(w.sessions[0]->code)->name,
 					  std::string("ok"))
@@ -843,14 +850,14 @@
 
 TEST_P(Matrix, EveryPairOfFaults)
 {
-	bool idem = GetParam();
+	bool idempotent_request = GetParam();
 	int worlds = 0;
 
 	for (int s1 = 0; s1 < kSteps; s1++) {
 		for (int s2 = s1; s2 < kSteps; s2++) {
 			for (int f1 = 0; f1 < kFaults; f1++) {
 				for (int f2 = 0; f2 < kFaults; f2++) {
-					World w(idem, (f1 + f2) % 2 != 0,
+					World w(idempotent_request, (f1 + f2) % 2 != 0,
 						{{(Step)s1, (Fault)f1, false},
 						 {(Step)s2, (Fault)f2, false}});
 					w.Run();
@@ -871,15 +878,15 @@
 				 return info.param ? "Repeatable" : "NonIdempotent";
 			 });
 
-/* The table for docs/PROOF.md: how the first caller's request ends in each cell. */
+/* Prints the tables for docs/PROOF.md: the end of the first caller's request in each case. */
 TEST(MatrixTable, Print)
 {
 	FILE *out = getenv("BG_MATRIX") ? stdout : fopen("/dev/null", "w");
 
 	ASSERT_NE(out, nullptr);
-	for (int idem = 1; idem >= 0; idem--) {
+	for (int idempotent_request = 1; idempotent_request >= 0; idempotent_request--) {
 		fprintf(out, "\n%s\n\n| fault |",
-			idem ? "Repeatable requests" : "Non-idempotent requests");
+			idempotent_request ? "Repeatable requests" : "Non-idempotent requests");
 		for (const char *name : kStepNames)
 			fprintf(out, " %s |", name);
 		fprintf(out, "\n|---|");
@@ -889,7 +896,8 @@
 		for (int fault = 0; fault < kFaults; fault++) {
 			fprintf(out, "| %s |", kFaultNames[fault]);
 			for (int step = 0; step < kSteps; step++) {
-				World w(idem, false, {{(Step)step, (Fault)fault, false}});
+				World w(idempotent_request, false,
+					{{(Step)step, (Fault)fault, false}});
 				w.Run();
 				bool reached = w.injections[0].done;
 				const auto &s = w.sessions[0];
--- a/req/req.c
+++ b/req/req.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-static void req_ask(struct req *req);
+static void req_request_grant(struct req *req);
 static void req_dispatch(struct req *req, int64_t now_us);
 static void req_end(struct req *req, enum req_code code, int64_t retry_us);
 static void req_retry(struct req *req, enum req_break why, int64_t now_us);
 static void req_resume(struct req *req, int64_t now_us);
-static void req_ungrant(struct req *req, enum req_grant_end end, const char *bad);
+static void req_release_grant(struct req *req, enum req_grant_end end, const char *bad);
 static void req_set_timer(struct req *req, int64_t now_us);
 static void req_on_silence(struct req *req, int64_t now_us);
 static bool req_is_current(const struct req *req, unsigned int attempt);
@@ -22,7 +22,7 @@
 	[REQ_DONE] = "done",
 };
 
-static const enum req_grant_end req_break_ends[] = {
+static const enum req_grant_end req_failure_grant_ends[] = {
 	[REQ_BREAK_NOT_SENT] = REQ_GRANT_REFUSED, [REQ_BREAK_NOT_RUN] = REQ_GRANT_NOT_RUN,
 	[REQ_BREAK_LOST] = REQ_GRANT_REFUSED,	  [REQ_BREAK_FAILED] = REQ_GRANT_STALLED,
 	[REQ_BREAK_MISSING] = REQ_GRANT_OK,
@@ -46,11 +46,13 @@
 	budget->per_request = per_request;
 }
 
+/* Credits the budget for a new request. */
 static void req_budget_earn(struct req_budget *budget)
 {
 	budget->tokens = MIN(budget->tokens + budget->per_request, budget->burst);
 }
 
+/* Charges one retry to the budget. Returns false if the budget is used up. */
 static bool req_budget_spend(struct req_budget *budget)
 {
 	if (budget->tokens < 1)
@@ -72,9 +74,9 @@
 	req->idempotent = params->idempotent;
 	req->service = params->service;
 	req->deadline_us = params->deadline_us;
-	req->jitter = params->seed;
-	req->held = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					  (GDestroyNotify)g_bytes_unref);
+	req->jitter_state = params->seed;
+	req->early_tokens = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+						  (GDestroyNotify)g_bytes_unref);
 	req->exclude = g_ptr_array_new_with_free_func(g_free);
 	req->route = g_ptr_array_new_with_free_func(g_free);
 	g_ptr_array_add(req->exclude, NULL);
@@ -82,7 +84,7 @@
 
 void req_finish(struct req *req)
 {
-	g_hash_table_destroy(req->held);
+	g_hash_table_destroy(req->early_tokens);
 	g_ptr_array_free(req->exclude, TRUE);
 	g_ptr_array_free(req->route, TRUE);
 }
@@ -104,8 +106,8 @@
 		g_ptr_array_add(req->route, g_strdup(*name));
 }
 
-/* Time after which silence counts as a failure in the current state. */
-static int64_t req_silence_us(const struct req *req)
+/* Returns the time without a token, in microseconds, after which an attempt counts as stalled. */
+static int64_t req_silence_limit_us(const struct req *req)
 {
 	const struct req_settings *s = req->settings;
 
@@ -116,6 +118,7 @@
 	return req_est_limit(req->first_est, s->first_floor_us, s->first_ceiling_us);
 }
 
+/* Sets the timer to the earliest time limit of the current state. */
 static void req_set_timer(struct req *req, int64_t now_us)
 {
 	int64_t due = req->deadline_us;
@@ -123,10 +126,10 @@
 
 	(void)now_us;
 	if (req->state == REQ_WAIT_CLAIM)
-		due = MIN(due, req->asked_us + req->settings->claim_us);
-	silence = req_silence_us(req);
-	if (req->state == REQ_RUNNING && silence < due - req->sent_us)
-		due = req->sent_us + silence;
+		due = MIN(due, req->claim_sent_us + req->settings->claim_us);
+	silence = req_silence_limit_us(req);
+	if (req->state == REQ_RUNNING && silence < due - req->last_progress_us)
+		due = req->last_progress_us + silence;
 	req->ops->timer(req->ctx, due);
 }
 
@@ -134,18 +137,18 @@
 {
 	req_budget_earn(req->budget);
 	req->attempt = 1;
-	req_ask(req);
+	req_request_grant(req);
 	if (req->state != REQ_DONE)
 		req_set_timer(req, now_us);
 }
 
-static void req_ask(struct req *req)
+static void req_request_grant(struct req *req)
 {
 	req->state = REQ_WAIT_GRANT;
 	req->ops->ask(req->ctx, req->attempt, (char *const *)req->exclude->pdata);
 }
 
-static void req_ungrant(struct req *req, enum req_grant_end end, const char *bad)
+static void req_release_grant(struct req *req, enum req_grant_end end, const char *bad)
 {
 	if (!req->granted)
 		return;
@@ -153,21 +156,21 @@
 	req->ops->ungrant(req->ctx, req->attempt, end, bad);
 }
 
-/* The one way out. Whatever is still held for the request is given back here. */
+/* Ends the request on every path and releases its grant, claim or attempt. */
 static void req_end(struct req *req, enum req_code code, int64_t retry_us)
 {
-	enum req_state was = req->state;
+	enum req_state previous = req->state;
 
-	if (was == REQ_DONE)
+	if (previous == REQ_DONE)
 		return;
 	req->state = REQ_DONE;
-	if (was == REQ_WAIT_GRANT)
+	if (previous == REQ_WAIT_GRANT)
 		req->ops->withdraw(req->ctx, req->attempt);
-	if (was == REQ_WAIT_CLAIM || (req->claimed && !req->dispatched))
+	if (previous == REQ_WAIT_CLAIM || (req->claimed && !req->dispatched))
 		req->ops->release(req->ctx, req->attempt);
-	if ((was == REQ_RUNNING || was == REQ_RESUMING) && code != REQ_OK)
+	if ((previous == REQ_RUNNING || previous == REQ_RESUMING) && code != REQ_OK)
 		req->ops->cancel(req->ctx, req->attempt, !req->joined);
-	req_ungrant(req, REQ_GRANT_OK, NULL);
+	req_release_grant(req, REQ_GRANT_OK, NULL);
 	req->ops->finish(req->ctx, code, retry_us);
 }
 
@@ -182,15 +185,15 @@
 		return;
 	}
 	req->state = REQ_WAIT_CLAIM;
-	req->asked_us = now_us;
+	req->claim_sent_us = now_us;
 	req->claimed = true;
-	req->ops->claim(req->ctx, attempt, req->superseded);
+	req->ops->claim(req->ctx, attempt, req->supersedes_claim);
 	req_set_timer(req, now_us);
 }
 
 /*
- * A fresh request that is refused gets its final answer at once, with when to come back. One whose
- * caller already has part of the answer asks again until its deadline.
+ * A request without delivered tokens ends at once with a retry time. One whose caller already has
+ * part of the answer requests a grant again until its deadline.
  */
 void req_on_refused(struct req *req, unsigned int attempt, enum req_grant_refusal why,
 		    int64_t retry_us, int64_t now_us)
@@ -209,15 +212,16 @@
 }
 
 /*
- * A host can be paused between its question and the verdict. A claim that is won long after it was
- * asked for is not used: somebody may have been told meanwhile that this host will not dispatch.
+ * A host can be suspended between sending a claim and receiving its verdict. A claim that is won
+ * long after it was sent is not used: another host may have been told in the meantime that this
+ * host will not dispatch under it.
  */
 void req_on_claim(struct req *req, unsigned int attempt, enum req_claim_verdict verdict,
 		  int64_t now_us)
 {
 	if (!req_is_current(req, attempt) || req->state != REQ_WAIT_CLAIM)
 		return;
-	if (verdict == REQ_CLAIM_WON && now_us - req->asked_us <= req->settings->dispatch_us) {
+	if (verdict == REQ_CLAIM_WON && now_us - req->claim_sent_us <= req->settings->dispatch_us) {
 		req_dispatch(req, now_us);
 		return;
 	}
@@ -226,7 +230,7 @@
 		return;
 	}
 	req->claimed = false;
-	req_ungrant(req, REQ_GRANT_OK, NULL);
+	req_release_grant(req, REQ_GRANT_OK, NULL);
 	if (verdict == REQ_CLAIM_REUSED) {
 		req->state = REQ_BACKOFF;
 		req_end(req, REQ_EKEYREUSED, 0);
@@ -244,36 +248,37 @@
 	req->state = REQ_RUNNING;
 	req->dispatched = true;
 	req->first_seen = false;
-	req->sent_us = now_us;
-	g_hash_table_remove_all(req->held);
+	req->last_progress_us = now_us;
+	g_hash_table_remove_all(req->early_tokens);
 	req->ops->dispatch(req->ctx, req->attempt, req->next);
 	req_set_timer(req, now_us);
 }
 
-static void req_note_timing(struct req *req, int64_t now_us)
+static void req_record_timing(struct req *req, int64_t now_us)
 {
 	if (req->service || req->joined)
 		return;
-	req_est_add(req->first_seen ? req->gap_est : req->first_est, now_us - req->sent_us);
+	req_est_add(req->first_seen ? req->gap_est : req->first_est,
+		    now_us - req->last_progress_us);
 }
 
-static void req_deliver_held(struct req *req)
+static void req_deliver_in_order(struct req *req)
 {
 	GBytes *bytes;
 
-	while ((bytes = g_hash_table_lookup(req->held, &req->next))) {
+	while ((bytes = g_hash_table_lookup(req->early_tokens, &req->next))) {
 		gsize len;
 		const char *text = g_bytes_get_data(bytes, &len);
 		uint64_t index = req->next++;
 
 		req->ops->deliver(req->ctx, index, text, len);
-		g_hash_table_remove(req->held, &index);
+		g_hash_table_remove(req->early_tokens, &index);
 	}
 }
 
 /*
- * Tokens can come late from an attempt that was given up, doubled by a resumed stream, or ahead of
- * one that is missing. The caller must see each index once, in order, from one attempt at a time.
+ * Tokens can arrive late from an abandoned attempt, twice from a resumed stream, or ahead of a
+ * missing one. The caller must receive each index once, in order, from one attempt at a time.
  */
 void req_on_token(struct req *req, unsigned int attempt, uint64_t index, const char *text,
 		  size_t len, int64_t now_us)
@@ -284,11 +289,12 @@
 		return;
 	if (req->state == REQ_RESUMING)
 		req->state = REQ_RUNNING;
-	req_note_timing(req, now_us);
+	req_record_timing(req, now_us);
 	req->first_seen = true;
-	req->sent_us = now_us;
-	g_hash_table_replace(req->held, g_memdup2(&index, sizeof(index)), g_bytes_new(text, len));
-	req_deliver_held(req);
+	req->last_progress_us = now_us;
+	g_hash_table_replace(req->early_tokens, g_memdup2(&index, sizeof(index)),
+			     g_bytes_new(text, len));
+	req_deliver_in_order(req);
 	req_set_timer(req, now_us);
 }
 
@@ -326,22 +332,24 @@
 	}
 	if (bad)
 		req_exclude(req, bad);
-	req_ungrant(req, req_break_ends[why], bad);
+	req_release_grant(req, req_failure_grant_ends[why], bad);
 	req_retry(req, why, now_us);
 }
 
 /*
- * The next attempt. A non-idempotent request comes here only when the endpoint never got it or said
- * that it did not run it; it then claims its key anew, with its new route.
+ * Starts the next attempt, at once for the second one and after a backoff for later ones, or ends
+ * the request when attempts or budget are used up. A non-idempotent request is retried only if the
+ * endpoint never received it or answered that it did not run it; it then claims its key again for
+ * the new route.
  */
 static void req_retry(struct req *req, enum req_break why, int64_t now_us)
 {
 	bool never_ran = why == REQ_BREAK_NOT_SENT || why == REQ_BREAK_NOT_RUN;
 	int64_t wait = req->settings->backoff_us << MIN(req->attempt - 1, 4U);
 
-	req->ran_before = req->ran_before || !never_ran;
-	req->dispatched = req->ran_before;
-	req->superseded = !req->idempotent;
+	req->may_have_run_before = req->may_have_run_before || !never_ran;
+	req->dispatched = req->may_have_run_before;
+	req->supersedes_claim = !req->idempotent;
 	if (req->attempt >= req->settings->attempts || !req_budget_spend(req->budget)) {
 		req->state = REQ_BACKOFF;
 		req_end(req, req->dispatched ? REQ_EBROKEN : REQ_EBUDGET,
@@ -350,18 +358,18 @@
 	}
 	req->attempt++;
 	if (req->attempt == 2) {
-		req_ask(req);
+		req_request_grant(req);
 		if (req->state != REQ_DONE)
 			req_set_timer(req, now_us);
 		return;
 	}
-	req->jitter = req->jitter * UINT64_C(6364136223846793005) + 1;
-	wait += (int64_t)((req->jitter >> 33) % (uint64_t)MAX(wait, 1));
+	req->jitter_state = req->jitter_state * UINT64_C(6364136223846793005) + 1;
+	wait += (int64_t)((req->jitter_state >> 33) % (uint64_t)MAX(wait, 1));
 	req->state = REQ_BACKOFF;
 	req->ops->timer(req->ctx, MIN(now_us + wait, req->deadline_us));
 }
 
-/* Looks for the run that was dispatched; it is never started a second time. */
+/* Schedules an attempt to reattach to the dispatched run, which is never started a second time. */
 static void req_resume(struct req *req, int64_t now_us)
 {
 	if (req->service) {
@@ -380,6 +388,10 @@
 	req->ops->timer(req->ctx, MIN(now_us + req->settings->backoff_us, req->deadline_us));
 }
 
+/*
+ * No token arrived within the time limit. An idempotent request is retried without any endpoint of
+ * the stalled route; any other reattaches to its run.
+ */
 static void req_on_silence(struct req *req, int64_t now_us)
 {
 	if (!req->idempotent || req->joined) {
@@ -389,7 +401,7 @@
 	for (guint i = 0; i < req->route->len; i++)
 		req_exclude(req, req->route->pdata[i]);
 	req->ops->cancel(req->ctx, req->attempt, true);
-	req_ungrant(req, REQ_GRANT_STALLED, NULL);
+	req_release_grant(req, REQ_GRANT_STALLED, NULL);
 	req_retry(req, REQ_BREAK_LOST, now_us);
 }
 
@@ -411,13 +423,13 @@
 	}
 	switch (req->state) {
 	case REQ_WAIT_CLAIM:
-		if (now_us - req->asked_us >= req->settings->claim_us)
+		if (now_us - req->claim_sent_us >= req->settings->claim_us)
 			req_end(req, REQ_ECLAIM, req->settings->retry_after_us);
 		else
 			req_set_timer(req, now_us);
 		break;
 	case REQ_BACKOFF:
-		req_ask(req);
+		req_request_grant(req);
 		if (req->state != REQ_DONE)
 			req_set_timer(req, now_us);
 		break;
@@ -426,14 +438,14 @@
 			req_end(req, REQ_EUNKNOWN, 0);
 			break;
 		}
-		req->sent_us = now_us;
+		req->last_progress_us = now_us;
 		req->first_seen = false;
 		req->ops->resume(req->ctx, req->attempt, req->next);
 		req->ops->timer(req->ctx,
 				MIN(now_us + req->settings->first_ceiling_us, req->deadline_us));
 		break;
 	case REQ_RUNNING:
-		if (now_us - req->sent_us >= req_silence_us(req))
+		if (now_us - req->last_progress_us >= req_silence_limit_us(req))
 			req_on_silence(req, now_us);
 		else
 			req_set_timer(req, now_us);
@@ -473,16 +485,16 @@
 	if (req->state != REQ_JOINING)
 		return;
 	req->joined = false;
-	req->superseded = true;
+	req->supersedes_claim = true;
 	req->attempt++;
-	req_ask(req);
+	req_request_grant(req);
 	if (req->state != REQ_DONE)
 		req_set_timer(req, now_us);
 }
 
 /*
- * The run of a non-idempotent request goes on without its caller: whoever asks again with the same
- * key must find the whole answer.
+ * The run of a non-idempotent request continues without its caller: a repeated request with the
+ * same key must receive the complete answer.
  */
 void req_on_caller_gone(struct req *req, int64_t now_us)
 {
--- a/req/req.h
+++ b/req/req.h
@@ -11,103 +11,117 @@
 G_BEGIN_DECLS
 
 /*
- * The life of one request at its entry host: grant, claim, attempts, the order of its tokens, its
- * end. Pure: events and the time in, actions out through callbacks. Callbacks must not call back
- * into the request.
+ * State machine of one request at its entry, the host that accepted it from the caller. It obtains
+ * a grant (the endpoints to use), for a non-idempotent request also a claim (the right to dispatch
+ * it once), then dispatches attempts and delivers their tokens in order until the request ends.
+ *
+ * Performs no I/O: the caller passes in events and the current time, in microseconds; actions are
+ * requested through callbacks, which must not call back into the request.
  */
 enum req_state {
-	REQ_WAIT_GRANT,
-	REQ_WAIT_CLAIM,
-	REQ_RUNNING,  /* an attempt is dispatched */
-	REQ_BACKOFF,  /* waits before it asks for the next grant */
-	REQ_RESUMING, /* looks for the run of a dispatched non-idempotent request again */
-	REQ_JOINING,  /* another entry host has this key's run: waits for its answer */
+	REQ_WAIT_GRANT, /* waits for a grant */
+	REQ_WAIT_CLAIM, /* waits for the verdict on its claim */
+	REQ_RUNNING,	/* an attempt has been dispatched */
+	REQ_BACKOFF,	/* waits before it requests the next grant */
+	REQ_RESUMING,	/* tries to reattach to the run of a dispatched non-idempotent request */
+	REQ_JOINING,	/* waits for the answer of the entry host that runs the same key */
 	REQ_DONE
 };
 
+/* Why a grant was refused. */
 enum req_grant_refusal {
-	REQ_GRANT_QUEUE,
-	REQ_GRANT_WAIT,
-	REQ_GRANT_NO_PATH
+	REQ_GRANT_QUEUE,  /* the queue of the client account is full */
+	REQ_GRANT_WAIT,	  /* the request would start after its deadline */
+	REQ_GRANT_NO_PATH /* no pipeline covers every layer of the model */
 };
 
+/* Outcome of the claim for an idempotency key. */
 enum req_claim_verdict {
-	REQ_CLAIM_WON,
-	REQ_CLAIM_LOST,	  /* by another run of the key, with the same body */
-	REQ_CLAIM_REUSED, /* by a request with another body */
-	REQ_CLAIM_OUT
+	REQ_CLAIM_WON,	  /* this attempt may be dispatched */
+	REQ_CLAIM_LOST,	  /* another request with the same body holds the claim */
+	REQ_CLAIM_REUSED, /* a request with another body holds the claim */
+	REQ_CLAIM_OUT	  /* the log of claims is unavailable */
 };
 
-/* How an attempt's stream ended before its last frame. */
+/* How an attempt failed before the last frame of its stream. */
 enum req_break {
-	REQ_BREAK_NOT_SENT, /* the connection was never there: nothing left this host */
-	REQ_BREAK_NOT_RUN,  /* the endpoint said that it did not run it */
+	REQ_BREAK_NOT_SENT, /* no connection was established: nothing was sent */
+	REQ_BREAK_NOT_RUN,  /* the endpoint answered that it did not run the request */
 	REQ_BREAK_LOST,	    /* the stream broke */
-	REQ_BREAK_FAILED,   /* the engine said that its run has failed and is over */
+	REQ_BREAK_FAILED,   /* the engine reported that the run failed and has ended */
 	REQ_BREAK_MISSING   /* the endpoint does not know the run that was to be resumed */
 };
 
-/* What became of a grant, for its home. */
+/* How a grant ended, as reported to the pool's home. */
 enum req_grant_end {
-	REQ_GRANT_OK,
-	REQ_GRANT_REFUSED,
-	REQ_GRANT_STALLED,
-	REQ_GRANT_NOT_RUN
+	REQ_GRANT_OK,	   /* the endpoints are not at fault */
+	REQ_GRANT_REFUSED, /* an endpoint refused the connection or broke it */
+	REQ_GRANT_STALLED, /* an engine failed, or no token arrived within the time limit */
+	REQ_GRANT_NOT_RUN  /* the endpoint answered that it did not run the request */
 };
 
 struct req_ops {
-	/* Ask for a grant, passing over these endpoints if possible (NULL-terminated). */
+	/* Requests a grant that avoids the excluded endpoints if possible (NULL-terminated). */
 	void (*ask)(void *ctx, unsigned int attempt, char *const *exclude);
+
+	/* Withdraws the request for a grant. */
 	void (*withdraw)(void *ctx, unsigned int attempt);
 
-	/* Claim the key for the granted route; supersede the claim that was lost to, or not. */
+	/*
+	 * Claims the key for the granted route. supersede: the claim replaces an earlier claim of
+	 * the key under which nothing was run.
+	 */
 	void (*claim)(void *ctx, unsigned int attempt, bool supersede);
 
-	/* The claim will not be dispatched under. */
+	/* Releases the claim: nothing has been or will be dispatched under it. */
 	void (*release)(void *ctx, unsigned int attempt);
 
-	/* Send the request to the granted route, to go on after `delivered` tokens. */
+	/* Sends the request to the granted route. delivered: number of tokens to skip. */
 	void (*dispatch)(void *ctx, unsigned int attempt, uint64_t delivered);
 
-	/* Attach to the run again, from token `from`; it runs already and must not be started. */
+	/* Reattaches to the run from token `from` on; must not start the request again. */
 	void (*resume)(void *ctx, unsigned int attempt, uint64_t from);
 
-	/* Stop listening to the attempt. stop: also tell the engine to end the run. */
+	/* Closes the attempt's stream. stop: also requests the engine to end the run. */
 	void (*cancel)(void *ctx, unsigned int attempt, bool stop);
 
-	/* The grant is not needed any more; bad is the endpoint at fault or NULL. */
+	/* Returns the grant to the pool's home. bad: name of the endpoint at fault, or NULL. */
 	void (*ungrant)(void *ctx, unsigned int attempt, enum req_grant_end end, const char *bad);
 
-	/* Ask the entry host that won the key for its answer. */
+	/* Requests the answer from the entry host that holds the claim for the key. */
 	void (*join)(void *ctx);
 
+	/* Delivers one token to the caller. index: position in the answer, from 0. */
 	void (*deliver)(void *ctx, uint64_t index, const char *text, size_t len);
 
-	/* The end. retry_us: when to come back; 0 when that is of no use. */
+	/* Ends the request. retry_us: time after which to retry; 0 if a retry would not help. */
 	void (*finish)(void *ctx, enum req_code code, int64_t retry_us);
 
-	/* Call req_on_timer() at that time; replaces the time asked for before. */
+	/* Schedules req_on_timer() at due_us, replacing any earlier time. */
 	void (*timer)(void *ctx, int64_t due_us);
 };
 
-/* Retries are a share of fresh requests, so that they die out when everything fails. */
+/*
+ * Limits retries to a fraction of new requests, so that they cease when all attempts fail. Shared
+ * by the requests of an entry.
+ */
 struct req_budget {
-	double tokens;
-	double burst;
-	double per_request;
+	double tokens;	    /* number of retries that may be made now */
+	double burst;	    /* maximum of tokens */
+	double per_request; /* added to tokens by each new request */
 };
 
 struct req_settings {
-	int64_t first_floor_us; /* least and most time to wait for a first token */
-	int64_t first_ceiling_us;
-	int64_t gap_floor_us; /* least and most time to wait for a next token */
-	int64_t gap_ceiling_us;
-	int64_t claim_us;	/* a claim not answered by then is given up */
-	int64_t dispatch_us;	/* a claim won later than this after it was asked is not used */
-	int64_t backoff_us;	/* before the second attempt; doubles, with jitter */
-	int64_t resume_us;	/* how long a lost run is looked for */
-	int64_t retry_after_us; /* told when nothing better is known */
-	unsigned int attempts;	/* at most */
+	int64_t first_floor_us;	  /* minimum time limit for the first token */
+	int64_t first_ceiling_us; /* maximum time limit for the first token */
+	int64_t gap_floor_us;	  /* minimum time limit for each next token */
+	int64_t gap_ceiling_us;	  /* maximum time limit for each next token */
+	int64_t claim_us;	  /* time limit for the verdict on a claim */
+	int64_t dispatch_us;	  /* a claim won later than this after it was sent is not used */
+	int64_t backoff_us;	  /* base delay of retries; doubles with each one, plus jitter */
+	int64_t resume_us;	  /* time limit for reattaching to a lost run */
+	int64_t retry_after_us;	  /* retry time given to callers when no estimate exists */
+	unsigned int attempts;	  /* maximum number of attempts */
 };
 
 struct req {
@@ -115,31 +129,32 @@
 	void *ctx;
 	const struct req_settings *settings;
 	struct req_budget *budget;
-	struct req_est *first_est; /* of the pool; shared by its requests */
-	struct req_est *gap_est;
-	bool idempotent;
-	bool service; /* a plain service: no grant, one answer */
-	int64_t deadline_us;
-	uint64_t jitter; /* seeded */
+	struct req_est *first_est; /* times to the first token; shared by the pool's requests */
+	struct req_est *gap_est;   /* times between tokens; shared by the pool's requests */
+	bool idempotent;	   /* it may be run more than once */
+	bool service;	       /* a plain HTTP service: no grant, one answer instead of tokens */
+	int64_t deadline_us;   /* time at which the request fails */
+	uint64_t jitter_state; /* state of the random numbers for backoff jitter */
 
 	enum req_state state;
-	unsigned int attempt; /* the current one, from 1 */
-	bool granted;
-	bool claimed;	  /* a claim stands or may stand for this attempt */
-	bool dispatched;  /* this or an earlier attempt may have been run */
-	bool ran_before;  /* an earlier attempt may have been run */
-	bool joined;	  /* the run belongs to another entry host */
-	bool superseded;  /* the claim under way replaces one that was never used */
-	uint64_t next;	  /* index of the next token to deliver */
-	GHashTable *held; /* tokens that came too early: index -> GBytes */
-	GPtrArray *exclude;
-	GPtrArray *route; /* names of the granted endpoints */
-	int64_t asked_us; /* the claim */
-	int64_t sent_us;  /* the dispatch, or the latest token */
-	int64_t resume_until_us;
-	bool first_seen; /* the current attempt has brought a token */
+	unsigned int attempt;	  /* number of the current attempt, from 1 */
+	bool granted;		  /* a grant is held for the current attempt */
+	bool claimed;		  /* a claim for the current attempt exists or may exist */
+	bool dispatched;	  /* the current or an earlier attempt may have run */
+	bool may_have_run_before; /* an earlier attempt may have run */
+	bool joined;		  /* the run belongs to another entry host */
+	bool supersedes_claim;	  /* the next claim replaces one under which nothing was run */
+	uint64_t next;		  /* index of the next token to deliver */
+	GHashTable *early_tokens; /* tokens that arrived ahead of next: index -> GBytes */
+	GPtrArray *exclude;	  /* names of endpoints to avoid, NULL-terminated */
+	GPtrArray *route;	  /* names of the granted endpoints */
+	int64_t claim_sent_us;	  /* time at which the claim was sent */
+	int64_t last_progress_us; /* time of the dispatch or of the latest token */
+	int64_t resume_until_us;  /* time at which reattaching to the run is given up */
+	bool first_seen;	  /* a token of the current attempt has arrived */
 };
 
+/* Parameters of req_init(); their meaning is that of the fields in struct req. */
 struct req_params {
 	const struct req_settings *settings;
 	struct req_budget *budget;
@@ -148,7 +163,7 @@
 	bool idempotent;
 	bool service;
 	int64_t deadline_us;
-	uint64_t seed;
+	uint64_t seed; /* of the random numbers for backoff jitter */
 };
 
 void req_budget_init(struct req_budget *budget, double burst, double per_request);
@@ -157,7 +172,13 @@
 	      void *ctx);
 void req_finish(struct req *req);
 
+/* Requests the first grant. */
 void req_start(struct req *req, int64_t now_us);
+
+/*
+ * Handlers of events. Those with an attempt number ignore events of earlier attempts.
+ * req_on_granted(): route holds the names of the endpoints, NULL-terminated.
+ */
 void req_on_granted(struct req *req, unsigned int attempt, char *const *route, int64_t now_us);
 void req_on_refused(struct req *req, unsigned int attempt, enum req_grant_refusal why,
 		    int64_t retry_us, int64_t now_us);
@@ -166,25 +187,29 @@
 void req_on_token(struct req *req, unsigned int attempt, uint64_t index, const char *text,
 		  size_t len, int64_t now_us);
 
-/* The engine's last frame: the run has `count` tokens in all. */
+/* The engine's last frame arrived: the run generated `count` tokens in all. */
 void req_on_end(struct req *req, unsigned int attempt, uint64_t count, int64_t now_us);
 
-/* bad: the endpoint at fault as far as it is known, or NULL. */
+/* The attempt failed. bad: name of the endpoint at fault, or NULL if it is not known. */
 void req_on_break(struct req *req, unsigned int attempt, enum req_break why, const char *bad,
 		  int64_t now_us);
 
-/* The joined entry host sent its whole answer (tokens were delivered by req_on_token()). */
+/* The joined entry host ended its answer; its `count` tokens were passed to req_on_token(). */
 void req_on_joined(struct req *req, enum req_code code, uint64_t count, int64_t now_us);
 
 /* The joined entry host cannot be reached. */
 void req_on_join_lost(struct req *req, int64_t now_us);
 
-/* The joined entry host says that it never dispatched under its claim and never will. */
+/* The joined entry host answered that it has not dispatched under its claim and never will. */
 void req_on_join_never(struct req *req, int64_t now_us);
 
+/* The caller closed its connection. */
 void req_on_caller_gone(struct req *req, int64_t now_us);
+
+/* The time set by the timer callback was reached. */
 void req_on_timer(struct req *req, int64_t now_us);
 
+/* Returns the name of a state for diagnostics. */
 const char *req_state_name(enum req_state state);
 
 G_END_DECLS
--- a/req/req_test.cc
+++ b/req/req_test.cc
@@ -9,7 +9,7 @@
 
 constexpr int64_t kMs = 1000;
 
-/* Writes down what the request asks for, in order. */
+/* Records the actions that the request performs, in order. */
 class ReqTest : public ::testing::Test
 {
       protected:
@@ -19,25 +19,31 @@
 	}
 	void TearDown() override
 	{
-		if (begun_)
+		if (started_)
 			req_finish(&req_);
 	}
-	void Begin(bool idempotent, bool service = false)
+	void Start(bool idempotent, bool service = false)
 	{
 		static const req_ops ops = {
-			[](void *c, unsigned a, char *const *) { Note(c, "ask", a); },
-			[](void *c, unsigned a) { Note(c, "withdraw", a); },
-			[](void *c, unsigned a, bool s) { Note(c, s ? "claim-over" : "claim", a); },
-			[](void *c, unsigned a) { Note(c, "release", a); },
+			[](void *c, unsigned a, char *const *) { RecordAction(c, "ask", a); },
+			[](void *c, unsigned a) { RecordAction(c, "withdraw", a); },
+			[](void *c, unsigned a, bool s) {
+				RecordAction(c, s ? "claim-over" : "claim", a);
+			},
+			[](void *c, unsigned a) { RecordAction(c, "release", a); },
+			[](void *c, unsigned a, uint64_t from) {
+				RecordAction(c, "dispatch", a, (int)from);
+			},
 			[](void *c, unsigned a, uint64_t from) {
-				Note(c, "dispatch", a, (int)from);
+				RecordAction(c, "resume", a, (int)from);
+			},
+			[](void *c, unsigned a, bool stop) {
+				RecordAction(c, stop ? "stop" : "close", a);
 			},
-			[](void *c, unsigned a, uint64_t from) { Note(c, "resume", a, (int)from); },
-			[](void *c, unsigned a, bool stop) { Note(c, stop ? "stop" : "close", a); },
 			[](void *c, unsigned a, req_grant_end end, const char *) {
-				Note(c, "ungrant", a, (int)end);
+				RecordAction(c, "ungrant", a, (int)end);
 			},
-			[](void *c) { Note(c, "join", 0); },
+			[](void *c) { RecordAction(c, "join", 0); },
 			[](void *c, uint64_t index, const char *, size_t) {
 				((ReqTest *)c)->delivered_.push_back((int)index);
 			},
@@ -49,15 +55,16 @@
 		req_params params = {&settings_, &budget_, &first_,	&gap_,
 				     idempotent, service,  10000 * kMs, 1};
 		req_init(&req_, &params, &ops, this);
-		begun_ = true;
+		started_ = true;
 		req_start(&req_, 0);
 	}
-	static void Note(void *ctx, const std::string &what, unsigned attempt, int more = -1)
+	static void RecordAction(void *ctx, const std::string &what, unsigned attempt,
+				 int argument = -1)
 	{
 		std::string text = what + " " + std::to_string(attempt);
-		if (more >= 0)
-			text += " " + std::to_string(more);
-		((ReqTest *)ctx)->acts_.push_back(text);
+		if (argument >= 0)
+			text += " " + std::to_string(argument);
+		((ReqTest *)ctx)->actions_.push_back(text);
 	}
 	void Granted(unsigned attempt, int64_t now = 0)
 	{
@@ -69,19 +76,19 @@
 	{
 		req_on_token(&req_, attempt, index, "t", 1, now);
 	}
-	std::vector<std::string> Acts()
+	std::vector<std::string> TakeActions()
 	{
-		std::vector<std::string> acts;
-		acts.swap(acts_);
-		return acts;
+		std::vector<std::string> actions;
+		actions.swap(actions_);
+		return actions;
 	}
 	req_settings settings_ = {700 * kMs,  5000 * kMs, 500 * kMs,   3000 * kMs, 4000 * kMs,
 				  4000 * kMs, 100 * kMs,  10000 * kMs, 1000 * kMs, 3};
 	req_budget budget_;
 	req_est first_{}, gap_{};
 	req req_;
-	bool begun_ = false;
-	std::vector<std::string> acts_;
+	bool started_ = false;
+	std::vector<std::string> actions_;
 	std::vector<int> delivered_;
 	std::string end_;
 	int64_t timer_ = 0;
@@ -89,14 +96,14 @@
 
 using List = std::vector<std::string>;
 
-TEST_F(ReqTest, WholeAnswer)
+TEST_F(ReqTest, CompleteAnswerIsDelivered)
 {
-	Begin(true);
+	Start(true);
 	Granted(1);
 	Token(1, 0);
 	Token(1, 1);
 	req_on_end(&req_, 1, 2, 0);
-	EXPECT_EQ(Acts(), (List{"ask 1", "dispatch 1 0", "ungrant 1 0"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "dispatch 1 0", "ungrant 1 0"}));
 	EXPECT_EQ(delivered_, (std::vector<int>{0, 1}));
 	EXPECT_EQ(end_, "ok");
 }
@@ -110,9 +117,9 @@
 TEST_F(ReqTest, TokensAreDeliveredOnceInOrder)
 {
 	/*
-	 * Symptom: words of an answer doubled, swapped or missing.
-	 * Sequence: a resumed stream repeats tokens, or some come ahead of a missing one.
-	 * Cause: passing on what arrives as it arrives.
+	 * Guards against duplicated, swapped or missing words in an answer. A resumed stream
+	 * repeats tokens, or tokens arrive ahead of a missing one; they must not be passed on in
+	 * the order of their arrival.
 	 */
 	const OrderCase cases[] = {
 		{"in order", {0, 1, 2}, {0, 1, 2}},
@@ -122,10 +129,10 @@
 		{"all at once, backwards", {3, 2, 1, 0}, {0, 1, 2, 3}},
 	};
 	for (const auto &c : cases) {
-		if (begun_)
+		if (started_)
 			req_finish(&req_);
 		delivered_.clear();
-		Begin(true);
+		Start(true);
 		Granted(1);
 		for (int index : c.arrive)
 			Token(1, (uint64_t)index);
@@ -133,24 +140,23 @@
 	}
 }
 
-TEST_F(ReqTest, EndBeforeAllTokensIsNotTheEnd)
+TEST_F(ReqTest, EndBeforeAllTokensStartsAnotherAttempt)
 {
-	Begin(true);
+	Start(true);
 	Granted(1);
 	Token(1, 0);
 	req_on_end(&req_, 1, 3, 0);
 	EXPECT_EQ(end_, "");
-	EXPECT_EQ(Acts().back(), "ask 2") << "the rest comes from another attempt";
+	EXPECT_EQ(TakeActions().back(), "ask 2") << "another attempt must generate the rest";
 }
 
 TEST_F(ReqTest, LateTokensOfAnEarlierAttemptAreDropped)
 {
 	/*
-	 * Symptom: an answer is mixed from two runs.
-	 * Sequence: attempt 1 goes silent, attempt 2 is running, attempt 1 wakes.
-	 * Cause: not asking which attempt a token is from.
+	 * Guards against an answer with tokens of two runs. Attempt 1 fails, attempt 2 is running,
+	 * then further tokens of attempt 1 arrive.
 	 */
-	Begin(true);
+	Start(true);
 	Granted(1);
 	Token(1, 0);
 	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
@@ -162,22 +168,22 @@
 	req_on_end(&req_, 2, 2, 0);
 	EXPECT_EQ(delivered_, (std::vector<int>{0, 1}));
 	EXPECT_EQ(end_, "ok");
-	EXPECT_EQ(Acts(), (List{"ask 1", "dispatch 1 0", "ungrant 1 1", "ask 2", "dispatch 2 1",
-				"ungrant 2 0"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "dispatch 1 0", "ungrant 1 1", "ask 2",
+				       "dispatch 2 1", "ungrant 2 0"}));
 }
 
-TEST_F(ReqTest, SilenceIsNoticedAndPassedOver)
+TEST_F(ReqTest, SilenceEndsTheAttempt)
 {
-	Begin(true);
+	Start(true);
 	Granted(1);
 	Token(1, 0, 10 * kMs);
 	int64_t due = timer_;
 	EXPECT_EQ(due, 10 * kMs + settings_.gap_ceiling_us);
 	req_on_timer(&req_, due);
-	EXPECT_EQ(Acts().back(), "ask 2");
+	EXPECT_EQ(TakeActions().back(), "ask 2");
 }
 
-TEST_F(ReqTest, LimitOfSilenceFollowsWhatIsUsual)
+TEST_F(ReqTest, TimeLimitFollowsObservedTimes)
 {
 	for (int i = 0; i < 100; i++)
 		req_est_add(&gap_, 20 * kMs);
@@ -185,64 +191,63 @@
 	for (int i = 0; i < 200; i++)
 		req_est_add(&gap_, i % 2 ? 900 * kMs : 700 * kMs);
 	EXPECT_GT(req_est_limit(&gap_, 500 * kMs, 3000 * kMs), 1000 * kMs)
-		<< "a slow machine raises it";
+		<< "a slow machine must raise the limit";
 }
 
 TEST_F(ReqTest, NonIdempotentIsNeverDispatchedTwice)
 {
-	Begin(false);
+	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
 	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
 	req_on_timer(&req_, timer_);
 	req_on_break(&req_, 1, REQ_BREAK_MISSING, nullptr, 0);
-	EXPECT_EQ(Acts(), (List{"ask 1", "claim 1", "dispatch 1 0", "close 1", "resume 1 0",
-				"stop 1", "ungrant 1 0"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "dispatch 1 0", "close 1", "resume 1 0",
+				       "stop 1", "ungrant 1 0"}));
 	EXPECT_EQ(end_, "unknown");
 }
 
-TEST_F(ReqTest, NonIdempotentThatWasNotRunClaimsAnew)
+TEST_F(ReqTest, NonIdempotentThatWasNotRunClaimsAgain)
 {
-	Begin(false);
+	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
 	req_on_break(&req_, 1, REQ_BREAK_NOT_RUN, nullptr, 0);
 	Granted(2);
-	EXPECT_EQ(Acts(), (List{"ask 1", "claim 1", "dispatch 1 0", "ungrant 1 3", "ask 2",
-				"claim-over 2"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "dispatch 1 0", "ungrant 1 3", "ask 2",
+				       "claim-over 2"}));
 	req_on_claim(&req_, 2, REQ_CLAIM_WON, 0);
-	EXPECT_EQ(Acts(), List{"dispatch 2 0"});
+	EXPECT_EQ(TakeActions(), List{"dispatch 2 0"});
 }
 
 TEST_F(ReqTest, ClaimWonTooLateIsNotUsed)
 {
 	/*
-	 * Symptom: a request runs minutes after it was asked for, although the caller was served
-	 * by another host meanwhile.
-	 * Sequence: the entry host is frozen between its question and the verdict.
-	 * Cause: dispatching on a verdict without looking at the time.
+	 * Guards against a request that runs minutes after it was sent, although another host has
+	 * served the caller in the meantime. The entry host is suspended between sending its claim
+	 * and receiving the verdict; a late verdict must not be acted on.
 	 */
-	Begin(false);
+	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, settings_.dispatch_us + 1);
-	EXPECT_EQ(Acts(), (List{"ask 1", "claim 1", "release 1", "ungrant 1 0"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "release 1", "ungrant 1 0"}));
 	EXPECT_EQ(end_, "claim_failed");
 }
 
-TEST_F(ReqTest, RetriesKeepToTheBudget)
+TEST_F(ReqTest, RetriesAreLimitedByTheBudget)
 {
 	req_budget_init(&budget_, 1, 0);
-	Begin(true);
+	Start(true);
 	Granted(1);
 	req_on_break(&req_, 1, REQ_BREAK_NOT_RUN, nullptr, 0);
 	Granted(2);
 	req_on_break(&req_, 2, REQ_BREAK_NOT_RUN, nullptr, 0);
-	EXPECT_EQ(end_, "retry_budget") << "never run, and said so";
+	EXPECT_EQ(end_, "retry_budget") << "no attempt has run";
 }
 
 TEST_F(ReqTest, BrokenAttemptsEndAsUnknown)
 {
-	Begin(true);
+	Start(true);
 	Granted(1);
 	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
 	Granted(2);
@@ -259,14 +264,14 @@
 	const char *end;
 };
 
-TEST_F(ReqTest, DeadlineTellsWhetherItRan)
+TEST_F(ReqTest, DeadlineCodeDependsOnDispatch)
 {
 	const DeadlineCase cases[] = {{"waiting", false, "deadline_before_start"},
 				      {"dispatched", true, "deadline"}};
 	for (const auto &c : cases) {
-		if (begun_)
+		if (started_)
 			req_finish(&req_);
-		Begin(true);
+		Start(true);
 		if (c.granted)
 			Granted(1);
 		req_on_timer(&req_, 10000 * kMs);
@@ -274,29 +279,32 @@
 	}
 }
 
-TEST_F(ReqTest, CallerThatHangsUpFreesTheEndpoint)
+TEST_F(ReqTest, DisconnectedCallerFreesTheEndpoint)
 {
-	Begin(true);
+	Start(true);
 	Granted(1);
 	req_on_caller_gone(&req_, 0);
-	EXPECT_EQ(Acts(), (List{"ask 1", "dispatch 1 0", "stop 1", "ungrant 1 0"}));
+	EXPECT_EQ(TakeActions(), (List{"ask 1", "dispatch 1 0", "stop 1", "ungrant 1 0"}));
 }
 
-TEST_F(ReqTest, ClaimedRunGoesOnWithoutItsCaller)
+TEST_F(ReqTest, ClaimedRunContinuesWithoutItsCaller)
 {
-	Begin(false);
+	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
 	req_on_caller_gone(&req_, 0);
 	EXPECT_EQ(end_, "");
 	Token(1, 0);
 	req_on_end(&req_, 1, 1, 0);
-	EXPECT_EQ(end_, "ok") << "whoever asks again with the key gets it";
+	EXPECT_EQ(end_, "ok") << "a repeated request with the key must get the answer";
 }
 
-TEST(ReqCode, NoStandsOnlyWhereNothingRan)
+TEST(ReqCode, CodesThatReportNotRun)
 {
-	/* Each code with "no" here needs a row in the matrix or in ReqTest; see docs/PROOF.md. */
+	/*
+	 * Lists the codes with "ran": "no". Each of them needs a case in Matrix or in ReqTest; see
+	 * docs/PROOF.md.
+	 */
 	const std::vector<std::string> no = {
 		"bad_body",	    "bad_argument", "unauthorized",
 		"forbidden",	    "not_found",    "bad_method",
