--- a/fair/fair.c
+++ b/fair/fair.c
@@ -4,11 +4,11 @@
 
 enum {
 	USEC_PER_SEC = 1000000,
-	FAIR_RETRY_MIN_US = 100000
+	FAIR_RETRY_MIN_US = 100000 /* minimum retry time given to callers, in microseconds */
 };
 
-static struct fair_account *fair_next(const struct fair *fair);
-static double fair_start(const struct fair *fair, const struct fair_account *account);
+static struct fair_account *fair_next_account(const struct fair *fair);
+static double fair_start_tag(const struct fair *fair, const struct fair_account *account);
 static void fair_remove(struct fair *fair, struct fair_account *account, GList *link);
 
 static void fair_account_free(gpointer data)
@@ -39,7 +39,8 @@
 	fair->rate = MAX(rate, 1);
 }
 
-struct fair_account *fair_get(struct fair *fair, const char *name, const struct fair_limits *limits)
+struct fair_account *fair_get_account(struct fair *fair, const char *name,
+				      const struct fair_limits *limits)
 {
 	struct fair_account *account = g_hash_table_lookup(fair->accounts, name);
 
@@ -54,12 +55,16 @@
 	return account;
 }
 
-static double fair_start(const struct fair *fair, const struct fair_account *account)
+/* Returns the virtual start time of the account's next item. */
+static double fair_start_tag(const struct fair *fair, const struct fair_account *account)
 {
-	return MAX(fair->virtual_time, account->finish);
+	return MAX(fair->virtual_time, account->finish_tag);
 }
 
-/* The account's own portion of the rate, if all that wait now go on waiting. */
+/*
+ * Divides the account's queued tokens by its share of the rate, on the assumption that the accounts
+ * that wait now continue to have waiting items.
+ */
 int64_t fair_wait_us(const struct fair *fair, const struct fair_account *account)
 {
 	double weights = account->limits.weight;
@@ -104,7 +109,8 @@
 	return 0;
 }
 
-static struct fair_account *fair_next(const struct fair *fair)
+/* Returns the account with the smallest start tag that has an item which may start, or NULL. */
+static struct fair_account *fair_next_account(const struct fair *fair)
 {
 	struct fair_account *best = NULL;
 
@@ -115,7 +121,7 @@
 			continue;
 		if (account->inflight >= account->limits.inflight)
 			continue;
-		if (!best || fair_start(fair, account) < fair_start(fair, best))
+		if (!best || fair_start_tag(fair, account) < fair_start_tag(fair, best))
 			best = account;
 	}
 	return best;
@@ -134,24 +140,24 @@
 
 bool fair_pop(struct fair *fair, struct fair_item *item, struct fair_account **account)
 {
-	struct fair_account *next = fair_next(fair);
+	struct fair_account *next = fair_next_account(fair);
 	double start;
 
 	if (!next)
 		return false;
 	*item = *(struct fair_item *)next->items->head->data;
 	*account = next;
-	start = fair_start(fair, next);
+	start = fair_start_tag(fair, next);
 	fair->virtual_time = start;
-	next->finish = start + (double)item->cost / next->limits.weight;
+	next->finish_tag = start + (double)item->cost / next->limits.weight;
 	next->inflight++;
 	fair_remove(fair, next, next->items->head);
 	return true;
 }
 
-void fair_unpop(struct fair *fair, struct fair_account *account, const struct fair_item *item)
+void fair_requeue(struct fair *fair, struct fair_account *account, const struct fair_item *item)
 {
-	account->finish -= (double)item->cost / account->limits.weight;
+	account->finish_tag -= (double)item->cost / account->limits.weight;
 	account->inflight--;
 	account->queued_cost += item->cost;
 	fair->queued_cost += item->cost;
@@ -191,13 +197,15 @@
 }
 
 /*
- * An answer that ended early or went on longer than estimated would otherwise make its account pay
- * for what it did not get, or get what it did not pay for.
+ * Corrects the finish tag by the difference from the estimate. Otherwise an account would be
+ * charged for tokens that it did not receive when an answer is short, or receive tokens without
+ * charge when an answer is long.
  */
-void fair_done(struct fair *fair, struct fair_account *account, uint64_t estimate, uint64_t actual)
+void fair_complete(struct fair *fair, struct fair_account *account, uint64_t estimate,
+		   uint64_t actual)
 {
 	(void)fair;
-	account->finish += ((double)actual - (double)estimate) / account->limits.weight;
+	account->finish_tag += ((double)actual - (double)estimate) / account->limits.weight;
 	account->served += actual;
 	if (account->inflight > 0)
 		account->inflight--;
@@ -205,6 +213,7 @@
 
 void fair_adopt(struct fair *fair, struct fair_account *account, uint64_t estimate)
 {
-	account->finish = fair_start(fair, account) + (double)estimate / account->limits.weight;
+	account->finish_tag =
+		fair_start_tag(fair, account) + (double)estimate / account->limits.weight;
 	account->inflight++;
 }
--- a/fair/fair.h
+++ b/fair/fair.h
@@ -8,88 +8,92 @@
 G_BEGIN_DECLS
 
 /*
- * Start-time fair queueing over client accounts (Goyal, Vin, Cheng, 1996), in units of tokens.
- * Pure. The account with the smallest start tag goes next; an idle account starts at the current
- * virtual time, so it banks nothing; whoever waits is served whenever there is room, so nothing
- * stays idle while anyone waits.
+ * Start-time fair queueing over client accounts (Goyal, Vin, Cheng, 1996), with costs in tokens.
+ * The account with the smallest start tag is served next. An idle account resumes at the current
+ * virtual time, so it accumulates no credit. The queue is work-conserving: waiting items start
+ * whenever there is capacity.
+ *
+ * Performs no I/O: the caller passes in the current time. All times are in microseconds.
  */
 enum fair_err {
 	FAIR_EFULL = -300,    /* the account's queue is full */
-	FAIR_EDEADLINE = -301 /* it would start after its deadline */
+	FAIR_EDEADLINE = -301 /* the item would start after its deadline */
 };
 
+/* A queued request. */
 struct fair_item {
 	uint64_t id;
-	uint64_t cost;	     /* estimated tokens */
-	int64_t deadline_us; /* latest start */
-	int64_t queued_us;
-	int priority; /* higher goes first within the account */
+	uint64_t cost;	     /* estimated number of tokens */
+	int64_t deadline_us; /* latest time at which it may start */
+	int64_t queued_us;   /* time at which it was queued */
+	int priority;	     /* higher starts first among items of the account */
 };
 
 struct fair_limits {
-	uint32_t weight;   /* the account's share */
-	uint32_t queue;	   /* items waiting at most */
-	uint32_t inflight; /* items started and not finished at most */
+	uint32_t weight;   /* the account's share of the rate, relative to other weights */
+	uint32_t queue;	   /* maximum number of waiting items */
+	uint32_t inflight; /* maximum number of items started and not completed */
 };
 
 struct fair_account {
 	char *name;
 	struct fair_limits limits;
-	GQueue *items;
-	double finish; /* finish tag of what was started last */
-	uint64_t queued_cost;
-	uint64_t served; /* tokens, as corrected at the end */
-	uint32_t inflight;
+	GQueue *items;	      /* waiting items (struct fair_item), by priority and arrival */
+	double finish_tag;    /* virtual finish time of the item started last */
+	uint64_t queued_cost; /* estimated tokens of the waiting items */
+	uint64_t served;      /* tokens of all completed items */
+	uint32_t inflight;    /* number of items started and not completed */
 };
 
 struct fair {
 	GHashTable *accounts; /* name -> struct fair_account */
-	GPtrArray *order;     /* the same, in order of first use: makes ties deterministic */
-	double virtual_time;
-	double rate; /* tokens a second that the resource gives */
-	uint64_t queued_cost;
-	uint32_t queued;
+	GPtrArray *order;     /* accounts in order of first use, for deterministic ties */
+	double virtual_time;  /* start tag of the item started last */
+	double rate;	      /* tokens a second that can be served in all */
+	uint64_t queued_cost; /* estimated tokens of all waiting items */
+	uint32_t queued;      /* number of all waiting items */
 };
 
 void fair_init(struct fair *fair);
 void fair_finish(struct fair *fair);
 
-/* Tokens a second that can be served in all; used to tell how long a wait will be. */
+/* Sets the rate in tokens a second, from which expected waits are computed. */
 void fair_set_rate(struct fair *fair, double rate);
 
-/* Returns the account, made with the limits if it is new; limits are renewed in any case. */
-struct fair_account *fair_get(struct fair *fair, const char *name,
-			      const struct fair_limits *limits);
+/* Returns the account, created if necessary, and sets its limits. */
+struct fair_account *fair_get_account(struct fair *fair, const char *name,
+				      const struct fair_limits *limits);
 
 /*
- * Queues an item. Returns 0, FAIR_EFULL or FAIR_EDEADLINE, then with the time in microseconds after
- * which it is worth asking again.
+ * Queues an item. Returns 0, FAIR_EFULL or FAIR_EDEADLINE. Sets retry_us to the time after which a
+ * retry may succeed.
  */
 int fair_push(struct fair *fair, struct fair_account *account, const struct fair_item *item,
 	      int64_t now_us, int64_t *retry_us);
 
 /*
- * Takes the item that goes next. Returns false when nobody waits who may start. account is that of
- * the item, whose in-flight count is raised.
+ * Starts the next item: removes it from the queue and counts it as in flight at its account.
+ * Returns false if no waiting item may start.
  */
 bool fair_pop(struct fair *fair, struct fair_item *item, struct fair_account **account);
 
-/* Puts back an item that was popped but could not be placed. */
-void fair_unpop(struct fair *fair, struct fair_account *account, const struct fair_item *item);
+/* Puts an item from fair_pop() back at the head of its queue, because it cannot start now. */
+void fair_requeue(struct fair *fair, struct fair_account *account, const struct fair_item *item);
 
-/* Takes an item out. Returns false when it does not wait any more. */
+/* Removes a waiting item. Returns false if no item with the id waits. */
 bool fair_withdraw(struct fair *fair, uint64_t id);
 
-/* Takes out an item whose deadline has passed. Returns false when there is none. */
+/* Removes one waiting item whose deadline has passed. Returns false if there is none. */
 bool fair_expire(struct fair *fair, int64_t now_us, struct fair_item *item);
 
-/* A started item has ended: what it really cost replaces the estimate. */
-void fair_done(struct fair *fair, struct fair_account *account, uint64_t estimate, uint64_t actual);
+/* Completes a started item: its actual cost in tokens replaces the estimate. */
+void fair_complete(struct fair *fair, struct fair_account *account, uint64_t estimate,
+		   uint64_t actual);
 
-/* A started item that this queue has not seen: a new home learns what is in flight. */
+/* Counts an item in flight that another host's queue started, after that host was replaced. */
 void fair_adopt(struct fair *fair, struct fair_account *account, uint64_t estimate);
 
-/* Expected wait in microseconds of an item that the account would queue now. */
+/* Returns the expected wait, in microseconds, of an item that the account would queue now. */
 int64_t fair_wait_us(const struct fair *fair, const struct fair_account *account);
 
 G_END_DECLS
--- a/fair/fair_test.cc
+++ b/fair/fair_test.cc
@@ -27,14 +27,14 @@
 			      uint32_t inflight = 100000)
 	{
 		fair_limits limits = {weight, queue, inflight};
-		return fair_get(&fair_, name, &limits);
+		return fair_get_account(&fair_, name, &limits);
 	}
 	int Push(fair_account *account, uint64_t cost, int64_t deadline = kNever)
 	{
 		fair_item item = {++id_, cost, deadline, 0, 0};
 		return fair_push(&fair_, account, &item, now_, &retry_);
 	}
-	/* Serves n items and adds up their cost by account. */
+	/* Starts and completes n items; returns the sum of their costs by account. */
 	std::map<std::string, uint64_t> Serve(int n)
 	{
 		std::map<std::string, uint64_t> served;
@@ -42,7 +42,7 @@
 		fair_account *account;
 		for (int i = 0; i < n && fair_pop(&fair_, &item, &account); i++) {
 			served[account->name] += item.cost;
-			fair_done(&fair_, account, item.cost, item.cost);
+			fair_complete(&fair_, account, item.cost, item.cost);
 		}
 		return served;
 	}
@@ -56,7 +56,7 @@
 	const char *name;
 	uint32_t weight_a, weight_b;
 	uint64_t cost_a, cost_b;
-	double want_a; /* part of all that a gets */
+	double expected_share_of_a; /* share of all served tokens that account a must get */
 };
 
 const ShareCase kShareCases[] = {
@@ -75,27 +75,28 @@
 			Push(a, c.cost_a);
 			Push(b, c.cost_b);
 		}
-		std::map<std::string, uint64_t> got;
+		std::map<std::string, uint64_t> served_tokens;
 		fair_item item;
 		fair_account *account;
 		while (!g_queue_is_empty(a->items) && !g_queue_is_empty(b->items) &&
 		       fair_pop(&fair_, &item, &account)) {
-			got[account == a ? "a" : "b"] += item.cost;
-			fair_done(&fair_, account, item.cost, item.cost);
+			served_tokens[account == a ? "a" : "b"] += item.cost;
+			fair_complete(&fair_, account, item.cost, item.cost);
 		}
-		double part = (double)got["a"] / (double)(got["a"] + got["b"]);
-		EXPECT_NEAR(part, c.want_a, 0.05) << c.name;
+		double part = (double)served_tokens["a"] /
+			      (double)(served_tokens["a"] + served_tokens["b"]);
+		EXPECT_NEAR(part, c.expected_share_of_a, 0.05) << c.name;
 		while (fair_pop(&fair_, &item, &account))
-			fair_done(&fair_, account, item.cost, item.cost);
+			fair_complete(&fair_, account, item.cost, item.cost);
 	}
 }
 
-TEST_F(FairTest, IdleAccountBanksNothing)
+TEST_F(FairTest, IdleAccountAccumulatesNoCredit)
 {
 	/*
-	 * Symptom: an account that was idle for an hour shuts all others out when it returns.
-	 * Sequence: a is served alone for long, then b returns with a backlog.
-	 * Cause: start tags that lag behind the virtual time.
+	 * Guards against an account that blocks all others after an idle hour. Account a is served
+	 * alone for a long time, then b returns with a backlog; the start tags of b must not lag
+	 * behind the virtual time.
 	 */
 	fair_account *a = Account("a", 1);
 	fair_account *b = Account("b", 1);
@@ -117,26 +118,27 @@
 	EXPECT_EQ(Serve(100)["a"], 100u);
 }
 
-TEST_F(FairTest, EstimateIsCorrectedByWhatRan)
+TEST_F(FairTest, EstimateIsCorrectedByActualCost)
 {
 	/*
-	 * Symptom: an account that announces 1 token and takes 100 gets a hundred times its share.
-	 * Cause: charging the estimate.
+	 * Guards against charging only the estimate: an account that announces 1 token and receives
+	 * 100 would get a hundred times its share.
 	 */
-	fair_account *liar = Account("liar", 1);
-	fair_account *honest = Account("honest", 1);
+	fair_account *underestimating = Account("underestimating", 1);
+	fair_account *accurate = Account("accurate", 1);
 	for (int i = 0; i < 2000; i++) {
-		Push(liar, 1);
-		Push(honest, 100);
+		Push(underestimating, 1);
+		Push(accurate, 100);
 	}
-	std::map<std::string, uint64_t> got;
+	std::map<std::string, uint64_t> served_tokens;
 	fair_item item;
 	fair_account *account;
 	for (int i = 0; i < 1000 && fair_pop(&fair_, &item, &account); i++) {
-		got[account->name] += 100;
-		fair_done(&fair_, account, item.cost, 100);
+		served_tokens[account->name] += 100;
+		fair_complete(&fair_, account, item.cost, 100);
 	}
-	EXPECT_NEAR((double)got["liar"], (double)got["honest"], 300);
+	EXPECT_NEAR((double)served_tokens["underestimating"], (double)served_tokens["accurate"],
+		    300);
 }
 
 TEST_F(FairTest, FloodDoesNotDelayTheLightAccount)
@@ -151,7 +153,7 @@
 	EXPECT_EQ(served["light"], 100u);
 }
 
-TEST_F(FairTest, LimitsRefuseAtOnce)
+TEST_F(FairTest, LimitsAreEnforced)
 {
 	fair_account *a = Account("a", 1, 2, 1);
 	EXPECT_EQ(Push(a, 1000), 0);
@@ -161,8 +163,8 @@
 	fair_item item;
 	fair_account *account;
 	ASSERT_TRUE(fair_pop(&fair_, &item, &account));
-	EXPECT_FALSE(fair_pop(&fair_, &item, &account)) << "one in flight is the limit";
-	fair_done(&fair_, a, 1000, 1000);
+	EXPECT_FALSE(fair_pop(&fair_, &item, &account)) << "the limit is one item in flight";
+	fair_complete(&fair_, a, 1000, 1000);
 	EXPECT_TRUE(fair_pop(&fair_, &item, &account));
 
 	fair_account *b = Account("b", 1);
@@ -171,7 +173,7 @@
 	EXPECT_EQ(retry_, 3 * kSecond);
 }
 
-TEST_F(FairTest, WithdrawnAndExpiredItemsAreGone)
+TEST_F(FairTest, WithdrawnAndExpiredItemsDoNotStart)
 {
 	fair_account *a = Account("a", 1);
 	fair_item item;
--- a/once/once.c
+++ b/once/once.c
@@ -4,26 +4,27 @@
 #include <string.h>
 
 enum {
-	ONCE_BATCH_MAX = 256
+	ONCE_BATCH_MAX = 256 /* maximum number of claims and releases in one record */
 };
 
-struct once_held {
+/* A claim in force and the time at which it was read from the log, in microseconds. */
+struct once_active_claim {
 	struct once_claim *claim;
 	int64_t read_us;
 };
 
-/* Either a claim with somebody who waits, or a release. */
+/* A claim that waits for its verdict, or a release. */
 struct once_wait {
 	struct once_asker asker;
 	struct once_claim *claim;
 	bool release;
 };
 
-static void once_step(struct once *once, int64_t now_us);
+static void once_start_next(struct once *once, int64_t now_us);
 static void once_append_batch(struct once *once);
-static void once_answer_all(struct once *once, GPtrArray *waits, bool out);
-static void once_decide(struct once *once, const struct once_wait *wait);
-static void once_apply(struct once *once, json_t *item, int64_t now_us);
+static void once_answer_all(struct once *once, GPtrArray *waits, bool unavailable);
+static void once_send_verdict(struct once *once, const struct once_wait *wait);
+static void once_apply_item(struct once *once, json_t *item, int64_t now_us);
 
 static const char *const once_verdict_names[ONCE_VERDICT_COUNT] = {
 	[ONCE_WON] = "won",
@@ -72,12 +73,12 @@
 	g_free(wait);
 }
 
-static void once_held_free(gpointer data)
+static void once_active_claim_free(gpointer data)
 {
-	struct once_held *held = data;
+	struct once_active_claim *active = data;
 
-	once_claim_free(held->claim);
-	g_free(held);
+	once_claim_free(active->claim);
+	g_free(active);
 }
 
 void once_init(struct once *once, const struct once_settings *settings, const struct once_ops *ops,
@@ -100,7 +101,7 @@
 	g_ptr_array_free(once->appended, TRUE);
 	g_hash_table_destroy(once->claims);
 	g_hash_table_destroy(once->released);
-	g_queue_free_full(once->by_age, once_held_free);
+	g_queue_free_full(once->by_age, once_active_claim_free);
 }
 
 unsigned int once_partition(const char *key, unsigned int n)
@@ -108,23 +109,24 @@
 	return (unsigned int)(str_hash(key, strlen(key), 0) % n);
 }
 
-static bool once_claim_counts(const struct once *once, const struct once_claim *claim)
+static bool once_claim_in_force(const struct once *once, const struct once_claim *claim)
 {
 	return !g_hash_table_contains(once->released, claim->id);
 }
 
 /*
- * A claim that is read counts only if no earlier one of its key does. Everybody who reads the same
- * records comes to the same result, whoever appended them.
+ * Returns the claim in force for a key, or NULL. A claim that is read takes force only if no
+ * earlier claim of its key is in force, so all readers of the same records obtain the same result,
+ * whoever appended them.
  */
 static const struct once_claim *once_winner(const struct once *once, const char *key)
 {
-	const struct once_held *held = g_hash_table_lookup(once->claims, key);
+	const struct once_active_claim *active = g_hash_table_lookup(once->claims, key);
 
-	return held && once_claim_counts(once, held->claim) ? held->claim : NULL;
+	return active && once_claim_in_force(once, active->claim) ? active->claim : NULL;
 }
 
-static void once_decide(struct once *once, const struct once_wait *wait)
+static void once_send_verdict(struct once *once, const struct once_wait *wait)
 {
 	const struct once_claim *winner = once_winner(once, wait->claim->key);
 	bool won = winner && strcmp(winner->id, wait->claim->id) == 0;
@@ -135,20 +137,20 @@
 			  winner);
 }
 
-static void once_answer_all(struct once *once, GPtrArray *waits, bool out)
+static void once_answer_all(struct once *once, GPtrArray *waits, bool unavailable)
 {
 	for (guint i = 0; i < waits->len; i++) {
 		struct once_wait *wait = waits->pdata[i];
 
-		if (!out)
-			once_decide(once, wait);
+		if (!unavailable)
+			once_send_verdict(once, wait);
 		else if (!wait->release)
 			once->ops->answer(once->ctx, wait->asker, ONCE_OUT, NULL);
 	}
 	g_ptr_array_set_size(waits, 0);
 }
 
-/* A key whose claim is in the log already is lost; the log need not be asked again. */
+/* Returns whether the log is known to hold an earlier claim of the key, so no append is needed. */
 static bool once_known_lost(const struct once *once, const struct once_claim *claim)
 {
 	const struct once_claim *winner = once_winner(once, claim->key);
@@ -167,7 +169,7 @@
 		once->ops->answer(once->ctx, asker, ONCE_LOST, once_winner(once, claim->key));
 		return;
 	}
-	if (now_us < once->out_until_us) {
+	if (now_us < once->unavailable_until_us) {
 		once->ops->answer(once->ctx, asker, ONCE_OUT, NULL);
 		return;
 	}
@@ -175,7 +177,7 @@
 	wait->asker = asker;
 	wait->claim = once_claim_copy(claim);
 	g_ptr_array_add(once->waiting, wait);
-	once_step(once, now_us);
+	once_start_next(once, now_us);
 }
 
 void once_on_release(struct once *once, const char *key, const char *id, int64_t now_us)
@@ -186,16 +188,17 @@
 	wait->claim = once_claim_copy(&claim);
 	wait->release = true;
 	g_ptr_array_add(once->waiting, wait);
-	once_step(once, now_us);
+	once_start_next(once, now_us);
 }
 
 /*
- * A home that has just begun reads the partition before it appends anything: an earlier home may
- * have written claims of the same keys.
+ * Starts the next append or read. A new home reads the partition before it appends anything,
+ * because an earlier home may have written claims of the same keys.
  */
-static void once_step(struct once *once, int64_t now_us)
+static void once_start_next(struct once *once, int64_t now_us)
 {
-	if (once->phase != ONCE_IDLE || once->waiting->len == 0 || now_us < once->out_until_us)
+	if (once->phase != ONCE_IDLE || once->waiting->len == 0 ||
+	    now_us < once->unavailable_until_us)
 		return;
 	if (!once->caught_up) {
 		once->phase = ONCE_READING;
@@ -216,7 +219,7 @@
 			 "digest", c->digest, "supersedes", c->supersedes);
 }
 
-/* All that wait go into one record: the log takes only several hundred appends a second in all. */
+/* Appends all waiting claims as one record: the log takes only several hundred appends a second. */
 static void once_append_batch(struct once *once)
 {
 	json_t *batch = json_array();
@@ -226,7 +229,7 @@
 		struct once_wait *wait = g_ptr_array_steal_index(once->waiting, 0);
 
 		if (!wait->release && once_known_lost(once, wait->claim)) {
-			once_decide(once, wait);
+			once_send_verdict(once, wait);
 			once_wait_free(wait);
 			continue;
 		}
@@ -246,8 +249,8 @@
 
 /*
  * An append may have taken effect although its answer was lost, so the partition is read in either
- * case; only what stands there decides. A read that ends before the appended record, from a copy
- * that lags, does not show the claim; its asker is told that the log is out.
+ * case, and only its content decides. A read from a lagging replica may end before the appended
+ * record and not show the claim; its verdict is then ONCE_OUT.
  */
 void once_on_appended(struct once *once, bool ok)
 {
@@ -265,7 +268,7 @@
 	return (char *)(text ? text : "");
 }
 
-static void once_apply(struct once *once, json_t *item, int64_t now_us)
+static void once_apply_item(struct once *once, json_t *item, int64_t now_us)
 {
 	char *release = once_json_text(item, "release");
 	struct once_claim claim = {
@@ -278,7 +281,7 @@
 		.supersedes = once_json_text(item, "supersedes"),
 	};
 	const struct once_claim *winner = once_winner(once, claim.key);
-	struct once_held *held;
+	struct once_active_claim *active;
 
 	if (release[0]) {
 		g_hash_table_add(once->released, g_strdup(release));
@@ -290,11 +293,11 @@
 	}
 	if (winner || g_hash_table_contains(once->released, claim.id))
 		return;
-	held = g_new0(struct once_held, 1);
-	held->claim = once_claim_copy(&claim);
-	held->read_us = now_us;
-	g_hash_table_replace(once->claims, held->claim->key, held);
-	g_queue_push_tail(once->by_age, held);
+	active = g_new0(struct once_active_claim, 1);
+	active->claim = once_claim_copy(&claim);
+	active->read_us = now_us;
+	g_hash_table_replace(once->claims, active->claim->key, active);
+	g_queue_push_tail(once->by_age, active);
 }
 
 int once_on_record(struct once *once, int64_t offset, struct str data, int64_t now_us)
@@ -313,32 +316,32 @@
 	}
 	json_array_foreach(batch, i, item)
 	{
-		once_apply(once, item, now_us);
+		once_apply_item(once, item, now_us);
 	}
 	json_decref(batch);
 	return 0;
 }
 
-/* Whether the claim that waits has come to stand in the log, won or lost. */
+/* Returns whether the log decides the claim, won or lost. */
 static bool once_settled(const struct once *once, const struct once_wait *wait)
 {
 	return wait->release || once_winner(once, wait->claim->key) != NULL;
 }
 
 /*
- * After a failed append a claim may be absent now and still arrive later. Its asker is told that
- * the log is out and does not dispatch, so a claim that arrives late costs the key, not a second
- * run.
+ * Sends verdicts after a failed append. A claim that the log does not show may still be appended
+ * later. Its verdict is ONCE_OUT and the entry does not dispatch, so a claim that appears late
+ * blocks its key but causes no second run.
  */
-static void once_after_failure(struct once *once, int64_t now_us)
+static void once_settle_failed_append(struct once *once, int64_t now_us)
 {
-	once->out_until_us = now_us + once->settings.out_us;
+	once->unavailable_until_us = now_us + once->settings.unavailable_us;
 	for (guint i = once->appended->len; i-- > 0;) {
 		struct once_wait *wait = once->appended->pdata[i];
 
 		if (!once_settled(once, wait))
 			continue;
-		once_decide(once, wait);
+		once_send_verdict(once, wait);
 		g_ptr_array_remove_index(once->appended, i);
 	}
 	once_answer_all(once, once->appended, true);
@@ -351,7 +354,7 @@
 		return;
 	once->phase = ONCE_IDLE;
 	if (!ok) {
-		once->out_until_us = now_us + once->settings.out_us;
+		once->unavailable_until_us = now_us + once->settings.unavailable_us;
 		once_answer_all(once, once->appended, true);
 		once_answer_all(once, once->waiting, true);
 		once->failed = false;
@@ -360,17 +363,17 @@
 	once->next = MAX(once->next, next);
 	once->caught_up = true;
 	if (once->failed)
-		once_after_failure(once, now_us);
+		once_settle_failed_append(once, now_us);
 	else
 		once_answer_all(once, once->appended, false);
 	once->failed = false;
-	once_step(once, now_us);
+	once_start_next(once, now_us);
 }
 
 void once_on_tick(struct once *once, int64_t now_us)
 {
 	for (;;) {
-		struct once_held *oldest = g_queue_peek_head(once->by_age);
+		struct once_active_claim *oldest = g_queue_peek_head(once->by_age);
 
 		if (!oldest || now_us - oldest->read_us < once->settings.life_us)
 			break;
@@ -378,9 +381,9 @@
 		if (g_hash_table_lookup(once->claims, oldest->claim->key) == oldest)
 			g_hash_table_remove(once->claims, oldest->claim->key);
 		g_hash_table_remove(once->released, oldest->claim->id);
-		once_held_free(oldest);
+		once_active_claim_free(oldest);
 	}
-	once_step(once, now_us);
+	once_start_next(once, now_us);
 }
 
 void once_on_conn_gone(struct once *once, uint64_t conn)
--- a/once/once.h
+++ b/once/once.h
@@ -10,110 +10,120 @@
 G_BEGIN_DECLS
 
 /*
- * Claims for non-idempotent requests. A claim says that one attempt of one request may be
- * dispatched for a key. Claims are records of a partition of the platform's log, and the first
- * claim of a key in log order is the only one that counts. Pure: this is the decision of the home
- * of one partition; several homes may exist at once without harm.
+ * Claims that ensure that a non-idempotent request is dispatched at most once. A claim permits one
+ * attempt of one request to be dispatched for an idempotency key. Claims are records in a partition
+ * of the platform's log; the first claim of a key in log order that was not released is in force.
+ *
+ * This code runs at the partition's home, the host that decides the claims of its keys. Two hosts
+ * may act as home at the same time, because the log alone determines the result. It performs no
+ * I/O: the caller passes in events and the current time, in microseconds; actions are requested
+ * through callbacks.
  */
 enum once_err {
-	ONCE_EOUT = -400,   /* the log is out: nothing was claimed */
-	ONCE_ERECORD = -401 /* a record is not one of ours */
+	ONCE_EUNAVAILABLE = -400, /* the log is unavailable; nothing was claimed */
+	ONCE_ERECORD = -401	  /* a record of the log does not hold claims */
 };
 
 enum once_verdict {
-	ONCE_WON,  /* this claim counts: dispatch */
-	ONCE_LOST, /* another claim counts: see the winner */
-	ONCE_OUT,  /* the log cannot be used: not claimed as far as this home knows */
+	ONCE_WON,  /* this claim is in force: its attempt may be dispatched */
+	ONCE_LOST, /* another claim, the winner, is in force */
+	ONCE_OUT,  /* the log is unavailable, or does not show the claim; do not dispatch */
 	ONCE_VERDICT_COUNT
 };
 
 struct once_claim {
-	char *key;	  /* ACCOUNT/KEY */
-	char *id;	  /* of the claim */
+	char *key;	  /* ACCOUNT/KEY: name of the client account and idempotency key */
+	char *id;	  /* id of the claim */
 	char *request;	  /* id of the request at the engine */
-	char *entry;	  /* host whose entry daemon may dispatch it */
-	char *endpoints;  /* names of the route, with commas between */
-	char *digest;	  /* of the request's body */
-	char *supersedes; /* claim that is released with it, or "" */
+	char *entry;	  /* host whose entry daemon may dispatch the request */
+	char *endpoints;  /* names of the granted endpoints, separated by commas */
+	char *digest;	  /* digest of the request's body */
+	char *supersedes; /* id of the claim that this one replaces, or "" */
 };
 
-/* Who waits for a verdict: the caller's own numbers. */
+/* Identifies the request for a claim in its verdict. */
 struct once_asker {
-	uint64_t conn;
-	uint64_t ask_id;
+	uint64_t conn;	 /* the caller's number for the connection */
+	uint64_t ask_id; /* number of the request on that connection */
 };
 
 struct once_ops {
-	/* Append the record to the partition's stream. One at a time. */
+	/* Appends a record to the partition; call once_on_appended() when done. */
 	void (*append)(void *ctx, const char *record);
 
-	/* Read the partition from this offset to its end. One at a time. */
+	/*
+	 * Reads the partition from an offset to its end; call once_on_record() for each record and
+	 * then once_on_read(). At most one append or read is in progress at a time.
+	 */
 	void (*read)(void *ctx, int64_t from);
 
+	/* Sends the verdict. winner: the claim in force, or NULL. */
 	void (*answer)(void *ctx, struct once_asker asker, enum once_verdict verdict,
 		       const struct once_claim *winner);
 };
 
 struct once_settings {
-	int64_t out_us;	 /* after a failure the log counts as out for so long */
-	int64_t life_us; /* a claim is forgotten after this time since it was read */
+	int64_t unavailable_us; /* time after a failure in which the log counts as unavailable */
+	int64_t life_us;	/* time after which a claim that was read is forgotten */
 };
 
 enum once_phase {
-	ONCE_IDLE,
-	ONCE_APPENDING,
-	ONCE_READING
+	ONCE_IDLE,	/* no append or read is in progress */
+	ONCE_APPENDING, /* an append is in progress */
+	ONCE_READING	/* a read is in progress */
 };
 
 struct once {
 	const struct once_ops *ops;
 	void *ctx;
 	struct once_settings settings;
-	GHashTable *claims;   /* key -> struct once_held: the claim that counts */
+	GHashTable *claims;   /* key -> struct once_active_claim: the claim in force */
 	GHashTable *released; /* ids of claims that were released */
-	GQueue *by_age;	      /* struct once_held in order of reading */
-	GPtrArray *waiting;   /* struct once_wait: not yet in an append */
-	GPtrArray *appended;  /* struct once_wait: in the append under way */
+	GQueue *by_age;	      /* struct once_active_claim in the order in which they were read */
+	GPtrArray *waiting;   /* struct once_wait: claims and releases not yet appended */
+	GPtrArray *appended;  /* struct once_wait: claims and releases of the current append */
 	int64_t next;	      /* offset of the next record to read */
 	enum once_phase phase;
-	bool caught_up; /* the partition has been read to its end once */
-	bool failed;	/* the append under way failed or its answer was lost */
-	int64_t out_until_us;
-	uint64_t appends;
+	bool caught_up;		      /* the partition has been read to its end at least once */
+	bool failed;		      /* the current append failed or its answer was lost */
+	int64_t unavailable_until_us; /* time until which the log counts as unavailable */
+	uint64_t appends;	      /* number of appends */
 };
 
 void once_init(struct once *once, const struct once_settings *settings, const struct once_ops *ops,
 	       void *ctx);
 void once_finish(struct once *once);
 
-/* Someone wants to dispatch under a claim. claim is copied. */
+/* Handles a request for a claim, which is copied. The verdict may be sent at once. */
 void once_on_ask(struct once *once, struct once_asker asker, const struct once_claim *claim,
 		 int64_t now_us);
 
-/* An entry gave its claim up without dispatching; no answer is expected. */
+/* An entry released its claim without dispatching. No verdict is sent. */
 void once_on_release(struct once *once, const char *key, const char *id, int64_t now_us);
 
-/* The append ended. ok false: refused, failed, or its answer was lost. */
+/* The append ended. ok is false if it was refused or failed, or if its answer was lost. */
 void once_on_appended(struct once *once, bool ok);
 
-/* One record that was read. Returns 0 or ONCE_ERECORD. */
+/* Applies a record that was read. Returns 0 or ONCE_ERECORD. */
 int once_on_record(struct once *once, int64_t offset, struct str data, int64_t now_us);
 
-/* The read reached the end of the partition, where the next record will stand, or failed. */
+/* The read ended. next: offset of the end of the partition. ok is false if the read failed. */
 void once_on_read(struct once *once, bool ok, int64_t next, int64_t now_us);
 
-/* Forgets old claims. */
+/* Forgets claims older than life_us. To be called regularly. */
 void once_on_tick(struct once *once, int64_t now_us);
 
-/* Askers that have gone are answered to nobody. */
+/* Drops the claims that wait for an append and whose connection was closed. */
 void once_on_conn_gone(struct once *once, uint64_t conn);
 
-/* The partition of a key among n. */
+/* Returns the partition of a key, from 0 to n - 1. */
 unsigned int once_partition(const char *key, unsigned int n);
 
+/* Copies a claim; a NULL supersedes becomes "". */
 struct once_claim *once_claim_copy(const struct once_claim *claim);
 void once_claim_free(struct once_claim *claim);
 
+/* Returns the name of a verdict as used in metrics. */
 const char *once_verdict_name(enum once_verdict verdict);
 
 G_END_DECLS
--- a/once/once_test.cc
+++ b/once/once_test.cc
@@ -7,14 +7,14 @@
 namespace
 {
 
-/* A partition of the platform's log that can be out, and lose the answer of an append. */
+/* A partition of the platform's log that can be unavailable or lose the answer of an append. */
 struct Partition {
 	std::vector<std::string> records;
 	bool out = false;
-	bool lose_answer = false;
+	bool lose_append_answer = false;
 };
 
-/* A home of the partition: does at once what the decision asks for, unless it is held. */
+/* A home of the partition; Run() performs its appends and reads. */
 struct Home {
 	explicit Home(Partition *p) : log(p)
 	{
@@ -40,7 +40,7 @@
 	{
 		pending_append = record;
 	}
-	/* Lets the append and the reads under way happen, until nothing is left to do. */
+	/* Performs appends and reads until none is pending. */
 	void Run()
 	{
 		while (!paused && (!pending_append.empty() || pending_read >= 0)) {
@@ -54,7 +54,7 @@
 	{
 		std::string record;
 		record.swap(pending_append);
-		bool ok = !log->out && !log->lose_answer;
+		bool ok = !log->out && !log->lose_append_answer;
 		if (!log->out)
 			log->records.push_back(record);
 		once_on_appended(&once, ok);
@@ -96,18 +96,18 @@
 	home.Ask(3, "other", "c3");
 	home.Run();
 	EXPECT_EQ(home.answers, (Answers{"1 won c1", "2 lost c1", "3 won c3"}));
-	EXPECT_EQ(log.records.size(), 1u) << "claims that wait together share a record";
+	EXPECT_EQ(log.records.size(), 1u)
+		<< "claims that wait at the same time must share a record";
 	home.Ask(4, "k", "c4");
 	EXPECT_EQ(home.answers.back(), "4 lost c1");
-	EXPECT_EQ(home.pending_append, "") << "a known key costs no append";
+	EXPECT_EQ(home.pending_append, "") << "a key known to be claimed must cause no append";
 }
 
-TEST(Once, TwoHomesAtOnceAgree)
+TEST(Once, ConcurrentHomesAgree)
 {
 	/*
-	 * Symptom: two trucks are sent.
-	 * Sequence: two hosts both think they are home of the key; both append a claim.
-	 * Cause: hosts' lists differ. The order of the log decides.
+	 * Guards against running a request twice. Two hosts act as home of the key, because their
+	 * lists of hosts differ, and both append a claim; the order of the log must decide.
 	 */
 	Partition log;
 	Home a(&log);
@@ -124,13 +124,12 @@
 	EXPECT_EQ(b.answers, Answers{"2 won cb"});
 }
 
-TEST(Once, HomeThatPausedAndWokeDoesNotWinLate)
+TEST(Once, SuspendedHomeDoesNotWinAfterResuming)
 {
 	/*
-	 * Symptom: a request runs again minutes later.
-	 * Sequence: a home is frozen with a claim that it has not yet appended; the caller asks
-	 * again elsewhere and is served; the home wakes and appends.
-	 * Cause: a holder that believes what was true before the pause.
+	 * Guards against a request that runs again minutes later. A home is suspended with a claim
+	 * that it has not yet appended, and the caller is served through another home; then the
+	 * first home resumes with stale state and appends.
 	 */
 	Partition log;
 	Home frozen(&log);
@@ -144,7 +143,7 @@
 	EXPECT_EQ(frozen.answers, Answers{"1 lost new"});
 }
 
-TEST(Once, NewHomeReadsWhatTheOldOneWrote)
+TEST(Once, NewHomeReadsClaimsOfTheOldHome)
 {
 	Partition log;
 	{
@@ -162,19 +161,18 @@
 TEST(Once, LostAppendAnswerIsReadBack)
 {
 	/*
-	 * Symptom: a claim that stands in the log is reported as failed, or written twice.
-	 * Sequence: the append takes effect, its answer is lost.
-	 * Cause: trusting the answer instead of the log.
+	 * Guards against reporting a claim that is in the log as failed, or writing it twice. The
+	 * append takes effect but its answer is lost; the log must decide, not the answer.
 	 */
 	Partition log;
 	Home home(&log);
-	log.lose_answer = true;
+	log.lose_append_answer = true;
 	home.Ask(1, "k", "c1");
 	home.Run();
 	EXPECT_EQ(home.answers, Answers{"1 won c1"});
 }
 
-TEST(Once, LogOutRefusesAtOnceAndRecovers)
+TEST(Once, UnavailableLogRefusesAtOnceAndRecovers)
 {
 	Partition log;
 	Home home(&log);
@@ -183,7 +181,7 @@
 	home.Run();
 	home.Ask(2, "k", "c2");
 	EXPECT_EQ(home.answers, (Answers{"1 out -", "2 out -"}));
-	EXPECT_EQ(home.pending_read, -1) << "the second is refused without asking the log";
+	EXPECT_EQ(home.pending_read, -1) << "the second claim must be refused without a read";
 	log.out = false;
 	home.now = 2000;
 	home.Ask(3, "k", "c3");
@@ -191,13 +189,13 @@
 	EXPECT_EQ(home.answers.back(), "3 won c3");
 }
 
-TEST(Once, ClaimThatArrivesAfterItWasGivenUpDoesNotRun)
+TEST(Once, ClaimThatAppearsAfterAnUnavailableVerdictDoesNotRun)
 {
 	/*
-	 * Symptom: an asker was told "out", and its claim shows up in the log later.
-	 * Sequence: the append times out, the read does not show it, then it takes effect.
-	 * Cause: the log applies appends late. The asker has not dispatched and never will; who
-	 * asks next learns that from the claim's entry and supersedes it.
+	 * Guards against running a claim that got the verdict "out" and appears in the log later.
+	 * The append times out, the read does not show it, then the log applies it late. The entry
+	 * has not dispatched and never will; the next request for the key learns that from the
+	 * claim's entry and supersedes the claim.
 	 */
 	Partition log;
 	Home home(&log);
@@ -218,15 +216,15 @@
 	EXPECT_EQ(home.answers.back(), "3 won c3");
 	home.Ask(4, "k", "c4", "c1");
 	home.Run();
-	EXPECT_EQ(home.answers.back(), "4 lost c3") << "only one may supersede a claim";
+	EXPECT_EQ(home.answers.back(), "4 lost c3") << "a claim may be superseded only once";
 }
 
 TEST(Once, TwoThatSupersedeOneClaimAgree)
 {
 	/*
-	 * Symptom: two trucks are sent.
-	 * Sequence: a claim was never used; two askers learn so and both supersede it at once.
-	 * Cause: letting a claim replace whichever claim counts, not only the one that it names.
+	 * Guards against running a request twice. A claim was never used, and two requests
+	 * supersede it at the same time. A claim may replace only the claim that it names, not
+	 * whichever one is in force.
 	 */
 	Partition log;
 	Home a(&log);
@@ -248,9 +246,9 @@
 TEST(Once, StaleReadDoesNotDecide)
 {
 	/*
-	 * Symptom: a claim is answered "won" although an earlier one stands in the log.
-	 * Sequence: the append succeeds at offset 1; the read that follows ends before it.
-	 * Cause: a read served from a copy that lags.
+	 * Guards against the verdict "won" for a claim although the log holds an earlier one. The
+	 * append succeeds at offset 1, but the following read comes from a lagging replica and ends
+	 * before it.
 	 */
 	Partition log;
 	Home home(&log);
@@ -262,7 +260,7 @@
 	EXPECT_EQ(home.answers, Answers{"1 out -"});
 }
 
-TEST(Once, ReleasedKeyMayBeClaimedAnew)
+TEST(Once, ReleasedKeyMayBeClaimedAgain)
 {
 	Partition log;
 	Home home(&log);
@@ -276,10 +274,10 @@
 	Home other(&log);
 	other.Ask(3, "k", "c3");
 	other.Run();
-	EXPECT_EQ(other.answers.back(), "3 lost c2") << "every reader comes to the same result";
+	EXPECT_EQ(other.answers.back(), "3 lost c2") << "every reader must obtain the same result";
 }
 
-TEST(Once, ClaimsAreForgottenAfterTheirLife)
+TEST(Once, ClaimsAreForgottenAfterTheirLifetime)
 {
 	Partition log;
 	Home home(&log);
@@ -289,7 +287,7 @@
 	EXPECT_EQ(g_hash_table_size(home.once.claims), 0u);
 }
 
-TEST(Once, RecordsThatAreNotOursAreSkipped)
+TEST(Once, RecordsWithoutClaimsAreSkipped)
 {
 	Partition log;
 	log.records = {"nonsense", "{}", "[{}]", "[1]"};
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -211,7 +211,7 @@
 
 void pool_on_ask(struct pool *pool, const struct pool_ask *ask, int64_t now_us)
 {
-	struct fair_account *account = fair_get(&pool->fair, ask->account, &ask->limits);
+	struct fair_account *account = fair_get_account(&pool->fair, ask->account, &ask->limits);
 	struct fair_item item = {++pool->last_id, MAX(ask->tokens, 1), ask->deadline_us, now_us,
 				 ask->priority};
 	struct pool_waiting *wait;
@@ -256,7 +256,7 @@
 		int count = pool_paths_choose(pool, wait->version, wait->exclude, stages);
 
 		if (count == 0) {
-			fair_unpop(&pool->fair, account, &item);
+			fair_requeue(&pool->fair, account, &item);
 			return;
 		}
 		pool_issue_grant(pool, &item, account, wait, stages, count, now_us);
@@ -371,7 +371,7 @@
 	if (!grant)
 		return;
 	g_hash_table_remove(pool->grants, &grant_id);
-	fair_done(&pool->fair, grant->account, grant->tokens, tokens);
+	fair_complete(&pool->fair, grant->account, grant->tokens, tokens);
 	if (outcome != POOL_OUTCOME_OK)
 		pool_handle_fault(pool, grant, outcome, bad, now_us);
 	pool_release_grant(pool, grant);
@@ -380,7 +380,7 @@
 
 uint64_t pool_on_holding(struct pool *pool, const struct pool_ask *ask, const char *const *stages)
 {
-	struct fair_account *account = fair_get(&pool->fair, ask->account, &ask->limits);
+	struct fair_account *account = fair_get_account(&pool->fair, ask->account, &ask->limits);
 	struct pool_grant *grant =
 		pool_grant_new(pool, ask->entry, ask->ask_id, account, ask->tokens);
 
@@ -420,7 +420,7 @@
 		if (grant->entry != entry)
 			continue;
 		g_hash_table_iter_remove(&iter);
-		fair_done(&pool->fair, grant->account, grant->tokens, grant->tokens);
+		fair_complete(&pool->fair, grant->account, grant->tokens, grant->tokens);
 		pool_release_grant(pool, grant);
 	}
 	pool_schedule(pool, now_us);
