--- a/once/once.c
+++ b/once/once.c
@@ -15,7 +15,7 @@
 
 /* A claim that waits for its verdict, or a release. */
 struct once_wait {
-	struct once_asker asker;
+	struct once_asker requester;
 	struct once_claim *claim;
 	bool release;
 };
@@ -133,8 +133,8 @@
 
 	if (wait->release)
 		return;
-	once->ops->answer(once->ctx, wait->asker, !winner ? ONCE_OUT : (won ? ONCE_WON : ONCE_LOST),
-			  winner);
+	once->ops->answer(once->ctx, wait->requester,
+			  !winner ? ONCE_OUT : (won ? ONCE_WON : ONCE_LOST), winner);
 }
 
 static void once_answer_all(struct once *once, GPtrArray *waits, bool unavailable)
@@ -145,7 +145,7 @@
 		if (!unavailable)
 			once_send_verdict(once, wait);
 		else if (!wait->release)
-			once->ops->answer(once->ctx, wait->asker, ONCE_OUT, NULL);
+			once->ops->answer(once->ctx, wait->requester, ONCE_OUT, NULL);
 	}
 	g_ptr_array_set_size(waits, 0);
 }
@@ -160,21 +160,21 @@
 	return strcmp(winner->id, claim->id) != 0 && strcmp(winner->id, claim->supersedes) != 0;
 }
 
-void once_on_ask(struct once *once, struct once_asker asker, const struct once_claim *claim,
+void once_on_ask(struct once *once, struct once_asker requester, const struct once_claim *claim,
 		 int64_t now_us)
 {
 	struct once_wait *wait;
 
 	if (once_known_lost(once, claim)) {
-		once->ops->answer(once->ctx, asker, ONCE_LOST, once_winner(once, claim->key));
+		once->ops->answer(once->ctx, requester, ONCE_LOST, once_winner(once, claim->key));
 		return;
 	}
 	if (now_us < once->unavailable_until_us) {
-		once->ops->answer(once->ctx, asker, ONCE_OUT, NULL);
+		once->ops->answer(once->ctx, requester, ONCE_OUT, NULL);
 		return;
 	}
 	wait = g_new0(struct once_wait, 1);
-	wait->asker = asker;
+	wait->requester = requester;
 	wait->claim = once_claim_copy(claim);
 	g_ptr_array_add(once->waiting, wait);
 	once_start_next(once, now_us);
@@ -391,7 +391,7 @@
 	for (guint i = once->waiting->len; i-- > 0;) {
 		struct once_wait *wait = once->waiting->pdata[i];
 
-		if (!wait->release && wait->asker.conn == conn)
+		if (!wait->release && wait->requester.conn == conn)
 			g_ptr_array_remove_index(once->waiting, i);
 	}
 }
--- a/once/once.h
+++ b/once/once.h
@@ -58,7 +58,7 @@
 	void (*read)(void *ctx, int64_t from);
 
 	/* Sends the verdict. winner: the claim in force, or NULL. */
-	void (*answer)(void *ctx, struct once_asker asker, enum once_verdict verdict,
+	void (*answer)(void *ctx, struct once_asker requester, enum once_verdict verdict,
 		       const struct once_claim *winner);
 };
 
@@ -94,8 +94,11 @@
 	       void *ctx);
 void once_finish(struct once *once);
 
-/* Handles a request for a claim, which is copied. The verdict may be sent at once. */
-void once_on_ask(struct once *once, struct once_asker asker, const struct once_claim *claim,
+/*
+ * Handles a request for a claim, which is copied. The answer callback may be called before it
+ * returns.
+ */
+void once_on_ask(struct once *once, struct once_asker requester, const struct once_claim *claim,
 		 int64_t now_us);
 
 /* An entry released its claim without dispatching. No verdict is sent. */
--- a/once/once_test.cc
+++ b/once/once_test.cc
@@ -21,10 +21,10 @@
 		static const once_ops ops = {
 			[](void *ctx, const char *record) { ((Home *)ctx)->Append(record); },
 			[](void *ctx, int64_t from) { ((Home *)ctx)->pending_read = from; },
-			[](void *ctx, once_asker asker, once_verdict verdict,
+			[](void *ctx, once_asker requester, once_verdict verdict,
 			   const once_claim *winner) {
 				((Home *)ctx)
-					->answers.push_back(std::to_string(asker.ask_id) + " " +
+					->answers.push_back(std::to_string(requester.ask_id) + " " +
 							    once_verdict_name(verdict) + " " +
 							    (winner ? winner->id : "-"));
 			},
--- a/pool/pool.h
+++ b/pool/pool.h
@@ -86,8 +86,7 @@
 	struct fair_account *account;
 	uint64_t tokens; /* estimated number of tokens */
 	struct pool_endpoint *stages[FLOW_STAGES_MAX];
-	int first[FLOW_STAGES_MAX]; /* first layer that each stage runs; its last is the endpoint's
-				     */
+	int first[FLOW_STAGES_MAX]; /* first layer that each stage runs, from 0 */
 	int count;		    /* number of stages */
 	int64_t waited_us;	    /* time that the request spent in the queue */
 };
@@ -147,7 +146,7 @@
 /* Applies a new configuration. Takes a reference on conf. */
 void pool_on_conf(struct pool *pool, struct conf_state *conf, int64_t now_us);
 
-/* Queues a request for a grant. The answer, grant or refuse, may be called at once. */
+/* Queues a request for a grant. May call the grant or the refuse callback before it returns. */
 void pool_on_ask(struct pool *pool, const struct pool_ask *ask, int64_t now_us);
 
 /* Removes a request for a grant that still waits. */
--- a/req/matrix_test.cc
+++ b/req/matrix_test.cc
@@ -257,12 +257,12 @@
 	});
 }
 
-void HomeAnswer(void *ctx, once_asker asker, once_verdict verdict, const once_claim *winner)
+void HomeAnswer(void *ctx, once_asker requester, once_verdict verdict, const once_claim *winner)
 {
 	Home *h = (Home *)ctx;
 	World *w = h->world;
-	Session *s = w->sessions[asker.conn].get();
-	unsigned attempt = (unsigned)asker.ask_id;
+	Session *s = w->sessions[requester.conn].get();
+	unsigned attempt = (unsigned)requester.ask_id;
 	std::string winner_id = winner ? winner->id : "";
 	std::string handle = winner ? winner->request : "";
 	int pipeline = winner ? atoi(winner->endpoints) : 0;
