--- a/router/feed_pack_test.cc
+++ b/router/feed_pack_test.cc
@@ -15,12 +15,12 @@
 	FeedPackTest()
 	{
 		ep_list_init(&list_);
-		fp_init(&fp_);
+		fp_init(&pack_);
 	}
 
 	~FeedPackTest() override
 	{
-		fp_finish(&fp_);
+		fp_finish(&pack_);
 		ep_list_finish(&list_);
 	}
 
@@ -33,20 +33,20 @@
 		rec->addr = g_strdup(("10.0.0." + id).c_str());
 		rec->zone = g_strdup("a");
 		rec->text = g_strdup(text.c_str());
-		fp_on_record(&fp_, offset, id.c_str(), str_of(text.c_str()));
+		fp_on_record(&pack_, offset, id.c_str(), str_of(text.c_str()));
 		ep_on_record(&list_, offset, id.c_str(), rec, 0);
 	}
 
-	/* Ids of what a follower would get; "-" before one that was removed. */
+	/* Returns the ids of the items that a follower would get, with "-" before a removed one. */
 	std::set<std::string> Packed(bool whole, int64_t from)
 	{
-		fp_pack(&fp_, &list_, whole, from);
-		uint8_t *text = fp_.whole_len > 0 ? zip_unpack(fp_.packed->data, fp_.packed->len,
-							       fp_.whole_len)
-						  : nullptr;
-		size_t len = text ? fp_.whole_len : fp_.packed->len;
+		fp_pack(&pack_, &list_, whole, from);
+		uint8_t *text = pack_.whole_len > 0 ? zip_unpack(pack_.packed->data,
+								 pack_.packed->len, pack_.whole_len)
+						    : nullptr;
+		size_t len = text ? pack_.whole_len : pack_.packed->len;
 		Feed__Endpoints *msg =
-			feed__endpoints__unpack(nullptr, len, text ? text : fp_.packed->data);
+			feed__endpoints__unpack(nullptr, len, text ? text : pack_.packed->data);
 		std::set<std::string> ids;
 		for (size_t i = 0; msg && i < msg->n_items; i++)
 			ids.insert((msg->items[i]->text.len > 0 ? "" : "-") +
@@ -58,39 +58,39 @@
 	}
 
 	ep_list list_;
-	fp fp_;
+	fp pack_;
 };
 
 using Ids = std::set<std::string>;
 
-TEST_F(FeedPackTest, WhoHasWhatCameBeforeGetsRecordsOnly)
+TEST_F(FeedPackTest, FollowerWithPreviousRecordsGetsOnlyNewRecords)
 {
 	for (int i = 0; i < 100; i++)
 		Put(i, std::to_string(i));
-	EXPECT_FALSE(fp_needs_whole(&fp_, fp_.listing, 98));
+	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 98));
 	EXPECT_EQ(Packed(false, 98), (Ids{"98", "99"}));
-	fp_on_record(&fp_, 100, "7", str_make(nullptr, 0));
+	fp_on_record(&pack_, 100, "7", str_make(nullptr, 0));
 	ep_on_record(&list_, 100, "7", nullptr, 0);
 	EXPECT_EQ(Packed(false, 99), (Ids{"99", "-7"}));
 	EXPECT_EQ(Packed(true, 0).size(), 99u);
 }
 
-TEST_F(FeedPackTest, RecordsThatAreNoLongerKeptMeanTheWholeList)
+TEST_F(FeedPackTest, FollowerThatLacksDiscardedRecordsNeedsFullList)
 {
 	for (int i = 0; i < 600; i++)
 		Put(i, std::to_string(i % 50));
-	EXPECT_TRUE(fp_needs_whole(&fp_, fp_.listing, 10));
-	EXPECT_FALSE(fp_needs_whole(&fp_, fp_.listing, 590));
-	fp_on_listing(&fp_, &list_);
-	EXPECT_TRUE(fp_needs_whole(&fp_, fp_.listing - 1, 600)) << "it has an older listing";
-	EXPECT_FALSE(fp_needs_whole(&fp_, fp_.listing, 600));
+	EXPECT_TRUE(fp_needs_whole(&pack_, pack_.listing, 10));
+	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 590));
+	fp_on_listing(&pack_, &list_);
+	EXPECT_TRUE(fp_needs_whole(&pack_, pack_.listing - 1, 600)) << "it has an older listing";
+	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 600));
 }
 
 /*
- * Symptom: a follower never heard of a change. Sequence: two followers ask for the same, and
- * between them an endpoint changes. Cause: the second one gets what was packed for the first.
+ * Guards against a follower that misses a change of an endpoint. Two followers request the same
+ * data, and the endpoint changes in between; the second one got the message cached for the first.
  */
-TEST_F(FeedPackTest, WhatWasPackedIsNotUsedAfterAChange)
+TEST_F(FeedPackTest, CachedMessageIsNotUsedAfterAChange)
 {
 	Put(1, "1");
 	Put(2, "2");
@@ -99,31 +99,31 @@
 	EXPECT_EQ(Packed(true, 0), (Ids{"1", "2", "3"}));
 	EXPECT_EQ(Packed(false, 2), (Ids{"2", "3"}));
 	EXPECT_EQ(Packed(false, 3), (Ids{"3"}));
-	/* An entry that lapses is dropped without a record. */
+	/* An expired entry is removed without a record. */
 	g_hash_table_remove(list_.entries, "1");
-	fp_on_listing(&fp_, &list_);
+	fp_on_listing(&pack_, &list_);
 	EXPECT_EQ(Packed(true, 0), (Ids{"2", "3"}));
 }
 
 /*
- * The load: a hundred followers ask for 3,000 engines at a start. What they want is packed once,
- * and is below a fifth of its length.
+ * A hundred followers request the list of 3,000 engines at a start. The list must be serialized
+ * only once, and be deflated to less than a fifth of its length.
  */
-TEST_F(FeedPackTest, AStartOfManyHosts)
+TEST_F(FeedPackTest, FullListIsSerializedOnceForManyFollowers)
 {
 	for (int i = 0; i < 3000; i++)
 		Put(i, std::to_string(i));
 	EXPECT_EQ(Packed(true, 0).size(), 3000u);
-	EXPECT_LT(fp_.packed->len * 5, fp_.whole_len);
-	uint8_t *first = fp_.packed->data;
-	first[0] ^= 0xff; /* would be written anew if it were packed again */
+	EXPECT_LT(pack_.packed->len * 5, pack_.whole_len);
+	uint8_t *first = pack_.packed->data;
+	first[0] ^= 0xff; /* Would be overwritten if the list were serialized again */
 	uint8_t changed = first[0];
-	fp_pack(&fp_, &list_, true, 0);
-	EXPECT_EQ(fp_.packed->data[0], changed);
+	fp_pack(&pack_, &list_, true, 0);
+	EXPECT_EQ(pack_.packed->data[0], changed);
 }
 
-/* Guards against whole lists for all followers where many endpoints change between two updates. */
-TEST_F(FeedPackTest, AsManyRecordsAsEndpointsAreKeptForFollowers)
+/* Guards against full lists for all followers when many endpoints change between two updates. */
+TEST_F(FeedPackTest, AsManyRecordsAsEndpointsAreKept)
 {
 	for (int hosts : {30, 300, 984, 1968}) {
 		int endpoints = 3 * hosts, place = 0;
@@ -134,7 +134,7 @@
 		for (int i = 0; i < 5 * endpoints; i++)
 			fp_on_record(&pack, place++, std::to_string(i % endpoints).c_str(),
 				     str_of("x"));
-		/* A follower that has all but what has changed since, once each. */
+		/* The follower lacks one record of each endpoint. */
 		EXPECT_FALSE(fp_needs_whole(&pack, pack.listing, place - endpoints)) << hosts;
 		EXPECT_LE(pack.records->length, (guint)std::max(endpoints, 512)) << hosts;
 		fp_finish(&pack);
@@ -142,15 +142,15 @@
 }
 
 /*
- * The load: heartbeats of all endpoints between two changes. Followers get the change, and who asks
- * for the whole list gets what was packed before them.
+ * All endpoints send ten heartbeats, and the entry of one endpoint changes once. Only the first
+ * record of each endpoint and that change must be queued for followers.
  */
-TEST_F(FeedPackTest, HeartbeatsAreNotHandedOn)
+TEST_F(FeedPackTest, HeartbeatsAreNotQueuedForFollowers)
 {
 	for (int endpoints : {93, 915, 3001, 6002}) {
 		ep_list list;
 		fp pack;
-		size_t told = 0;
+		size_t queued = 0;
 		int64_t place = 0;
 
 		ep_list_init(&list);
@@ -168,12 +168,12 @@
 				rec->layer_to = beat >= 5 && i == 7 ? 8 : 0;
 				if (ep_on_record(&list, place, id.c_str(), rec, 0) == EP_NEWS) {
 					fp_on_record(&pack, place, id.c_str(), str_of(id.c_str()));
-					told++;
+					queued++;
 				}
 				place++;
 			}
 		}
-		EXPECT_EQ(told, (size_t)endpoints + 1) << endpoints;
+		EXPECT_EQ(queued, (size_t)endpoints + 1) << endpoints;
 		EXPECT_FALSE(fp_has_news(&pack, list.next));
 		EXPECT_TRUE(fp_has_news(&pack, 5 * endpoints));
 		fp_finish(&pack);
--- a/router/follow.c
+++ b/router/follow.c
@@ -214,9 +214,9 @@
 
 static bool follow_is_stale_too_long(const struct follow *follow, int64_t now_us)
 {
-	int64_t bear_ms = follow_stale_limit_ms(follow);
+	int64_t limit_ms = follow_stale_limit_ms(follow);
 
-	return follow->stale_us > 0 && now_us - follow->stale_us > tmr_ms(bear_ms);
+	return follow->stale_us > 0 && now_us - follow->stale_us > tmr_ms(limit_ms);
 }
 
 static void follow_disconnect(struct follow *follow)
@@ -300,7 +300,9 @@
 	jl_end();
 }
 
-/* Logs a full list, which is costly in a large system: needed at the start and after a lost feed.
+/*
+ * Logs and counts full lists of endpoints, which are costly in a large system. A host needs one at
+ * its start and after it has lost a feed.
  */
 static void follow_log_full_list(const struct follow *follow, size_t items)
 {
