--- a/router/feed_take.c
+++ b/router/feed_take.c
@@ -66,8 +66,8 @@
 	}
 }
 
-static bool fmerge_apply_full_list(const struct fmerge *fmerge, const Feed__Endpoints *items,
-				   int64_t next, int64_t now_us)
+static bool fmerge_apply_repeated_list(const struct fmerge *fmerge, const Feed__Endpoints *items,
+				       int64_t next, int64_t now_us)
 {
 	int64_t before = fmerge->list->next;
 	GPtrArray *missing;
@@ -92,7 +92,7 @@
 	bool repeated = listing && fmerge->list->listed_us >= 0;
 
 	if (repeated)
-		return fmerge_apply_full_list(fmerge, items, next, now_us);
+		return fmerge_apply_repeated_list(fmerge, items, next, now_us);
 	if (listing)
 		ep_on_listing(fmerge->list);
 	for (size_t i = 0; i < items->n_items; i++)
--- a/router/rc.c
+++ b/router/rc.c
@@ -104,7 +104,7 @@
 	rc->limits = limits_new(rc);
 	rc_set_direct(rc, true);
 	member_start(rc);
-	loop_after(loop, &rc->ticker, tmr_ms(RC_TICK_MS), rc_on_tick, rc);
+	loop_after(loop, &rc->tick_timer, tmr_ms(RC_TICK_MS), rc_on_tick, rc);
 	return rc;
 }
 
@@ -112,7 +112,7 @@
 {
 	rc_set_direct(rc, false);
 	member_set_candidate(rc, false);
-	tmr_cancel(&rc->loop->tmr, &rc->ticker);
+	tmr_cancel(&rc->loop->tmr, &rc->tick_timer);
 	tmr_cancel(&rc->loop->tmr, &rc->list_timer);
 	quarantine_free(rc->quarantine);
 	recall_free(rc->recall);
@@ -405,7 +405,7 @@
 		rc_post_view(rc);
 	feed_flush(rc->feed);
 	state_gauges(rc, now_us);
-	loop_after(rc->loop, &rc->ticker, tmr_ms(RC_TICK_MS), rc_on_tick, rc);
+	loop_after(rc->loop, &rc->tick_timer, tmr_ms(RC_TICK_MS), rc_on_tick, rc);
 }
 
 static void rc_post_view(struct rc *rc)
--- a/router/rc.h
+++ b/router/rc.h
@@ -73,7 +73,7 @@
 	bool candidate;
 	struct rank rank;	 /* Role of this host and its feeder, as of the last tick */
 	struct rank_round round; /* Newest known round of load reports */
-	struct tmr ticker;	 /* Timer of the next tick */
+	struct tmr tick_timer;	 /* Timer of the next tick */
 	struct tmr list_timer;	 /* Timer for this host's own entry in the list of hosts */
 	struct hosts *host_list; /* Maintenance of the store's list of hosts */
 	int64_t listed_self_us;	 /* Time at which this host last wrote its own entry; 0 if never */
@@ -124,7 +124,8 @@
 /* Whether this host reads the store and its last reads of configuration and endpoints succeeded. */
 bool sf_is_reached(const struct rc *rc);
 
-/* ctrl.c */
+/* ctrl.c: state that the modules of the control thread share, and its views. */
+
 /*
  * Processes the era of the store that an answer of the store or a message of another host states;
  * "from" names the source in the log. On a change of era all data is read from the store again and
