--- a/quar/quar.c
+++ b/quar/quar.c
@@ -3,35 +3,40 @@
 #include <string.h>
 
 /*
- * The first term. Operators need some minutes to see what ends their endpoints and to have the
- * caller stopped; one crash more after that is the price of a body that has become harmless, since
- * another version of the model is out or the fault is mended.
+ * Length of the first term, in microseconds: 10 minutes. Operators need some minutes to see which
+ * request crashes their endpoints and to stop its caller. After the term the request may run again,
+ * at the price of one more crash, because a new version of the model or a bug fix may have made it
+ * harmless.
  */
-static const int64_t quar_term_us = G_GINT64_CONSTANT(600000000);
+static const int64_t quar_first_term_us = G_GINT64_CONSTANT(600000000);
 
 /*
- * The first term of a request that goes on for a while before it crashes endpoints, if it is that
- * one at all: where endpoints are few and end in a row, an innocent one that many callers send may
- * be under way at six of them. It is tried again soon, and cleared when it is served.
+ * Length of the first term, in microseconds, of a request that runs for a while before the
+ * endpoints crash. It is short because the request may be harmless: where a few endpoints crash in
+ * a row, a request that many callers send may be running at six of them. It is retried soon, and
+ * its entry is cleared when it is served.
  */
-static const int64_t quar_term_goes_on_us = G_GINT64_CONSTANT(2000000);
+static const int64_t quar_first_term_long_running_us = G_GINT64_CONSTANT(2000000);
 
 /*
- * Attempts of a request that crashes endpoints last alike, within what endpoints differ in pace: by
- * 70 ms at the recorded ends.
+ * Greatest difference, in microseconds, between the running times of attempts that crash their
+ * endpoints for the same reason. The attempts of such a request last equally long except for the
+ * speed of the endpoints, by which they differed by 70 ms in recorded crashes.
  */
-static const int64_t quar_further_us = 500000;
+static const int64_t quar_duration_tolerance_us = 500000;
 
-/* Each term is so many times as long: 10 minutes, 1 hour, 6 hours, 36 hours; or 2, 12, 72, 432 s.
+/*
+ * Factor by which each term is longer than the one before: 10 minutes, 1 hour, 6 hours, 36 hours;
+ * or 2, 12, 72, 432 s.
  */
-static const int64_t quar_term_x = 6;
+static const int64_t quar_term_factor = 6;
 
 enum {
-	QUAR_TERMS_MAX = 3 /* after which terms grow no more */
+	QUAR_TERM_GROWTH_MAX = 3 /* number of times that the term is lengthened */
 };
 
-/* For which an entry is remembered after the last that was learnt of it, or after its term. */
-static const int64_t quar_memory_us = G_GINT64_CONSTANT(600000000);
+/* Time in microseconds for which an entry is kept after its last update or its term. */
+static const int64_t quar_retention_us = G_GINT64_CONSTANT(600000000);
 
 static guint quar_hash(gconstpointer key)
 {
@@ -43,7 +48,7 @@
 	return quar_key_eq(a, b);
 }
 
-static void quar_free(gpointer data)
+static void quar_destroy_value(gpointer data)
 {
 	quar_entry_free(data);
 }
@@ -52,7 +57,7 @@
 {
 	quar->limit = limit;
 	g_queue_init(&quar->order);
-	quar->entries = g_hash_table_new_full(quar_hash, quar_equal, NULL, quar_free);
+	quar->entries = g_hash_table_new_full(quar_hash, quar_equal, NULL, quar_destroy_value);
 }
 
 void quar_finish(struct quar *quar)
@@ -76,7 +81,10 @@
 	g_free(entry);
 }
 
-/* Of two accounts whose requests have one digest, the first one's are looked at. */
+/*
+ * Returns the entry of this account and digest, or NULL. If requests of two accounts have the same
+ * digest, only the account that came first has an entry.
+ */
 static struct quar_entry *quar_lookup(const struct quar *quar, const struct quar_id *id)
 {
 	struct quar_entry *entry = g_hash_table_lookup(quar->entries, &id->key);
@@ -89,16 +97,16 @@
 	return quar_lookup(quar, id);
 }
 
-static bool quar_goes_on(const struct quar_entry *entry)
+static bool quar_is_long_running(const struct quar_entry *entry)
 {
-	return entry->lasted_us >= QUAR_GOES_ON_US;
+	return entry->lasted_us >= QUAR_LONG_RUNNING_US;
 }
 
 static int quar_crash_points(const struct quar_entry *entry, const struct quar_crash *crash)
 {
 	if (crash->weight == QUAR_LIVES)
 		return 0;
-	return quar_goes_on(entry) ? QUAR_WEAK : crash->weight;
+	return quar_is_long_running(entry) ? QUAR_WEAK : crash->weight;
 }
 
 int quar_entry_points(const struct quar_entry *entry)
@@ -124,7 +132,7 @@
 	if (!entry)
 		return weight;
 	return quar_entry_points(entry) +
-	       (quar_goes_on(entry) ? MIN(weight, (int)QUAR_WEAK) : weight);
+	       (quar_is_long_running(entry) ? MIN(weight, (int)QUAR_WEAK) : weight);
 }
 
 bool quar_is_told(const struct quar_entry *entry)
@@ -139,22 +147,25 @@
 	return entry->epoch > 0 || entry->until_us > 0 || entry->n > 1;
 }
 
-static void quar_drop(struct quar *quar, struct quar_entry *entry)
+static void quar_remove(struct quar *quar, struct quar_entry *entry)
 {
 	g_queue_unlink(&quar->order, &entry->link);
 	g_hash_table_remove(quar->entries, &entry->key);
 }
 
-/* Something was learnt of the entry. */
-static void quar_touch(struct quar *quar, struct quar_entry *entry, int64_t at_us)
+/* Sets the time of the last update and moves the entry to the end of the order queue. */
+static void quar_mark_updated(struct quar *quar, struct quar_entry *entry, int64_t at_us)
 {
 	entry->last_us = MAX(entry->last_us, at_us);
 	g_queue_unlink(&quar->order, &entry->link);
 	g_queue_push_tail_link(&quar->order, &entry->link);
 }
 
-/* Of those that are not refused the oldest one goes, or the oldest of all. */
-static void quar_make_room(struct quar *quar)
+/*
+ * Removes an entry if the table is full: the oldest one that isn't refused, or else the oldest of
+ * all.
+ */
+static void quar_evict_if_full(struct quar *quar)
 {
 	GList *link = quar->order.head;
 
@@ -164,11 +175,14 @@
 		link = link->next;
 	if (!link)
 		link = g_queue_peek_head_link(&quar->order);
-	quar_drop(quar, link->data);
+	quar_remove(quar, link->data);
 }
 
-/* Returns NULL where another account's request has the same digest. */
-static struct quar_entry *quar_need(struct quar *quar, const struct quar_id *id)
+/*
+ * Returns the request's entry and creates it if needed. Returns NULL if a request of another
+ * account with the same digest has an entry.
+ */
+static struct quar_entry *quar_find_or_add(struct quar *quar, const struct quar_id *id)
 {
 	struct quar_entry *entry = quar_lookup(quar, id);
 
@@ -176,7 +190,7 @@
 		return entry;
 	if (g_hash_table_contains(quar->entries, &id->key))
 		return NULL;
-	quar_make_room(quar);
+	quar_evict_if_full(quar);
 	entry = g_new0(struct quar_entry, 1);
 	entry->key = id->key;
 	entry->account = g_strdup(id->account);
@@ -186,7 +200,7 @@
 	return entry;
 }
 
-static struct quar_crash *quar_crash_at(struct quar_entry *entry, uint64_t endpoint)
+static struct quar_crash *quar_find_crash(struct quar_entry *entry, uint64_t endpoint)
 {
 	for (int i = 0; i < entry->n; i++) {
 		if (entry->crashes[i].endpoint == endpoint)
@@ -195,8 +209,11 @@
 	return NULL;
 }
 
-/* A place for one more crash: endpoints that live give way. NULL: all have ended. */
-static struct quar_crash *quar_crash_room(struct quar_entry *entry)
+/*
+ * Returns an element of crashes for one more crash. If all are in use, an endpoint found alive is
+ * replaced; returns NULL if there is none.
+ */
+static struct quar_crash *quar_alloc_crash(struct quar_entry *entry)
 {
 	if (entry->n < QUAR_CRASHES_MAX)
 		return &entry->crashes[entry->n++];
@@ -207,40 +224,41 @@
 	return NULL;
 }
 
-/* Adds the crash, or raises its weight. Returns whether that changed anything. */
+/* Adds the crash or raises its weight. Returns whether the entry changed. */
 static bool quar_add_crash(struct quar_entry *entry, uint64_t endpoint, int weight)
 {
-	struct quar_crash *crash = quar_crash_at(entry, endpoint);
+	struct quar_crash *crash = quar_find_crash(entry, endpoint);
 
 	if (crash && crash->weight >= weight)
 		return false;
 	if (!crash && (weight != QUAR_LIVES || entry->n < QUAR_CRASHES_MAX))
-		crash = quar_crash_room(entry);
+		crash = quar_alloc_crash(entry);
 	if (!crash)
 		return false;
 	*crash = (struct quar_crash){endpoint, weight};
 	return true;
 }
 
-static int64_t quar_term_after(int terms, bool goes_on)
+static int64_t quar_term_after(int terms, bool long_running)
 {
-	int64_t term_us = goes_on ? quar_term_goes_on_us : quar_term_us;
+	int64_t term_us = long_running ? quar_first_term_long_running_us : quar_first_term_us;
 
-	for (int i = 0; i < MIN(terms, (int)QUAR_TERMS_MAX); i++)
-		term_us *= quar_term_x;
+	for (int i = 0; i < MIN(terms, (int)QUAR_TERM_GROWTH_MAX); i++)
+		term_us *= quar_term_factor;
 	return term_us;
 }
 
-static void quar_begin_term(const struct quar *quar, struct quar_entry *entry, int64_t now_us)
+static void quar_refuse_if_over_limit(const struct quar *quar, struct quar_entry *entry,
+				      int64_t now_us)
 {
 	if (entry->until_us > 0 || quar_entry_points(entry) < quar->limit)
 		return;
-	entry->until_us = now_us + quar_term_after(entry->terms, quar_goes_on(entry));
+	entry->until_us = now_us + quar_term_after(entry->terms, quar_is_long_running(entry));
 	entry->terms++;
 }
 
-/* Without the endpoints that live the request is not refused any more. */
-static void quar_end_refusal(const struct quar *quar, struct quar_entry *entry)
+/* Ends the refusal if the points without the endpoints found alive are below the limit. */
+static void quar_lift_refusal_if_under_limit(const struct quar *quar, struct quar_entry *entry)
 {
 	if (entry->until_us == 0 || quar_entry_points(entry) >= quar->limit)
 		return;
@@ -252,46 +270,53 @@
 {
 	const struct quar_entry *entry = quar_lookup(quar, id);
 
-	return entry ? quar_term_after(entry->terms, quar_goes_on(entry)) : quar_term_us;
+	return entry ? quar_term_after(entry->terms, quar_is_long_running(entry))
+		     : quar_first_term_us;
 }
 
-static void quar_next_epoch(struct quar *quar, struct quar_entry *entry, int base, int64_t now_us)
+static void quar_start_epoch(struct quar *quar, struct quar_entry *entry, int base, int64_t now_us)
 {
 	entry->epoch++;
 	entry->base = base;
 	entry->n = 0;
 	entry->until_us = 0;
-	quar_touch(quar, entry, now_us);
+	quar_mark_updated(quar, entry, now_us);
 }
 
-/* After a term the request may run again; one more crash, and it is refused for longer. */
-static void quar_end_term(struct quar *quar, struct quar_entry *entry, int64_t now_us)
+/*
+ * After a term the request may run again. The new epoch starts QUAR_STRONG points below the limit,
+ * so that one more crash begins a longer term.
+ */
+static void quar_end_term_if_over(struct quar *quar, struct quar_entry *entry, int64_t now_us)
 {
 	if (entry->until_us > 0 && now_us >= entry->until_us)
-		quar_next_epoch(quar, entry, quar->limit - QUAR_STRONG, now_us);
+		quar_start_epoch(quar, entry, quar->limit - QUAR_STRONG, now_us);
 }
 
 const struct quar_entry *quar_on_crash(struct quar *quar, const struct quar_id *id,
 				       uint64_t endpoint, int weight, int64_t lasted_us,
 				       int64_t now_us)
 {
-	struct quar_entry *entry = quar_need(quar, id);
+	struct quar_entry *entry = quar_find_or_add(quar, id);
 
-	if (!entry || lasted_us + quar_further_us < entry->lasted_us)
+	if (!entry || lasted_us + quar_duration_tolerance_us < entry->lasted_us)
 		return NULL;
-	quar_end_term(quar, entry, now_us);
+	quar_end_term_if_over(quar, entry, now_us);
 	if (!quar_add_crash(entry, endpoint, weight))
 		return NULL;
-	quar_touch(quar, entry, now_us);
-	quar_begin_term(quar, entry, now_us);
+	quar_mark_updated(quar, entry, now_us);
+	quar_refuse_if_over_limit(quar, entry, now_us);
 	return entry;
 }
 
-/* What it was refused for was counted as if it crashed endpoints as it begins; that may not hold.
+/*
+ * Raises the longest known running time. When it reaches QUAR_LONG_RUNNING_US, the refusal is
+ * lifted, because the points behind it were counted for a request that crashes endpoints at the
+ * start.
  */
-static void quar_set_lasted(struct quar_entry *entry, int64_t lasted_us)
+static void quar_update_longest_run(struct quar_entry *entry, int64_t lasted_us)
 {
-	if (!quar_goes_on(entry) && lasted_us >= QUAR_GOES_ON_US) {
+	if (!quar_is_long_running(entry) && lasted_us >= QUAR_LONG_RUNNING_US) {
 		entry->until_us = 0;
 		entry->terms = 0;
 	}
@@ -306,10 +331,10 @@
 
 	if (!entry || lasted_us <= entry->lasted_us)
 		return NULL;
-	before = quar_goes_on(entry);
-	quar_set_lasted(entry, lasted_us);
-	quar_begin_term(quar, entry, now_us);
-	return !before && quar_goes_on(entry) && quar_is_told(entry) ? entry : NULL;
+	before = quar_is_long_running(entry);
+	quar_update_longest_run(entry, lasted_us);
+	quar_refuse_if_over_limit(quar, entry, now_us);
+	return !before && quar_is_long_running(entry) && quar_is_told(entry) ? entry : NULL;
 }
 
 const struct quar_entry *quar_clear(struct quar *quar, const struct quar_id *id, int64_t now_us)
@@ -319,10 +344,10 @@
 	if (!entry || quar_entry_points(entry) == 0)
 		return NULL;
 	if (!quar_is_told(entry)) {
-		quar_drop(quar, entry);
+		quar_remove(quar, entry);
 		return NULL;
 	}
-	quar_next_epoch(quar, entry, 0, now_us);
+	quar_start_epoch(quar, entry, 0, now_us);
 	entry->terms = 0;
 	return entry;
 }
@@ -335,19 +360,19 @@
 	g_hash_table_iter_init(&iter, quar->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct quar_entry *entry = value;
-		struct quar_crash *crash = quar_crash_at(entry, endpoint);
+		struct quar_crash *crash = quar_find_crash(entry, endpoint);
 
 		if (!crash || crash->weight == QUAR_LIVES)
 			continue;
 		crash->weight = QUAR_LIVES;
-		quar_end_refusal(quar, entry);
-		quar_touch(quar, entry, now_us);
+		quar_lift_refusal_if_under_limit(quar, entry);
+		quar_mark_updated(quar, entry, now_us);
 		fn(ctx, entry);
 	}
 }
 
-/* The other one is of a later epoch: it replaces all. */
-static void quar_replace(struct quar_entry *entry, const struct quar_entry *other)
+/* Replaces the contents by those of an entry that is of a later epoch or the first one received. */
+static void quar_replace_entry(struct quar_entry *entry, const struct quar_entry *other)
 {
 	char *account = entry->account;
 	GList link = entry->link;
@@ -357,32 +382,37 @@
 	entry->link = link;
 }
 
-/* Terms count only from who knows as much of how the request goes on. */
+/*
+ * Merges the terms. Those of the other host are ignored if the two hosts disagree on whether the
+ * request is long-running, because its terms then have other lengths.
+ */
 static bool quar_merge_term(struct quar_entry *entry, const struct quar_entry *other)
 {
-	bool news = other->terms > entry->terms || (other->until_us > 0 && entry->until_us == 0);
+	bool changed = other->terms > entry->terms || (other->until_us > 0 && entry->until_us == 0);
 
-	if (quar_goes_on(other) != quar_goes_on(entry))
+	if (quar_is_long_running(other) != quar_is_long_running(entry))
 		return false;
 	entry->terms = MAX(entry->terms, other->terms);
 	entry->until_us = MAX(entry->until_us, other->until_us);
-	return news;
+	return changed;
 }
 
-static bool quar_merge(struct quar *quar, struct quar_entry *entry, const struct quar_entry *other,
-		       int64_t now_us)
+static bool quar_merge_entry(struct quar *quar, struct quar_entry *entry,
+			     const struct quar_entry *other, int64_t now_us)
 {
-	bool news = other->base < entry->base || (quar_goes_on(other) && !quar_goes_on(entry));
+	bool changed = other->base < entry->base ||
+		       (quar_is_long_running(other) && !quar_is_long_running(entry));
 
 	for (int i = 0; i < other->n; i++)
-		news |= quar_add_crash(entry, other->crashes[i].endpoint, other->crashes[i].weight);
+		changed |=
+			quar_add_crash(entry, other->crashes[i].endpoint, other->crashes[i].weight);
 	entry->base = MIN(entry->base, other->base);
-	quar_set_lasted(entry, other->lasted_us);
-	news |= quar_merge_term(entry, other);
-	quar_touch(quar, entry, other->last_us);
-	quar_end_refusal(quar, entry);
-	quar_begin_term(quar, entry, now_us);
-	return news;
+	quar_update_longest_run(entry, other->lasted_us);
+	changed |= quar_merge_term(entry, other);
+	quar_mark_updated(quar, entry, other->last_us);
+	quar_lift_refusal_if_under_limit(quar, entry);
+	quar_refuse_if_over_limit(quar, entry, now_us);
+	return changed;
 }
 
 const struct quar_entry *quar_take(struct quar *quar, const struct quar_entry *other,
@@ -390,19 +420,19 @@
 {
 	const struct quar_id id = {other->key, other->account};
 	bool known = quar_lookup(quar, &id) != NULL;
-	struct quar_entry *entry = quar_need(quar, &id);
+	struct quar_entry *entry = quar_find_or_add(quar, &id);
 
 	if (!entry)
 		return NULL;
-	quar_end_term(quar, entry, now_us);
+	quar_end_term_if_over(quar, entry, now_us);
 	if (!known || other->epoch > entry->epoch) {
-		quar_replace(entry, other);
-		quar_begin_term(quar, entry, now_us);
+		quar_replace_entry(entry, other);
+		quar_refuse_if_over_limit(quar, entry, now_us);
 		return entry;
 	}
 	if (other->epoch < entry->epoch)
 		return NULL;
-	return quar_merge(quar, entry, other, now_us) ? entry : NULL;
+	return quar_merge_entry(quar, entry, other, now_us) ? entry : NULL;
 }
 
 int64_t quar_left_us(struct quar *quar, const struct quar_id *id, int64_t now_us)
@@ -411,7 +441,7 @@
 
 	if (!entry)
 		return 0;
-	quar_end_term(quar, entry, now_us);
+	quar_end_term_if_over(quar, entry, now_us);
 	return MAX(entry->until_us - now_us, 0);
 }
 
@@ -423,11 +453,11 @@
 		struct quar_entry *entry = link->data;
 
 		next = link->next;
-		if (now_us < MAX(entry->last_us, entry->until_us) + quar_memory_us)
+		if (now_us < MAX(entry->last_us, entry->until_us) + quar_retention_us)
 			continue;
 		if (fn)
 			fn(ctx, entry);
-		quar_drop(quar, entry);
+		quar_remove(quar, entry);
 	}
 }
 
--- a/quar/quar.h
+++ b/quar/quar.h
@@ -10,151 +10,182 @@
 G_BEGIN_DECLS
 
 /*
- * Quarantine of requests that crash the endpoints that run them. What goes wrong without it: such a
- * request is sent to the next endpoint, its caller tries again, it comes again at other hosts; each
- * time one more endpoint ends, with all that runs there, and is empty for seconds. One notices
- * endpoints that end one after the other with the same content among what they had just begun.
+ * Quarantine of requests that crash the endpoints that run them. Without it, such a request is sent
+ * on to the next endpoint, its caller repeats it, and it arrives at other hosts as well; each time
+ * one more endpoint crashes, loses all the requests that run there and is empty for seconds. Such a
+ * request is recognised by endpoints that crash one after the other shortly after they started an
+ * attempt with the same content.
  *
- * An endpoint takes all its requests with it when it ends, and most are innocent, so one crash
- * proves nothing. What is counted is at how many different endpoints a content was under way when
- * they ended; from QUAR_LIMIT points on it is refused, for a term that is longer each time.
- * Whatever is served whole cannot be the cause and is cleared.
+ * A crashing endpoint takes all its requests with it, most of which didn't cause the crash, so one
+ * crash proves nothing. The quarantine counts at how many different endpoints a content was running
+ * when they crashed. Each such crash adds points, by its weight; from QUAR_LIMIT points on the
+ * request is refused for a period called a term, which is longer each time. A request that is
+ * served completely can't be the cause, and its entry is cleared.
  *
- * Hosts tell each other their entries, and entries merge to the same on all of them in whatever
- * order and however often they come: crashes are a set, and an entry of a higher epoch replaces one
- * of a lower. Pure.
+ * Hosts send their entries to each other. Merging gives the same entry on all hosts, whatever the
+ * order and number of the messages: the crashes form a set, and an entry of a higher epoch replaces
+ * one of a lower epoch. The functions do no input or output and read no clock.
  */
 enum {
-	/* Attempts that had just begun: a request that crashes endpoints does so then. */
+	/*
+	 * Weight, in points, of a crash while the attempt had just started. A request that crashes
+	 * endpoints does so at that time.
+	 */
 	QUAR_STRONG = 2,
-	/* Those that had gone on, or may have waited for their turn. */
+	/*
+	 * Weight, in points, of a crash while the attempt had run longer or may still have waited
+	 * in the endpoint's queue.
+	 */
 	QUAR_WEAK = 1,
 	/*
-	 * Instead of a weight, and the greatest of them: the endpoint has turned out to live, and
-	 * counts no more. Hosts that heard of its end before merge to the same.
+	 * Marks an endpoint that was taken for crashed and then found alive; it adds no points. It
+	 * is greater than the weights because a merge keeps the greatest value, so hosts that
+	 * recorded the crash earlier end with the same entry.
 	 */
 	QUAR_LIVES = 3,
 	/*
-	 * For how long an attempt has just begun: at recorded ends of endpoints the request that
-	 * caused them had run for 60 to 130 ms, and most of the others there for seconds.
+	 * Time in microseconds for which an attempt counts as just started. In recorded crashes the
+	 * request that caused them had run for 60 to 130 ms, most others there for seconds.
 	 */
 	QUAR_BEGIN_US = 500000,
-	/* After this time an attempt is not one of a request that crashes endpoints as it begins.
+	/*
+	 * Running time in microseconds from which on an attempt shows that its request doesn't
+	 * crash endpoints at the start.
 	 */
-	QUAR_GOES_ON_US = 1000000,
+	QUAR_LONG_RUNNING_US = 1000000,
 	/*
-	 * Three endpoints under a request that had just begun, six under one that had gone on.
-	 * TwoCrashesRefuseMoreInnocentOnes of QuarModelTest has the figures of two instead of
-	 * three.
+	 * Points from which on a request is refused: three endpoints that crashed just after the
+	 * request started, or six at which it had run longer.
+	 * QuarModelTest.LimitOfTwoCrashesRefusesMoreHarmlessRequests compares this with two
+	 * endpoints.
 	 */
 	QUAR_LIMIT = 3 * QUAR_STRONG,
+	/* Maximum number of crashes that one entry records. */
 	QUAR_CRASHES_MAX = QUAR_LIMIT / QUAR_WEAK,
-	/* Entries that are kept; one is some 200 bytes, so 0.8 MB. The oldest go first. */
+	/*
+	 * Maximum number of entries in a table. An entry takes some 200 bytes, so the table takes
+	 * 0.8 MB. The oldest entry that isn't refused is removed first.
+	 */
 	QUAR_ENTRIES_MAX = 4096
 };
 
+/* One endpoint that crashed while the request was running there. */
 struct quar_crash {
-	uint64_t endpoint; /* hash of its incarnation */
+	uint64_t endpoint; /* hash of the endpoint's id and start time */
 	int weight;	   /* QUAR_STRONG, QUAR_WEAK or QUAR_LIVES */
 };
 
+/* Crash history of one request content. */
 struct quar_entry {
 	struct quar_key key;
-	char *account;	/* "": none */
-	uint32_t epoch; /* raised when it is cleared, or a term is over: older crashes count no more
-			 */
-	int base;	/* points that it begins this epoch with */
-	int terms;	/* for which it was refused so far */
-	int64_t lasted_us; /* longest that an attempt has gone on, as far as is known */
-	int n;
+	char *account; /* name of the client account; "" if none */
+	/*
+	 * Number of times that the entry was cleared or a term ended. Each increment discards the
+	 * crashes counted before it.
+	 */
+	uint32_t epoch;
+	int base;	   /* points at the start of this epoch */
+	int terms;	   /* number of terms since the entry was created or cleared */
+	int64_t lasted_us; /* longest known running time in microseconds, see quar_on_part() */
+	int n;		   /* number of valid elements of crashes */
 	struct quar_crash crashes[QUAR_CRASHES_MAX];
-	int64_t last_us;  /* when something was last learnt of it */
-	int64_t until_us; /* it is refused until then; 0: it is not */
-	GList link;	  /* of the table's order */
+	int64_t last_us;  /* time of the last update, in microseconds */
+	int64_t until_us; /* time at which the refusal ends, in microseconds; 0 if not refused */
+	GList link;	  /* element of the table's order queue */
 };
 
+/* Table of the entries that one host knows. */
 struct quar {
 	int limit;	     /* points from which on a request is refused */
 	GHashTable *entries; /* struct quar_key -> struct quar_entry */
-	GQueue order;	     /* of them; what was learnt last stands last */
+	GQueue order;	     /* all entries, the most recently updated last */
 };
 
-/* Which request is meant. The account is compared besides, see quar_key.h. */
+/* Identifies a request. The account is compared in addition to the digest, see quar_key.h. */
 struct quar_id {
 	struct quar_key key;
-	const char *account;
+	const char *account; /* name of the client account; "" if none */
 };
 
-/* limit: QUAR_LIMIT, or another one to compare it with. */
+/* Initializes an empty table. limit is QUAR_LIMIT, except in tests that compare other limits. */
 void quar_init(struct quar *quar, int limit);
 void quar_finish(struct quar *quar);
 
+/* Returns a copy that is in no table; free it with quar_entry_free(). */
 struct quar_entry *quar_entry_dup(const struct quar_entry *entry);
 void quar_entry_free(struct quar_entry *entry);
 
-/* The entry, or NULL; valid until the next change. */
+/* Returns the request's entry, or NULL. It is valid until the table changes. */
 const struct quar_entry *quar_find(const struct quar *quar, const struct quar_id *id);
 
 /*
- * The endpoint ended while the request was under way there, and had gone on for that long. It is
- * not counted where another attempt has gone on for much longer: what crashes endpoints at some
- * point of its answer gets no further anywhere, while an innocent request that many callers send is
- * under way at every endpoint that ends. Returns the entry if that is news, else NULL.
+ * Records that the endpoint crashed while an attempt of the request was running there. lasted_us is
+ * the time from the head of the attempt's answer to its newest part. The crash isn't counted if
+ * another attempt ran for much longer: a request that crashes endpoints at some point of its answer
+ * never gets further, while a harmless request that many callers send is running at every endpoint
+ * that crashes. Returns the entry if it changed, else NULL.
  */
 const struct quar_entry *quar_on_crash(struct quar *quar, const struct quar_id *id,
 				       uint64_t endpoint, int weight, int64_t lasted_us,
 				       int64_t now_us);
 
 /*
- * An attempt of the request has gone on for that long, from the head of its answer to the newest
- * part. From QUAR_GOES_ON_US on it is not what crashes endpoints as it begins, and its crashes
- * weigh less. Returns the entry if other hosts are to hear of that, else NULL.
+ * Records the running time of an attempt: lasted_us is the time in microseconds from the head of
+ * its answer to the newest part. From QUAR_LONG_RUNNING_US on the request doesn't crash endpoints
+ * at the start, and its crashes count QUAR_WEAK only. Returns the entry if other hosts need the
+ * change, else NULL.
  */
 const struct quar_entry *quar_on_part(struct quar *quar, const struct quar_id *id,
 				      int64_t lasted_us, int64_t now_us);
 
 /*
- * The request was served whole, or an operator has cleared it. Returns the entry if other hosts
- * are to hear of that, else NULL.
+ * Clears the request's entry after the request was served completely or at an operator's command.
+ * Returns the entry if other hosts need the change, else NULL.
  */
 const struct quar_entry *quar_clear(struct quar *quar, const struct quar_id *id, int64_t now_us);
 
+/* Callback that receives an entry; ctx is the caller's pointer. */
+typedef void (*quar_fn)(void *ctx, const struct quar_entry *entry);
+
 /*
- * The endpoint has not ended, as it had seemed: a cut of the network refuses connections, too. What
- * was counted at it is taken back; fn is called for each entry that this changes.
+ * Withdraws the crashes counted at an endpoint that was taken for crashed and is alive; a network
+ * partition refuses connections, too. fn is called for each entry that changes.
  */
-typedef void (*quar_fn)(void *ctx, const struct quar_entry *entry);
 void quar_on_lives(struct quar *quar, uint64_t endpoint, int64_t now_us, quar_fn fn, void *ctx);
 
-/* Merges what another host knows. Returns the entry if that is news, else NULL. */
+/* Merges an entry received from another host. Returns the entry if it changed, else NULL. */
 const struct quar_entry *quar_take(struct quar *quar, const struct quar_entry *other,
 				   int64_t now_us);
 
-/* For how long the request is still refused; 0: it is not. */
+/* Returns how long the request is still refused, in microseconds; 0 if it isn't refused. */
 int64_t quar_left_us(struct quar *quar, const struct quar_id *id, int64_t now_us);
 
-/* For how long it would be refused if it crashed its last allowed endpoint now. */
+/* Returns the length, in microseconds, of the term that the next refusal would have. */
 int64_t quar_next_term_us(const struct quar *quar, const struct quar_id *id);
 
-/* Points against the request; from QUAR_LIMIT on it is refused. */
+/* Returns the points counted against the request; from QUAR_LIMIT on it is refused. */
 int quar_points(const struct quar *quar, const struct quar_id *id);
 int quar_entry_points(const struct quar_entry *entry);
 
-/* The same after one more crash of that weight; 0: none. */
+/* Returns the points that the request would have after one more crash of the given weight. */
 int quar_points_after(const struct quar *quar, const struct quar_id *id, int weight);
 
 /*
- * Whether other hosts are told: not of an attempt that had gone on when one endpoint ended, of
- * which each crash leaves a hundred.
+ * Returns whether the entry is sent to other hosts. An entry whose only crash is a weak one isn't
+ * sent, because each crash creates about a hundred of these.
  */
 bool quar_is_told(const struct quar_entry *entry);
 
-/* Whether it outlives the hosts: a count that is lost once leaves one more crash. */
+/*
+ * Returns whether the entry is written to the store, so that it survives a restart of all hosts.
+ * An entry with a single crash isn't written; if it is lost, the request crashes one more endpoint.
+ */
 bool quar_is_kept(const struct quar_entry *entry);
 
-/* Drops what is outdated; fn is called for each before it goes. */
+/* Removes outdated entries. fn, if not NULL, is called for each entry before its removal. */
 void quar_expire(struct quar *quar, int64_t now_us, quar_fn fn, void *ctx);
 
+/* Calls fn for each entry, in no particular order. */
 void quar_each(const struct quar *quar, quar_fn fn, void *ctx);
 
 G_END_DECLS
--- a/quar/quar_key.c
+++ b/quar/quar_key.c
@@ -2,8 +2,8 @@
 
 #include <xxhash.h>
 
-/* The length goes first, so that the end of one part is not taken for the beginning of the next. */
-static void quar_add(XXH3_state_t *state, struct str part)
+/* Hashes the length first, so that bytes moved from one part to the next change the digest. */
+static void quar_hash_part(XXH3_state_t *state, struct str part)
 {
 	uint64_t len = part.len;
 
@@ -19,9 +19,9 @@
 
 	g_assert(state);
 	XXH3_128bits_reset(state);
-	quar_add(state, account);
-	quar_add(state, target);
-	quar_add(state, body);
+	quar_hash_part(state, account);
+	quar_hash_part(state, target);
+	quar_hash_part(state, body);
 	hash = XXH3_128bits_digest(state);
 	XXH3_freeState(state);
 	return (struct quar_key){hash.high64, hash.low64};
--- a/quar/quar_key.h
+++ b/quar/quar_key.h
@@ -10,25 +10,27 @@
 G_BEGIN_DECLS
 
 /*
- * What a request asks for, whoever carries it: a digest (XXH3, 128 bits) of client account, target
- * and body. Ids, idempotency keys and the host that it came to are left out, since they differ each
- * time that the same request comes again. Two different requests have the same digest by accident
- * once in 10^20 pairs of a million requests; who makes one on purpose needs the account's name in
- * it, so where it matters the account is compared besides.
+ * Digest (XXH3, 128 bits) of a request's content: client account, target and body. Request ids,
+ * idempotency keys and the receiving host are left out, because they differ each time that the same
+ * request is sent again. Among a million requests, the probability that two different ones have the
+ * same digest by accident is below 1 in 10^20. XXH3 doesn't prevent collisions made on purpose;
+ * such a request includes its own account's name, so callers that must exclude them also compare
+ * the account.
  */
 struct quar_key {
 	uint64_t high;
 	uint64_t low;
 };
 
-/* account: "" for requests of none. */
+/* Computes the digest. account is "" for a request without a client account. */
 struct quar_key quar_key_of(struct str account, struct str target, struct str body);
 
-/* The digest as a text of 32 digits. */
 enum {
+	/* Length of a digest as text, in hexadecimal digits without the terminating null. */
 	QUAR_TEXT_LEN = 32
 };
 
+/* Writes the digest as QUAR_TEXT_LEN hexadecimal digits and a terminating null. */
 void quar_key_text(const struct quar_key *key, char text[QUAR_TEXT_LEN + 1]);
 
 bool quar_key_eq(const struct quar_key *a, const struct quar_key *b);
--- a/quar/quar_key_test.cc
+++ b/quar/quar_key_test.cc
@@ -13,7 +13,7 @@
 			   str_make(body.data(), body.size()));
 }
 
-TEST(QuarKeyTest, WhatMakesTwoRequestsTheSame)
+TEST(QuarKeyTest, KeyDependsOnAccountTargetAndBody)
 {
 	const struct {
 		const char *account, *target, *body;
@@ -33,7 +33,7 @@
 	}
 }
 
-TEST(QuarKeyTest, ALongBodyCountsToItsLastByte)
+TEST(QuarKeyTest, LongBodyIsHashedToItsLastByte)
 {
 	std::string body(300000, 'x');
 	const quar_key before = Key("farm", "/a", body);
--- a/quar/quar_test.cc
+++ b/quar/quar_test.cc
@@ -42,11 +42,11 @@
 };
 
 /*
- * Symptom: one request ended fourteen endpoints and more.
- * Sequence: it begins at one endpoint after the other, at any host; each ends.
- * Cause: nobody counted at how many different endpoints that had happened.
+ * Guards against one request crashing fourteen endpoints and more. It is started at one endpoint
+ * after the other, by any host, and each endpoint crashes; the crashes at different endpoints must
+ * be counted.
  */
-TEST_F(QuarTest, WhatIsRefusedAndWhatIsNot)
+TEST_F(QuarTest, EnoughCrashesAtDifferentEndpointsRefuse)
 {
 	const struct {
 		const char *what;
@@ -59,7 +59,7 @@
 		{"one endpoint, seen by three hosts",
 		 {{1, QUAR_STRONG}, {1, QUAR_STRONG}, {1, QUAR_STRONG}},
 		 false},
-		{"five under which it went on",
+		{"five at which it had run longer",
 		 {{1, QUAR_WEAK}, {2, QUAR_WEAK}, {3, QUAR_WEAK}, {4, QUAR_WEAK}, {5, QUAR_WEAK}},
 		 false},
 		{"six",
@@ -90,13 +90,13 @@
 	for (uint64_t endpoint = 1; endpoint <= 3; endpoint++)
 		Crash(Id(), endpoint);
 	EXPECT_TRUE(Refused(Id()));
-	/* Not even one that has found a body with the same digest. */
+	/* The other account isn't refused even if it finds a body with the same digest. */
 	EXPECT_FALSE(Refused(Id(1, "mill")));
 	EXPECT_EQ(Crash(Id(1, "mill"), 4), nullptr);
 	EXPECT_TRUE(Refused(Id()));
 }
 
-TEST_F(QuarTest, WhatIsServedWholeIsCleared)
+TEST_F(QuarTest, ServedRequestIsCleared)
 {
 	const quar_id id = Id();
 
@@ -111,14 +111,16 @@
 	EXPECT_TRUE(Refused(id));
 }
 
-static void AddEntry(void *ctx, const quar_entry *entry)
+static void AppendEntry(void *ctx, const quar_entry *entry)
 {
 	static_cast<std::vector<quar_entry> *>(ctx)->push_back(*entry);
 }
 
-/* Guards against refusing a request for endpoints that were only cut off when it had begun there.
+/*
+ * Guards against refusing a request because of endpoints that a network partition cut off just
+ * after the request had started there.
  */
-TEST_F(QuarTest, EndpointsThatTurnOutToLiveAreTakenBack)
+TEST_F(QuarTest, CrashesAtLiveEndpointsAreWithdrawn)
 {
 	const struct {
 		const char *what;
@@ -137,41 +139,41 @@
 
 	for (const auto &c : cases) {
 		const quar_id id = Id(low++);
-		std::vector<quar_entry> told;
+		std::vector<quar_entry> changed;
 
 		for (uint64_t endpoint : c.ended)
 			Crash(id, 10 * low + endpoint);
 		for (uint64_t endpoint : c.lives)
-			quar_on_lives(&quar_, 10 * low + endpoint, now_, AddEntry, &told);
+			quar_on_lives(&quar_, 10 * low + endpoint, now_, AppendEntry, &changed);
 		EXPECT_EQ(Refused(id), c.refused) << c.what;
 		EXPECT_EQ(quar_points(&quar_, &id), c.points) << c.what;
 	}
 }
 
-/* Guards against endpoints that live using up the places of those that end. */
-TEST_F(QuarTest, OnesThatLiveLeaveRoomForThoseThatEnd)
+/* Guards against endpoints found alive filling the list, so that later crashes aren't recorded. */
+TEST_F(QuarTest, LiveEndpointsLeaveRoomForCrashes)
 {
 	const quar_id id = Id();
-	std::vector<quar_entry> told;
+	std::vector<quar_entry> changed;
 
 	for (uint64_t endpoint = 1; endpoint <= 20; endpoint++) {
 		Crash(id, endpoint);
-		quar_on_lives(&quar_, endpoint, now_, AddEntry, &told);
+		quar_on_lives(&quar_, endpoint, now_, AppendEntry, &changed);
 		EXPECT_FALSE(Refused(id));
 	}
-	EXPECT_EQ(told.size(), 20U);
+	EXPECT_EQ(changed.size(), 20U);
 	for (uint64_t endpoint = 21; endpoint <= 23; endpoint++)
 		Crash(id, endpoint);
 	EXPECT_TRUE(Refused(id));
 }
 
 /*
- * Symptom: the one request that all callers of an account send was refused for ten minutes.
- * Sequence: another request ends three of eight endpoints within a second; each time the popular
- * one has just begun there, while it goes on elsewhere. Cause: what crashes endpoints at some point
- * of its answer gets no further anywhere, and that was not looked at.
+ * Guards against refusing, for ten minutes, the one request that all callers of an account send.
+ * Another request crashes three of eight endpoints within a second. Each time the popular request
+ * has just started there, while attempts at other endpoints run on. A request that crashes
+ * endpoints at some point of its answer never gets further, so these crashes must not count.
  */
-TEST_F(QuarTest, WhatGotFurtherElsewhereIsNotCounted)
+TEST_F(QuarTest, CrashIsNotCountedIfAnotherAttemptRanLonger)
 {
 	const quar_id id = Id();
 
@@ -188,8 +190,8 @@
 	EXPECT_EQ(quar_points_after(&quar_, &id, QUAR_STRONG), 4);
 }
 
-/* It always lasts for two seconds. */
-TEST_F(QuarTest, WhatCrashesEndpointsLateIsRefusedForAWhile)
+/* Each attempt of the request runs for two seconds before its endpoint crashes. */
+TEST_F(QuarTest, LateCrashesRefuseForAShortTerm)
 {
 	const quar_id id = Id();
 
@@ -202,11 +204,11 @@
 }
 
 /*
- * Symptom: a request that brought one part before it crashed endpoints was let through to six of
- * them. Sequence: fast engines write a part or two within the 100 ms that it takes. Cause: one part
- * was taken for a sign that it does not crash endpoints as it begins.
+ * Guards against a request that crashes six endpoints instead of three. Fast engines send one or
+ * two parts of the answer within the 100 ms before the crash; these must not count as a sign that
+ * the request doesn't crash endpoints at the start.
  */
-TEST_F(QuarTest, APartOrTwoBeforeTheCrashIsNoAlibi)
+TEST_F(QuarTest, PartsSentJustBeforeTheCrashDontLowerItsWeight)
 {
 	const quar_id id = Id();
 
@@ -220,9 +222,11 @@
 	EXPECT_EQ(quar_left_us(&quar_, &id, now_), 10 * MINUTE);
 }
 
-/* Each crash leaves a hundred requests that are sent again and served; nobody has to hear of them.
+/*
+ * Guards against a burst of messages between hosts: each crash interrupts about a hundred requests
+ * that are then sent again and served, and their entries must not be sent.
  */
-TEST_F(QuarTest, OthersAreNotToldOfEachRequestThatWasCutOnce)
+TEST_F(QuarTest, EntryWithOneWeakCrashIsNotPropagated)
 {
 	const quar_id id = Id();
 	const quar_entry *entry = Crash(id, 1, QUAR_WEAK);
@@ -238,9 +242,8 @@
 }
 
 /*
- * Symptom: a body that a new version of the model takes well is refused for good.
- * Sequence: three crashes, the model is replaced, the request comes again.
- * Cause: nobody would try it again. So terms end, and one crash more begins a longer one.
+ * Guards against refusing a request for good after a new version of the model has made it harmless.
+ * Each term ends, the request may run again, and one more crash begins a longer term.
  */
 TEST_F(QuarTest, TermsEndAndGrow)
 {
@@ -263,8 +266,8 @@
 	EXPECT_EQ(quar_next_term_us(&quar_, &id), 10 * MINUTE);
 }
 
-/* Thousands of different requests, and an account that makes them on purpose. */
-TEST_F(QuarTest, MemoryIsBoundedAndTheOldestGoFirst)
+/* Guards against unbounded memory when an account sends thousands of different requests. */
+TEST_F(QuarTest, FullTableEvictsTheOldestEntry)
 {
 	for (uint64_t endpoint = 1; endpoint <= 3; endpoint++)
 		Crash(Id(1), endpoint);
@@ -280,7 +283,7 @@
 	EXPECT_NE(quar_find(&quar_, &old), nullptr);
 }
 
-TEST_F(QuarTest, WhatIsOutdatedIsDropped)
+TEST_F(QuarTest, OutdatedEntriesAreRemoved)
 {
 	int dropped = 0;
 	const quar_fn count = [](void *ctx, const quar_entry *) { ++*(int *)ctx; };
@@ -297,10 +300,10 @@
 	EXPECT_EQ(g_hash_table_size(quar_.entries), 0U);
 }
 
-/* One host's table, and what it would tell others. */
+/* One host's table and the entries that it sends to other hosts. */
 struct Host {
 	quar table;
-	std::vector<quar_entry *> says;
+	std::vector<quar_entry *> sent;
 
 	Host()
 	{
@@ -309,17 +312,18 @@
 	~Host()
 	{
 		quar_finish(&table);
-		for (auto *entry : says)
+		for (auto *entry : sent)
 			quar_entry_free(entry);
 	}
-	void Say(const quar_entry *entry)
+	void Send(const quar_entry *entry)
 	{
 		if (entry && quar_is_told(entry))
-			says.push_back(quar_entry_dup(entry));
+			sent.push_back(quar_entry_dup(entry));
 	}
 };
 
-std::string Text(const Host &host, const quar_id &id)
+/* The host's entry as text, with the crashes as "endpoint x weight". */
+std::string Describe(const Host &host, const quar_id &id)
 {
 	const quar_entry *entry = quar_find(&host.table, &id);
 	std::vector<std::string> crashes;
@@ -333,21 +337,21 @@
 	std::sort(crashes.begin(), crashes.end());
 	for (const auto &crash : crashes)
 		text += crash + " ";
-	return text + (entry->lasted_us >= QUAR_GOES_ON_US ? "goes on, " : "") + "epoch " +
+	return text + (entry->lasted_us >= QUAR_LONG_RUNNING_US ? "goes on, " : "") + "epoch " +
 	       std::to_string(entry->epoch) + " base " + std::to_string(entry->base) +
 	       (entry->until_us > 0 ? " refused" : "");
 }
 
 /*
- * Three hosts see one crash each; one of them sees the request go on, or serves it whole; and what
- * they say comes in every order, twice, and late. All must end with the same entry, whatever the
- * order.
+ * Guards against hosts that disagree about an entry. Three hosts record one crash each; one of them
+ * also records a long run of the request or serves it completely. Their entries arrive at a fourth
+ * host late, twice and in every order, and must always merge to the same entry.
  */
-TEST(QuarMergeTest, EveryOrderEndsTheSame)
+TEST(QuarMergeTest, EveryOrderGivesTheSameEntry)
 {
 	const struct {
-		bool goes_on, cleared;
-		const char *end;
+		bool long_running, cleared;
+		const char *merged;
 	} cases[] = {
 		{false, false, "1x2 2x2 3x2 epoch 0 base 0 refused"},
 		{true, false, "1x2 2x2 3x2 goes on, epoch 0 base 0"},
@@ -364,26 +368,29 @@
 			const quar_id id = {{1, 2}, "farm"};
 
 			for (uint64_t i = 0; i < 3; i++)
-				hosts[i].Say(quar_on_crash(&hosts[i].table, &id, i + 1, QUAR_STRONG,
-							   0, SEC));
-			quar_take(&hosts[0].table, hosts[1].says[0], SEC);
-			if (c.goes_on)
+				hosts[i].Send(quar_on_crash(&hosts[i].table, &id, i + 1,
+							    QUAR_STRONG, 0, SEC));
+			quar_take(&hosts[0].table, hosts[1].sent[0], SEC);
+			if (c.long_running)
 				quar_on_part(&hosts[0].table, &id, SEC, SEC);
-			hosts[0].Say(c.cleared ? quar_clear(&hosts[0].table, &id, 2 * SEC)
-					       : quar_find(&hosts[0].table, &id));
-			std::vector<quar_entry *> news = {hosts[0].says[0], hosts[0].says[1],
-							  hosts[1].says[0], hosts[2].says[0]};
+			hosts[0].Send(c.cleared ? quar_clear(&hosts[0].table, &id, 2 * SEC)
+						: quar_find(&hosts[0].table, &id));
+			std::vector<quar_entry *> received = {hosts[0].sent[0], hosts[0].sent[1],
+							      hosts[1].sent[0], hosts[2].sent[0]};
 			for (int round = 0; round < 2; round++) {
 				for (int i : order)
-					quar_take(&all.table, news[(size_t)i], 3 * SEC);
+					quar_take(&all.table, received[(size_t)i], 3 * SEC);
 			}
-			EXPECT_EQ(Text(all, id), c.end);
+			EXPECT_EQ(Describe(all, id), c.merged);
 		} while (std::next_permutation(order.begin(), order.end()));
 	}
 }
 
-/* Guards against a count that comes back with older news of a host that has not heard of it. */
-TEST(QuarMergeTest, WhatIsTakenBackStaysSoInEveryOrder)
+/*
+ * Guards against a withdrawn crash that counts again when an older entry arrives from a host that
+ * hasn't received the withdrawal.
+ */
+TEST(QuarMergeTest, WithdrawnCrashStaysWithdrawnInEveryOrder)
 {
 	std::vector<int> order = {0, 1, 2, 3};
 
@@ -391,43 +398,43 @@
 		Host hosts[3];
 		Host all;
 		const quar_id id = {{1, 2}, "farm"};
-		std::vector<quar_entry> told;
+		std::vector<quar_entry> changed;
 
 		for (uint64_t i = 0; i < 3; i++)
-			hosts[i].Say(
+			hosts[i].Send(
 				quar_on_crash(&hosts[i].table, &id, i + 1, QUAR_STRONG, 0, SEC));
-		quar_on_lives(&hosts[1].table, 2, 2 * SEC, AddEntry, &told);
-		hosts[1].Say(quar_find(&hosts[1].table, &id));
-		std::vector<quar_entry *> news = {hosts[0].says[0], hosts[1].says[0],
-						  hosts[1].says[1], hosts[2].says[0]};
+		quar_on_lives(&hosts[1].table, 2, 2 * SEC, AppendEntry, &changed);
+		hosts[1].Send(quar_find(&hosts[1].table, &id));
+		std::vector<quar_entry *> received = {hosts[0].sent[0], hosts[1].sent[0],
+						      hosts[1].sent[1], hosts[2].sent[0]};
 		for (int round = 0; round < 2; round++) {
 			for (int i : order)
-				quar_take(&all.table, news[(size_t)i], 3 * SEC);
+				quar_take(&all.table, received[(size_t)i], 3 * SEC);
 		}
 		EXPECT_EQ(quar_points(&all.table, &id), 2 * QUAR_STRONG);
 		EXPECT_EQ(quar_left_us(&all.table, &id, 4 * SEC), 0);
 	} while (std::next_permutation(order.begin(), order.end()));
 }
 
-/* News that change nothing are not passed on, so that they end on a ring of hosts. */
-TEST(QuarMergeTest, NewsAreNewsOnce)
+/* Guards against an entry that hosts pass on to each other endlessly although nothing changed. */
+TEST(QuarMergeTest, RepeatedEntryIsNoChange)
 {
 	Host a;
 	Host b;
 	const quar_id id = {{1, 2}, "farm"};
 
-	a.Say(quar_on_crash(&a.table, &id, 1, QUAR_STRONG, 0, SEC));
-	EXPECT_NE(quar_take(&b.table, a.says[0], SEC), nullptr);
-	EXPECT_EQ(quar_take(&b.table, a.says[0], SEC), nullptr);
+	a.Send(quar_on_crash(&a.table, &id, 1, QUAR_STRONG, 0, SEC));
+	EXPECT_NE(quar_take(&b.table, a.sent[0], SEC), nullptr);
+	EXPECT_EQ(quar_take(&b.table, a.sent[0], SEC), nullptr);
 	EXPECT_EQ(quar_take(&a.table, quar_find(&b.table, &id), 2 * SEC), nullptr);
 }
 
 /*
- * Symptom: a short request that ten callers sent all the time was refused for ten minutes.
- * Sequence: others end three of eight endpoints within half a second; it has just begun at each.
- * Cause: that it had been served a moment before was forgotten.
+ * Guards against refusing, for ten minutes, a short request that ten callers send all the time.
+ * Other requests crash three of eight endpoints within half a second, and the short one has just
+ * started at each; that it was served a moment before must be remembered.
  */
-TEST(ServedTest, WhatWasServedLately)
+TEST(ServedTest, RemembersRecentlyServedRequests)
 {
 	auto table = std::make_unique<served>();
 	quar_key key = {1, 0};
@@ -436,9 +443,9 @@
 	EXPECT_FALSE(served_lately(table.get(), &key, SEC));
 	served_note(table.get(), &key, SEC);
 	EXPECT_TRUE(served_lately(table.get(), &key, 2 * SEC));
-	EXPECT_FALSE(served_lately(table.get(), &key, SEC + SERVED_US + 1));
+	EXPECT_FALSE(served_lately(table.get(), &key, SEC + SERVED_WINDOW_US + 1));
 	served_note(table.get(), &key, 20 * SEC);
-	for (uint64_t i = 1; i < SERVED_MAX; i++) {
+	for (uint64_t i = 1; i < SERVED_ENTRIES_MAX; i++) {
 		const quar_key other = {1, i};
 
 		served_note(table.get(), &other, 20 * SEC);
--- a/quar/served.h
+++ b/quar/served.h
@@ -10,32 +10,38 @@
 G_BEGIN_DECLS
 
 /*
- * Which requests were served whole lately. A request that crashes endpoints never is; one that many
- * callers send is all the time, and is under way at each endpoint that ends for another reason.
- * What is known here is not counted against it. Pure.
+ * Requests that were served completely a short time ago, in a ring buffer. A request that crashes
+ * endpoints is never among them. A harmless request that many callers send is among them all the
+ * time, and is running at each endpoint that crashes for another reason; a crash isn't counted
+ * against a request found here. The functions do no input or output and read no clock.
  */
 enum {
-	/* 24 bytes each, so 98 KB; at 100 requests a second on one host, 40 s. */
-	SERVED_MAX = 4096,
 	/*
-	 * For which it speaks for the request: longer than a row of crashes lasts, and short enough
-	 * for a request that has become harmful, as a new version of the model came, to be found
-	 * soon.
+	 * Number of requests that are kept: at 24 bytes each they take 98 KB. At 100 requests a
+	 * second on one host they cover 40 s.
 	 */
-	SERVED_US = 10000000
+	SERVED_ENTRIES_MAX = 4096,
+	/*
+	 * Time in microseconds after its answer for which a request counts as recently served. It
+	 * is longer than a series of crashes lasts, and short enough that a request which a new
+	 * version of the model has made harmful is soon counted again.
+	 */
+	SERVED_WINDOW_US = 10000000
 };
 
 struct served {
-	struct quar_key keys[SERVED_MAX];
-	int64_t at_us[SERVED_MAX];
-	unsigned int next;
-	unsigned int n;
+	struct quar_key keys[SERVED_ENTRIES_MAX];
+	int64_t at_us[SERVED_ENTRIES_MAX]; /* time at which each was served, in microseconds */
+	unsigned int next;		   /* index that is written next */
+	unsigned int n;			   /* number of valid elements */
 };
 
 void served_init(struct served *served);
 
+/* Records that the request was served completely. */
 void served_note(struct served *served, const struct quar_key *key, int64_t now_us);
 
+/* Returns whether the request was served completely within the last SERVED_WINDOW_US. */
 bool served_lately(const struct served *served, const struct quar_key *key, int64_t now_us);
 
 G_END_DECLS
