--- a/rt/rt.c
+++ b/rt/rt.c
@@ -3,15 +3,18 @@
 #include <string.h>
 
 enum {
+	/* Seed of the hash by which a request id selects a service. */
 	RT_SPLIT_SEED = 1,
+	/* Number of endpoints that a request is sent to if the route states none. */
 	RT_ATTEMPTS_DEFAULT = 1,
-	RT_CROSS_ZONE_DEFAULT_MS = 1 /* for a pair of zones that the configuration doesn't name */
+	/* Delay in ms between two availability zones for which the configuration has no delay. */
+	RT_CROSS_ZONE_DEFAULT_MS = 1
 };
 
 static void rt_route_free(gpointer data);
 static void rt_service_free(gpointer data);
 static void rt_account_free(gpointer data);
-static gint rt_longer_first(gconstpointer a, gconstpointer b);
+static gint rt_compare_prefix_length(gconstpointer a, gconstpointer b);
 
 struct rt_conf *rt_conf_new(int64_t version)
 {
@@ -149,7 +152,8 @@
 	g_hash_table_replace(conf->keys, g_strdup(key), account);
 }
 
-static gint rt_longer_first(gconstpointer a, gconstpointer b)
+/* Orders routes by descending length of their prefixes. */
+static gint rt_compare_prefix_length(gconstpointer a, gconstpointer b)
 {
 	const struct rt_route *ra = *(struct rt_route *const *)a;
 	const struct rt_route *rb = *(struct rt_route *const *)b;
@@ -161,7 +165,7 @@
 
 void rt_conf_seal(struct rt_conf *conf)
 {
-	g_ptr_array_sort(conf->routes, rt_longer_first);
+	g_ptr_array_sort(conf->routes, rt_compare_prefix_length);
 	for (guint i = 0; i < conf->routes->len; i++) {
 		struct rt_route *route = conf->routes->pdata[i];
 		GPtrArray *list = g_hash_table_lookup(conf->by_host, route->host);
@@ -200,17 +204,18 @@
 {
 	const struct rt_split *splits = (const struct rt_split *)(void *)route->splits->data;
 	int64_t total = 0;
-	int64_t draw;
+	int64_t point;
 
 	for (guint i = 0; i < route->splits->len; i++)
 		total += splits[i].weight;
 	if (total <= 0)
 		return NULL;
-	draw = (int64_t)(str_hash(request_id, strlen(request_id), RT_SPLIT_SEED) % (uint64_t)total);
+	point = (int64_t)(str_hash(request_id, strlen(request_id), RT_SPLIT_SEED) %
+			  (uint64_t)total);
 	for (guint i = 0; i < route->splits->len; i++) {
-		if (draw < splits[i].weight)
+		if (point < splits[i].weight)
 			return g_hash_table_lookup(conf->services, splits[i].service);
-		draw -= splits[i].weight;
+		point -= splits[i].weight;
 	}
 	return NULL;
 }
--- a/rt/rt.h
+++ b/rt/rt.h
@@ -10,107 +10,122 @@
 G_BEGIN_DECLS
 
 /*
- * The configuration as routing needs it: routes, services and client accounts of one version. A
- * value is built once, then never changes, and is shared between threads by reference count. Pure.
+ * Routing configuration: the routes, services and client accounts of one configuration version. A
+ * configuration is built once, is immutable afterwards, and is shared between threads by reference
+ * count. The functions do no input or output and read no clock.
  */
+
+/* How a route's requests are answered and whether they may run again. */
 enum rt_type {
 	RT_IDEMPOTENT,	   /* may run more than once */
 	RT_NON_IDEMPOTENT, /* may run at most once */
-	RT_STREAMING	   /* events; may run at most once unless it is resumable */
+	RT_STREAMING /* answered by a stream of events; may run at most once unless resumable */
 };
 
+/* Share of a route's requests that one service receives. */
 struct rt_split {
-	char *service;
-	int64_t weight;
+	char *service;	/* name of the service */
+	int64_t weight; /* share of the requests, relative to the sum of the route's weights */
 };
 
+/* Rules for the requests to one host name and path prefix. */
 struct rt_route {
 	char *name;
-	char *host;
-	char *prefix; /* of the path; begins and ends with a slash */
+	char *host;   /* host name that callers ask for, in lower case */
+	char *prefix; /* prefix of the request's path; begins and ends with a slash */
 	enum rt_type type;
-	GArray *splits;	    /* struct rt_split */
-	int64_t timeout_ms; /* longest time that a caller may be kept waiting; 0: none */
-	int64_t target_ms;  /* time of the answer, or of the first event, that users aim at */
-	int64_t gap_ms;	    /* longest pause between events that users aim at; 0: not stated */
-	int64_t priority;   /* 0 is the most urgent */
-	int64_t attempts;   /* endpoints that one request may be sent to at most */
-	bool public_access; /* needs no account key */
-	bool resumable;	    /* a stream may go on at another endpoint */
+	GArray *splits;	    /* services of the route, as struct rt_split */
+	int64_t timeout_ms; /* longest time until a request ends, in ms; 0 if unlimited */
+	int64_t target_ms;  /* target time until the answer or its first event, in ms; 0: none */
+	int64_t gap_ms;	    /* target for the longest pause between events, in ms; 0: none */
+	int64_t priority;   /* priority of the requests; 0 is the most urgent */
+	int64_t attempts;   /* maximum number of endpoints that one request is sent to */
+	bool public_access; /* requests need no account key */
+	bool resumable;	    /* an interrupted stream may be resumed at another endpoint */
 };
 
-/* One kind of accelerator that a service's endpoints run on. */
+/* Type of accelerator that endpoints of a service run on. */
 struct rt_kind {
 	char *name;
-	double memory_mb;
-	double pace;	  /* time of a token step, as a multiple of the service's step */
-	double read_pace; /* the same for reading a prompt */
+	double memory_mb; /* memory for layers and contexts, in megabytes */
+	double pace;	  /* time of a token step, as a multiple of rt_engine.step_ms */
+	double read_pace; /* time per prompt token, as a multiple of 1 / rt_engine.read_per_ms */
 };
 
-/* Delay of the network between two availability zones, one way. */
+/* One-way network delay between two availability zones. */
 struct rt_delay {
-	char *from;
-	char *to;
-	double ms;
+	char *from; /* name of one availability zone */
+	char *to;   /* name of the other availability zone */
+	double ms;  /* delay in milliseconds */
 };
 
-/* How the engines of a service work; layers is 0 for a service whose endpoints are no engines. */
+/* Performance data of a service's engines, which run a model in pipelines of stages. */
 struct rt_engine {
-	int layers; /* of the model */
-	double layer_mb;
-	double kv_bytes;	 /* memory of one token over all layers */
-	double activation_bytes; /* handed from stage to stage for each token */
-	double link_mbps;	 /* of one endpoint */
-	double zone_link_mbps;	 /* between two availability zones, shared by all */
-	int slots;		 /* requests that the first stage of a pipeline takes */
-	double step_ms;		 /* one token step of the whole model, at pace 1 */
-	double step_ms_per_seq;	 /* more of it for each request in the batch */
-	double step_ms_per_kctx; /* more of it for each 1,000 tokens of context in the batch */
-	double read_per_ms;	 /* prompt tokens read in a ms by the whole model, at pace 1 */
-	int stride;		 /* token steps between two events of a stream */
-	double usual_prompt;	 /* mean tokens of a prompt */
-	double usual_answer;	 /* mean tokens of an answer */
-	GArray *kinds;		 /* struct rt_kind */
-	GArray *delays;		 /* struct rt_delay */
+	int layers;		 /* number of layers of the model; 0 if endpoints aren't engines */
+	double layer_mb;	 /* size of one layer's weights, in megabytes */
+	double kv_bytes;	 /* key-value cache of one token over all layers, in bytes */
+	double activation_bytes; /* data sent from stage to stage for each token, in bytes */
+	double link_mbps;	 /* bandwidth of one endpoint's network link, in Mbit/s */
+	double zone_link_mbps;	 /* total bandwidth between two availability zones, in Mbit/s */
+	int slots;		 /* number of requests that the first stage of a pipeline accepts */
+	double step_ms;		 /* time of a token step of the whole model at pace 1, in ms */
+	double step_ms_per_seq;	 /* added time of a step for each request in the batch, in ms */
+	double step_ms_per_kctx; /* added time of a step per 1,000 context tokens, in ms */
+	double read_per_ms;	 /* prompt tokens processed per ms by the model at pace 1 */
+	int stride;		 /* number of token steps between two events of a stream */
+	double usual_prompt;	 /* mean number of tokens of a prompt; 0 if unknown */
+	double usual_answer;	 /* mean number of tokens of an answer; 0 if unknown */
+	GArray *kinds;		 /* types of accelerators, as struct rt_kind */
+	GArray *delays;		 /* delays between availability zones, as struct rt_delay */
 };
 
+/* Service that endpoints provide. */
 struct rt_service {
 	char *name;
-	char *health_path; /* that its endpoints answer without running a request */
+	char *health_path; /* path that the endpoints answer without running a request */
 	struct rt_engine engine;
 };
 
+/* Client account. */
 struct rt_account {
 	char *name;
-	int64_t priority; /* 0 is the most urgent; RT_NO_PRIORITY: that of the route */
+	int64_t priority; /* 0 is the most urgent; RT_NO_PRIORITY selects the route's priority */
 };
 
 enum {
+	/* Priority of an account that has none of its own. */
 	RT_NO_PRIORITY = -1
 };
 
+/* Limits on callers' connections. */
 struct rt_limits {
-	int64_t body_bytes;
-	int64_t idle_ms;
+	int64_t body_bytes; /* maximum size of a request body, in bytes */
+	int64_t idle_ms;    /* time after which an idle connection is closed, in milliseconds */
 };
 
+/* One version of the routing configuration. */
 struct rt_conf {
 	int64_t version;
-	GPtrArray *routes;    /* struct rt_route, longest prefix first */
-	GHashTable *by_host;  /* host -> GPtrArray of routes, longest prefix first */
+	GPtrArray *routes;    /* all routes, as struct rt_route, longest prefix first */
+	GHashTable *by_host;  /* host name -> GPtrArray of routes, longest prefix first */
 	GHashTable *services; /* name -> struct rt_service */
-	GPtrArray *accounts;  /* struct rt_account */
-	GHashTable *keys;     /* key -> struct rt_account */
+	GPtrArray *accounts;  /* all accounts, as struct rt_account */
+	GHashTable *keys;     /* account key -> struct rt_account */
 	struct rt_limits limits;
-	gint refs;
+	gint refs; /* number of references */
 };
 
-/* An empty configuration with one reference. */
+/* Returns an empty configuration with one reference. */
 struct rt_conf *rt_conf_new(int64_t version);
+
+/* Adds and removes a reference. The last rt_conf_unref() frees the configuration. */
 struct rt_conf *rt_conf_ref(struct rt_conf *conf);
 void rt_conf_unref(struct rt_conf *conf);
 
-/* Adders for who builds a configuration; what they return belongs to conf. */
+/*
+ * Functions that add an element while a configuration is built. The configuration owns the returned
+ * element.
+ */
 struct rt_route *rt_add_route(struct rt_conf *conf, const char *name, const char *host,
 			      const char *prefix);
 void rt_add_split(struct rt_route *route, const char *service, int64_t weight);
@@ -120,30 +135,35 @@
 struct rt_account *rt_add_account(struct rt_conf *conf, const char *name);
 void rt_add_key(struct rt_conf *conf, struct rt_account *account, const char *key);
 
-/* Makes the look-up tables; after the last route has been added. */
+/* Builds the index of routes by host. Must be called once, after the last route was added. */
 void rt_conf_seal(struct rt_conf *conf);
 
-/* The route of the host with the longest prefix of path, or NULL. A port in host is not looked at.
+/*
+ * Returns the host's route with the longest prefix that matches the path, or NULL. A port number in
+ * host is ignored.
  */
 const struct rt_route *rt_match(const struct rt_conf *conf, const char *host, const char *path);
 
-/* The account that holds the key, or NULL. */
+/* Returns the account that the key belongs to, or NULL. */
 const struct rt_account *rt_account_of(const struct rt_conf *conf, const char *key);
 
-/* The service that serves the request: by weight, the same for the same id. */
+/*
+ * Selects a service of the route in proportion to the weights. The result is always the same for
+ * the same request id. Returns NULL if the route has no weights or the service doesn't exist.
+ */
 const struct rt_service *rt_service_of(const struct rt_conf *conf, const struct rt_route *route,
 				       const char *request_id);
 
-/* Whether the service's endpoints are engines that hold ranges of layers. */
+/* Returns whether the service's endpoints are engines that hold ranges of a model's layers. */
 bool rt_is_layered(const struct rt_service *service);
 
-/* The accelerator kind of that name, or NULL. */
+/* Returns the type of accelerator with that name, or NULL. */
 const struct rt_kind *rt_kind_of(const struct rt_service *service, const char *name);
 
-/* Delay between two availability zones in ms; 0 within one. */
+/* Returns the one-way delay between two availability zones in ms; 0 within one zone. */
 double rt_delay_ms(const struct rt_service *service, const char *from, const char *to);
 
-/* Whether a request on the route may run more than once. */
+/* Returns whether a request on the route may run more than once. */
 bool rt_may_repeat(const struct rt_route *route);
 
 G_END_DECLS
--- a/rt/rt_test.cc
+++ b/rt/rt_test.cc
@@ -32,7 +32,7 @@
 	rt_conf *conf_;
 };
 
-TEST_F(RtTest, LongestPrefixOfTheHostWins)
+TEST_F(RtTest, RouteWithTheLongestPrefixMatches)
 {
 	Route("short", "a.example", "/x/");
 	Route("long", "a.example", "/x/y/");
@@ -52,7 +52,7 @@
 		EXPECT_EQ(Match(c.host, c.path), c.route) << c.host << c.path;
 }
 
-TEST_F(RtTest, KeysNameTheirAccount)
+TEST_F(RtTest, EachKeyFindsItsAccount)
 {
 	rt_account *mill = rt_add_account(conf_, "mill");
 	rt_add_key(conf_, mill, "k1");
@@ -63,7 +63,7 @@
 	EXPECT_EQ(rt_account_of(conf_, nullptr), nullptr);
 }
 
-TEST_F(RtTest, SplitFollowsWeightsAndIsTheSameForTheSameRequest)
+TEST_F(RtTest, SplitFollowsWeightsAndIsFixedForEachRequest)
 {
 	rt_add_service(conf_, "s90");
 	rt_add_service(conf_, "s10");
@@ -81,7 +81,7 @@
 	EXPECT_NEAR(seen["s10"], 1000, 300);
 }
 
-TEST_F(RtTest, RouteWithoutAServiceHasNone)
+TEST_F(RtTest, RouteWithoutKnownServiceSelectsNone)
 {
 	rt_route *route = rt_add_route(conf_, "r", "h", "/");
 	EXPECT_EQ(rt_service_of(conf_, route, "1"), nullptr);
@@ -89,7 +89,7 @@
 	EXPECT_EQ(rt_service_of(conf_, route, "1"), nullptr);
 }
 
-TEST_F(RtTest, WhatMayRepeat)
+TEST_F(RtTest, MayRepeatDependsOnTypeAndResumability)
 {
 	rt_route *route = rt_add_route(conf_, "r", "h", "/");
 	const struct {
@@ -107,7 +107,7 @@
 	}
 }
 
-TEST_F(RtTest, DelaysAreTheSameBothWays)
+TEST_F(RtTest, DelayIsTheSameInBothDirections)
 {
 	rt_service *service = rt_add_service(conf_, "s");
 	rt_add_delay(service, "a", "b", 0.75);
--- a/seam/seam.c
+++ b/seam/seam.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 enum {
-	SEAM_NO_DEADLINE = -1
+	SEAM_NO_DEADLINE = -1 /* value of deadline_ms if the caller states none */
 };
 
 void seam_request_init(struct seam_request *request)
