--- a/router/host_news.c
+++ b/router/host_news.c
@@ -2,8 +2,8 @@
 
 struct hn_entry {
 	char *name;
-	guint version; /* of its last change */
-	bool gone;
+	guint version; /* number of the host's last change */
+	bool removed;
 };
 
 static void hn_entry_free(gpointer data)
@@ -30,20 +30,23 @@
 {
 	struct hn_entry *entry = link->data;
 
-	hn->gone -= entry->gone;
+	hn->n_removed -= entry->removed;
 	g_hash_table_remove(hn->links, entry->name);
 	g_queue_delete_link(&hn->order, link);
 	hn_entry_free(entry);
 }
 
-/* Who has not been told of the oldest one that has gone by now is told at its next listing. */
+/*
+ * Limits the number of removed hosts by forgetting the one that was removed first. A follower that
+ * has not received this removal by now learns of it from its next whole list.
+ */
 static void hn_make_room(struct hn *hn)
 {
 	GList *link = hn->order.head;
 
-	if (hn->gone <= HN_GONE_MAX)
+	if (hn->n_removed <= HN_REMOVED_MAX)
 		return;
-	while (!((struct hn_entry *)link->data)->gone)
+	while (!((struct hn_entry *)link->data)->removed)
 		link = link->next;
 	hn_drop(hn, link);
 }
@@ -65,24 +68,24 @@
 	return entry;
 }
 
-void hn_on_change(struct hn *hn, const char *name, bool gone)
+void hn_on_change(struct hn *hn, const char *name, bool removed)
 {
 	struct hn_entry *entry = hn_entry(hn, name);
 
-	hn->gone += (guint)gone - (guint)entry->gone;
-	entry->gone = gone;
+	hn->n_removed += (guint)removed - (guint)entry->removed;
+	entry->removed = removed;
 	entry->version = ++hn->version;
 	hn_make_room(hn);
 }
 
 void hn_on_compared(struct hn *hn)
 {
-	hn->whole = ++hn->version;
+	hn->full_before = ++hn->version;
 }
 
 bool hn_needs_whole(const struct hn *hn, guint since)
 {
-	return since == 0 || since < hn->whole;
+	return since == 0 || since < hn->full_before;
 }
 
 void hn_each_since(const struct hn *hn, guint since, hn_fn fn, void *ctx)
@@ -92,6 +95,6 @@
 
 		if (entry->version <= since)
 			return;
-		fn(ctx, entry->name, entry->gone);
+		fn(ctx, entry->name, entry->removed);
 	}
 }
--- a/router/host_news.h
+++ b/router/host_news.h
@@ -7,39 +7,46 @@
 G_BEGIN_DECLS
 
 /*
- * Which hosts have come or gone since a follower was last told. Each change has a number; a
- * follower that has been told up to one gets those after it. Pure.
+ * Log of changes to the list of hosts, from which a feeder sends each follower only the changes
+ * that the follower does not have yet. Changes are numbered; the feeder remembers the number of the
+ * last change that it sent to each follower. No I/O.
  *
- * The whole list with each change was 60 KB to each of 984 hosts while these list themselves, which
- * was more than half of all that crossed between availability zones.
+ * Sending the whole list with each change took 60 KB for each of 984 hosts while these registered
+ * themselves, more than half of all traffic between availability zones.
  */
 enum {
-	/* Names of hosts that have gone; 310 are restarted or replaced a day, under 64 KB. */
-	HN_GONE_MAX = 1024
+	/*
+	 * Most removed hosts whose names are kept. About 310 hosts are restarted or replaced in a
+	 * day; the names take less than 64 KB.
+	 */
+	HN_REMOVED_MAX = 1024
 };
 
 struct hn {
-	GHashTable *links; /* name -> link in order */
-	GQueue order;	   /* struct hn_entry, the newest change last */
-	guint version;	   /* number of the newest change; 0: none yet */
-	guint whole;	   /* who has been told less than this gets the whole list */
-	guint gone;	   /* entries of hosts that have gone */
+	GHashTable *links; /* host name -> its link in "order" */
+	GQueue order;	   /* one struct hn_entry for each host, the latest change last */
+	guint version;	   /* number of the latest change; 0: no change yet */
+	guint full_before; /* followers with an older version than this get the whole list */
+	guint n_removed;   /* number of entries of removed hosts */
 };
 
 void hn_init(struct hn *hn);
 void hn_finish(struct hn *hn);
 
-/* The host is there, perhaps at another address, or has gone. */
-void hn_on_change(struct hn *hn, const char *name, bool gone);
+/* Records that a host was added, was removed, or has changed its address. */
+void hn_on_change(struct hn *hn, const char *name, bool removed);
 
-/* The list was compared with the store's: everybody gets it whole once more. */
+/* The list was compared with the store's list: every follower gets the whole list once more. */
 void hn_on_compared(struct hn *hn);
 
-/* Whether a follower that was told up to "since" gets the whole list. */
+/* Returns whether a follower that has the changes up to number "since" gets the whole list. */
 bool hn_needs_whole(const struct hn *hn, guint since);
 
-/* Calls fn for each change after "since", the newest first; 0: for all that is known. */
-typedef void (*hn_fn)(void *ctx, const char *name, bool gone);
+/*
+ * Calls "fn" once for each host that has changed after change number "since", the latest change
+ * first. If "since" is 0, calls it for all hosts in the log.
+ */
+typedef void (*hn_fn)(void *ctx, const char *name, bool removed);
 void hn_each_since(const struct hn *hn, guint since, hn_fn fn, void *ctx);
 
 G_END_DECLS
--- a/router/host_news_test.cc
+++ b/router/host_news_test.cc
@@ -7,112 +7,112 @@
 namespace
 {
 
-/* What a follower believes, and how many entries it was sent. */
+/* A follower's copy of the list of hosts, and the number of entries that it was sent. */
 struct Follower {
 	guint since = 0;
 	size_t sent = 0;
-	std::map<std::string, bool> there; /* false: it has gone */
+	std::map<std::string, bool> present; /* by host name; false: the host was removed */
 
-	static void Take(void *ctx, const char *name, bool gone)
+	static void OnChange(void *ctx, const char *name, bool removed)
 	{
 		auto *self = static_cast<Follower *>(ctx);
 
 		self->sent++;
-		self->there.emplace(name, !gone);
+		self->present.emplace(name, !removed);
 	}
-	/* The newest change of a host comes first. */
-	void Update(const hn &news)
+	/* The latest change of a host comes first, so an older entry does not replace it. */
+	void Update(const hn &delta)
 	{
 		std::map<std::string, bool> before;
 
-		before.swap(there);
-		hn_each_since(&news, hn_needs_whole(&news, since) ? 0 : since, Take, this);
+		before.swap(present);
+		hn_each_since(&delta, hn_needs_whole(&delta, since) ? 0 : since, OnChange, this);
 		for (const auto &host : before)
-			there.insert(host);
-		since = news.version;
+			present.insert(host);
+		since = delta.version;
 	}
 };
 
-class HostNewsTest : public ::testing::Test
+class HostDeltaTest : public ::testing::Test
 {
       protected:
-	HostNewsTest()
+	HostDeltaTest()
 	{
-		hn_init(&news_);
+		hn_init(&delta_);
 	}
-	~HostNewsTest() override
+	~HostDeltaTest() override
 	{
-		hn_finish(&news_);
+		hn_finish(&delta_);
 	}
-	void Change(int host, bool gone = false)
+	void Change(int host, bool removed = false)
 	{
-		hn_on_change(&news_, ("host-" + std::to_string(host)).c_str(), gone);
+		hn_on_change(&delta_, ("host-" + std::to_string(host)).c_str(), removed);
 	}
-	hn news_;
+	hn delta_;
 };
 
-TEST_F(HostNewsTest, EachChangeIsToldOnceAndTheLastOneHolds)
+TEST_F(HostDeltaTest, EachChangeIsSentOnceAndTheLatestIsInForce)
 {
 	Follower early;
 	Follower late;
 
 	Change(1);
-	early.Update(news_);
+	early.Update(delta_);
 	Change(2);
 	Change(1, true);
-	early.Update(news_);
-	late.Update(news_);
+	early.Update(delta_);
+	late.Update(delta_);
 	EXPECT_EQ(early.sent, 3U);
 	EXPECT_EQ(late.sent, 2U);
-	EXPECT_EQ(early.there, late.there);
-	EXPECT_FALSE(late.there["host-1"]);
-	early.Update(news_);
+	EXPECT_EQ(early.present, late.present);
+	EXPECT_FALSE(late.present["host-1"]);
+	early.Update(delta_);
 	EXPECT_EQ(early.sent, 3U);
 }
 
-TEST_F(HostNewsTest, AComparedListIsToldWhole)
+TEST_F(HostDeltaTest, AComparedListIsSentWhole)
 {
 	Follower follower;
 
 	Change(1);
 	Change(2);
-	follower.Update(news_);
-	hn_on_compared(&news_);
-	EXPECT_TRUE(hn_needs_whole(&news_, follower.since));
-	follower.Update(news_);
+	follower.Update(delta_);
+	hn_on_compared(&delta_);
+	EXPECT_TRUE(hn_needs_whole(&delta_, follower.since));
+	follower.Update(delta_);
 	EXPECT_EQ(follower.sent, 4U);
-	EXPECT_FALSE(hn_needs_whole(&news_, follower.since));
+	EXPECT_FALSE(hn_needs_whole(&delta_, follower.since));
 }
 
-TEST_F(HostNewsTest, OnesThatHaveGoneAreForgottenInTheEnd)
+TEST_F(HostDeltaTest, TheNumberOfRemovedHostsIsLimited)
 {
-	for (int i = 0; i < 3 * HN_GONE_MAX; i++) {
+	for (int i = 0; i < 3 * HN_REMOVED_MAX; i++) {
 		Change(i);
 		Change(i, true);
 	}
 	Change(0);
-	EXPECT_EQ(news_.gone, (guint)HN_GONE_MAX);
-	EXPECT_EQ(g_hash_table_size(news_.links), (guint)HN_GONE_MAX + 1);
+	EXPECT_EQ(delta_.n_removed, (guint)HN_REMOVED_MAX);
+	EXPECT_EQ(g_hash_table_size(delta_.links), (guint)HN_REMOVED_MAX + 1);
 }
 
-/* The load: all hosts list themselves over two seconds, and a reader tells each of its followers.
+/* All hosts register themselves over two seconds; a reader sends the changes to all its followers.
  */
-TEST_F(HostNewsTest, AStartOfManyHostsIsToldOnceAFollower)
+TEST_F(HostDeltaTest, AStartOfManyHostsSendsEachHostOnceToAFollower)
 {
 	for (int hosts : {30, 300, 984, 1968}) {
 		Follower follower;
-		hn news;
+		hn delta;
 
-		hn_init(&news);
+		hn_init(&delta);
 		for (int i = 0; i < hosts; i++) {
-			hn_on_change(&news, ("host-" + std::to_string(i)).c_str(), false);
+			hn_on_change(&delta, ("host-" + std::to_string(i)).c_str(), false);
 			if (i % (hosts / 20 + 1) == 0)
-				follower.Update(news);
+				follower.Update(delta);
 		}
-		follower.Update(news);
+		follower.Update(delta);
 		EXPECT_EQ(follower.sent, (size_t)hosts);
-		EXPECT_EQ(follower.there.size(), (size_t)hosts);
-		hn_finish(&news);
+		EXPECT_EQ(follower.present.size(), (size_t)hosts);
+		hn_finish(&delta);
 	}
 }
 
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -4,32 +4,34 @@
 #include <string.h>
 
 enum {
+	/* Time limit of a write to the store, in milliseconds. */
 	HOSTS_CALL_MS = 1000,
+	/* Pause between the end of a write and the next write, in milliseconds. */
 	HOSTS_RETRY_MS = 500,
 	HTTP_OK = 200
 };
 
-/* What the store's list lacks, or has too much, since it came back from a copy. */
-enum hosts_due {
-	HOSTS_ADD = 1,
-	HOSTS_REMOVE
+/* Change that is still to be written to the list of hosts in the store. */
+enum hosts_write_op {
+	HOSTS_ADD = 1, /* the store has no entry of this host */
+	HOSTS_REMOVE   /* the store has an entry of a host that has left */
 };
 
 struct hosts {
 	struct rc *rc;
-	GHashTable *gone; /* names of hosts that have left */
-	GHashTable *seen; /* names in the listing that is read */
-	GHashTable *due;  /* name -> enum hosts_due */
-	GHashTable *kept; /* names that the store has, as far as this host has read */
-	bool returned;	  /* the next listing is compared with what is known */
-	bool comparing;	  /* this one is */
-	struct store_call *write;
-	int64_t write_us; /* not before */
+	GHashTable *removed;  /* names of hosts that have left */
+	GHashTable *listed;   /* names in the listing that is being read */
+	GHashTable *pending;  /* host name -> enum hosts_write_op, changes still to be written */
+	GHashTable *in_store; /* names that are in the store's list, as far as this host has read */
+	bool compare_next;    /* the next listing is to be compared with the known hosts */
+	bool comparing;	      /* the listing that is being read is compared with the known hosts */
+	struct store_call *write; /* the write under way, or NULL */
+	int64_t next_write_us;	  /* earliest time of the next write, in microseconds */
 };
 
 static void hosts_on_written(void *ctx, const struct store_answer *answer);
 
-static GHashTable *hosts_names(void)
+static GHashTable *hosts_name_table(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -39,10 +41,10 @@
 	struct hosts *hosts = g_new0(struct hosts, 1);
 
 	hosts->rc = rc;
-	hosts->gone = hosts_names();
-	hosts->seen = hosts_names();
-	hosts->due = hosts_names();
-	hosts->kept = hosts_names();
+	hosts->removed = hosts_name_table();
+	hosts->listed = hosts_name_table();
+	hosts->pending = hosts_name_table();
+	hosts->in_store = hosts_name_table();
 	return hosts;
 }
 
@@ -50,55 +52,55 @@
 {
 	if (hosts->write)
 		store_call_cancel(hosts->write);
-	g_hash_table_destroy(hosts->gone);
-	g_hash_table_destroy(hosts->seen);
-	g_hash_table_destroy(hosts->due);
-	g_hash_table_destroy(hosts->kept);
+	g_hash_table_destroy(hosts->removed);
+	g_hash_table_destroy(hosts->listed);
+	g_hash_table_destroy(hosts->pending);
+	g_hash_table_destroy(hosts->in_store);
 	g_free(hosts);
 }
 
-static void hosts_note_gone(struct hosts *hosts, const char *name, bool gone)
+static void hosts_set_removed(struct hosts *hosts, const char *name, bool removed)
 {
-	if (!gone) {
-		g_hash_table_remove(hosts->gone, name);
+	if (!removed) {
+		g_hash_table_remove(hosts->removed, name);
 		return;
 	}
-	if (g_hash_table_size(hosts->gone) >= HN_GONE_MAX)
-		g_hash_table_remove_all(hosts->gone);
-	g_hash_table_add(hosts->gone, g_strdup(name));
+	if (g_hash_table_size(hosts->removed) >= HN_REMOVED_MAX)
+		g_hash_table_remove_all(hosts->removed);
+	g_hash_table_add(hosts->removed, g_strdup(name));
 }
 
-static void hosts_set_due(struct hosts *hosts, const char *name, enum hosts_due due)
+static void hosts_schedule_write(struct hosts *hosts, const char *name, enum hosts_write_op op)
 {
-	g_hash_table_replace(hosts->due, g_strdup(name), GINT_TO_POINTER(due));
+	g_hash_table_replace(hosts->pending, g_strdup(name), GINT_TO_POINTER(op));
 }
 
 void hosts_on_return(struct hosts *hosts)
 {
-	hosts->returned = true;
+	hosts->compare_next = true;
 	hosts->comparing = false;
 }
 
 void hosts_on_listing(struct hosts *hosts)
 {
-	hosts->comparing = hosts->returned;
-	g_hash_table_remove_all(hosts->seen);
+	hosts->comparing = hosts->compare_next;
+	g_hash_table_remove_all(hosts->listed);
 }
 
 void hosts_on_record(struct hosts *hosts, const char *name, struct str text)
 {
-	if (hosts->comparing && text.data && g_hash_table_contains(hosts->gone, name)) {
-		hosts_set_due(hosts, name, HOSTS_REMOVE);
+	if (hosts->comparing && text.data && g_hash_table_contains(hosts->removed, name)) {
+		hosts_schedule_write(hosts, name, HOSTS_REMOVE);
 		return;
 	}
 	if (text.data) {
-		g_hash_table_add(hosts->seen, g_strdup(name));
-		g_hash_table_add(hosts->kept, g_strdup(name));
+		g_hash_table_add(hosts->listed, g_strdup(name));
+		g_hash_table_add(hosts->in_store, g_strdup(name));
 	} else {
-		g_hash_table_remove(hosts->kept, name);
+		g_hash_table_remove(hosts->in_store, name);
 	}
-	g_hash_table_remove(hosts->due, name);
-	hosts_note_gone(hosts, name, !text.data);
+	g_hash_table_remove(hosts->pending, name);
+	hosts_set_removed(hosts, name, !text.data);
 	rc_take_host(hosts->rc, name, text);
 }
 
@@ -110,24 +112,28 @@
 	if (!hosts->comparing)
 		return;
 	hosts->comparing = false;
-	hosts->returned = false;
+	hosts->compare_next = false;
 	g_hash_table_iter_init(&iter, hosts->rc->hosts);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
-		if (!g_hash_table_contains(hosts->seen, name))
-			hosts_set_due(hosts, name, HOSTS_ADD);
+		if (!g_hash_table_contains(hosts->listed, name))
+			hosts_schedule_write(hosts, name, HOSTS_ADD);
 	}
-	/* Followers look whether they are in the list. */
+	/* Each follower gets the whole list and checks whether it is in there itself. */
 	hn_on_compared(&hosts->rc->host_news);
 }
 
-/* Only the first reader writes it, and only if the store has no entry of it by then. */
+/*
+ * Schedules a write of the announced host unless the store is known to have its entry. Only the
+ * first reader writes, see hosts_on_tick(); an entry that is read from the store meanwhile cancels
+ * the write.
+ */
 void hosts_on_asked(struct hosts *hosts, const char *name, const struct rc_host *host)
 {
 	char *text = rc_host_text(host);
 
-	if (!g_hash_table_contains(hosts->kept, name))
-		hosts_set_due(hosts, name, HOSTS_ADD);
-	hosts_note_gone(hosts, name, false);
+	if (!g_hash_table_contains(hosts->in_store, name))
+		hosts_schedule_write(hosts, name, HOSTS_ADD);
+	hosts_set_removed(hosts, name, false);
 	if (rc_take_host(hosts->rc, name, str_of(text)))
 		follow_tell_host(hosts->rc->follow, name, host);
 	g_free(text);
@@ -138,7 +144,7 @@
 	GHashTableIter iter;
 	gpointer name;
 
-	g_hash_table_iter_init(&iter, hosts->due);
+	g_hash_table_iter_init(&iter, hosts->pending);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
 		const struct rc_host *host = g_hash_table_lookup(hosts->rc->hosts, name);
 
@@ -147,11 +153,11 @@
 	}
 }
 
-static void hosts_add_record(const struct hosts *hosts, const char *name, enum hosts_due due,
-			     GString *body)
+static void hosts_append_record(const struct hosts *hosts, const char *name, enum hosts_write_op op,
+				GString *body)
 {
 	const struct rc_host *host = g_hash_table_lookup(hosts->rc->hosts, name);
-	char *text = due == HOSTS_ADD && host ? rc_host_text(host) : NULL;
+	char *text = op == HOSTS_ADD && host ? rc_host_text(host) : NULL;
 	GString *record = hosts->rc->router->seam->store.make_record(
 		name, text ? str_of(text) : str_make(NULL, 0));
 
@@ -161,8 +167,9 @@
 }
 
 /*
- * One call for all: each host of some hundred writing its own would be more than the store takes at
- * once. Another reader, or the host itself, may do the same; it comes to the same list.
+ * Writes all pending changes in one call: single writes of some hundred hosts would exceed what the
+ * store processes at once. Another reader, or the host itself, may write the same change; the
+ * resulting list is the same.
  */
 static void hosts_write(struct hosts *hosts)
 {
@@ -174,11 +181,11 @@
 	};
 	GHashTableIter iter;
 	gpointer name;
-	gpointer due;
+	gpointer op;
 
-	g_hash_table_iter_init(&iter, hosts->due);
-	while (g_hash_table_iter_next(&iter, &name, &due))
-		hosts_add_record(hosts, name, GPOINTER_TO_INT(due), body);
+	g_hash_table_iter_init(&iter, hosts->pending);
+	while (g_hash_table_iter_next(&iter, &name, &op))
+		hosts_append_record(hosts, name, GPOINTER_TO_INT(op), body);
 	hosts->write = store_call(hosts->rc, &request, hosts_on_written, hosts);
 	g_string_free(body, TRUE);
 }
@@ -189,14 +196,14 @@
 	bool good = answer->status == HTTP_OK;
 
 	hosts->write = NULL;
-	hosts->write_us = tmr_now() + tmr_ms(HOSTS_RETRY_MS);
+	hosts->next_write_us = tmr_now() + tmr_ms(HOSTS_RETRY_MS);
 	jl_begin(JL_KEEP, good ? "hosts_written_again" : "hosts_not_written");
 	jl_int("status", answer->status);
 	jl_str("error", answer->err < 0 ? store_strerror(answer->err) : NULL);
-	jl_int("hosts", g_hash_table_size(hosts->due));
+	jl_int("hosts", g_hash_table_size(hosts->pending));
 	jl_end();
 	if (good)
-		g_hash_table_remove_all(hosts->due);
+		g_hash_table_remove_all(hosts->pending);
 }
 
 void hosts_on_tick(struct hosts *hosts, int64_t now_us)
@@ -205,6 +212,6 @@
 
 	if (!rc->rank.first || rc->stopping || !sf_is_reached(rc) || hosts->write)
 		return;
-	if (now_us >= hosts->write_us && g_hash_table_size(hosts->due) > 0)
+	if (now_us >= hosts->next_write_us && g_hash_table_size(hosts->pending) > 0)
 		hosts_write(hosts);
 }
--- a/router/listing.h
+++ b/router/listing.h
@@ -7,21 +7,30 @@
 G_BEGIN_DECLS
 
 /*
- * When a host writes itself into the store's list of hosts, in the first start of all. The store
- * takes these entries one after the other, 2 ms each, and rejects what has to wait for 2 s: with
- * all hosts writing at once, 984 of them know each other only after 2 s, and of 1,968 a part is
- * rejected. Only some have to be found there: a host tells its name to the one that feeds it, and
- * the first reader writes all that it was told of in one call. So hosts write themselves over some
- * seconds, and those that have been told of meanwhile don't. Pure.
+ * Delay before a host registers itself in the store's list of hosts when the whole system starts
+ * for the first time.
+ *
+ * The store processes these entries one by one, 2 ms each, and rejects calls that would be queued
+ * for more than 2 s. If all hosts wrote at once, 984 hosts would take 2 s to find each other, and
+ * some of 1,968 hosts would be rejected. Not every host needs to write its own entry: each host
+ * sends its name to its feeder, and the first reader writes all names that it received in one call.
+ * Therefore hosts spread their own writes over several seconds, and a host that has been registered
+ * by then does not write. Pure functions.
  */
 enum {
-	LS_SPREAD_MS = 5000,
-	LS_LOOK_MS = 600, /* after its start, when a host has looked at the list */
-	LS_FEW_HOSTS = 10 /* who finds fewer in the list does not wait any more */
+	/* Period over which hosts spread their own writes, in milliseconds. */
+	REG_SPREAD_MS = 5000,
+	/* Time from its start after which a host has read the list once, in milliseconds. */
+	REG_FIRST_READ_MS = 600,
+	/* A host that knows fewer hosts than this after that read registers itself at once. */
+	REG_ENOUGH_HOSTS = 10
 };
 
-/* How long the host waits from now on; known: hosts that it knows. */
-int64_t ls_wait_us(const char *name, unsigned int known, int64_t since_start_us);
+/*
+ * Returns the remaining delay of the host in microseconds. "known_hosts" is the number of hosts
+ * that it knows, "since_start_us" the time since its process started.
+ */
+int64_t reg_delay_us(const char *name, unsigned int known_hosts, int64_t since_start_us);
 
 G_END_DECLS
 
--- a/router/member.c
+++ b/router/member.c
@@ -254,7 +254,7 @@
 
 static void member_list_first(struct rc *rc)
 {
-	int64_t delay_us = ls_wait_us(rc->router->settings.name, g_hash_table_size(rc->hosts),
+	int64_t delay_us = reg_delay_us(rc->router->settings.name, g_hash_table_size(rc->hosts),
 				      tmr_now() - rc->start_us);
 
 	loop_after(rc->loop, &rc->list_timer, delay_us, member_list_again, rc);
