--- a/router/rank.c
+++ b/router/rank.c
@@ -5,43 +5,52 @@
 
 static const char rank_key[] = "readers of the store";
 
-/* From the last news of a feed that falls silent until it is given up and the store was read. */
-static const int64_t rank_change_us = 2000000;
+/*
+ * Time from the last message of a feed that falls silent until the host has given it up and has
+ * read the store, in microseconds.
+ */
+static const int64_t rank_feed_change_us = 2000000;
 
-/* Three rounds that were not heard of; one may be late, as a feed that has to be changed may be. */
-static const int64_t rank_silent_us = 3000000;
+/*
+ * Time without a new round after which another reader polls, in microseconds. It is three rounds:
+ * one round may be late, and so may a feed that has to be replaced.
+ */
+static const int64_t rank_round_timeout_us = 3000000;
 
-/* The hosts with a part in handing on, by rank. */
+/* Readers, spare feeders and relays, the host ranked first at index 0. */
 struct rank_list {
 	const struct host *hosts[RANK_FEEDERS + RANK_RELAYS_MAX];
-	unsigned int n;
-	unsigned int readers; /* the first ones */
-	unsigned int feeders; /* readers and spares; relays follow */
+	unsigned int n;	      /* number of hosts in the list */
+	unsigned int readers; /* number of readers; they are the first hosts in the list */
+	unsigned int feeders; /* number of readers and spare feeders; the relays are listed next */
 };
 
-unsigned int rank_relays(unsigned int hosts)
+unsigned int rank_relay_count(unsigned int hosts)
 {
-	if (hosts <= RANK_READERS * RANK_FOLLOWERS)
+	if (hosts <= RANK_READERS * RANK_FOLLOWERS_TARGET)
 		return 0;
-	return MIN((hosts + RANK_RELAYED - 1) / RANK_RELAYED, (unsigned int)RANK_RELAYS_MAX);
+	return MIN((hosts + RANK_RELAY_FOLLOWERS - 1) / RANK_RELAY_FOLLOWERS,
+		   (unsigned int)RANK_RELAYS_MAX);
 }
 
-static void rank_fill(const struct host_table *table, unsigned int hosts, int64_t now_us,
-		      struct rank_list *list)
+static void rank_list_candidates(const struct host_table *table, unsigned int hosts, int64_t now_us,
+				 struct rank_list *list)
 {
-	unsigned int most = table->hosts->len <= RANK_FEW_HOSTS ? RANK_READERS_FEW : RANK_READERS;
-	unsigned int wanted = RANK_FEEDERS + rank_relays(hosts);
-	const struct host *least = host_home(table, rank_key, 0, now_us);
-
-	list->n = host_homes(table, rank_key, list->hosts, wanted, now_us);
-	if (list->n == 0 && least)
-		list->hosts[list->n++] = least;
+	unsigned int max_readers =
+		table->hosts->len <= RANK_SMALL_HOSTS ? RANK_READERS_SMALL : RANK_READERS;
+	unsigned int candidates = RANK_FEEDERS + rank_relay_count(hosts);
+	const struct host *fallback = host_home(table, rank_key, 0, now_us);
+
+	list->n = host_homes(table, rank_key, list->hosts, candidates, now_us);
+	if (list->n == 0 && fallback)
+		list->hosts[list->n++] = fallback;
 	list->feeders = MIN(list->n, (unsigned int)RANK_FEEDERS);
-	list->readers = MIN(list->n, most);
+	list->readers = MIN(list->n, max_readers);
 }
 
-/* What the host itself is. Returns its place in the list, or the list's length. */
-static unsigned int rank_place(const struct rank_list *list, const char *name, struct rank *rank)
+/* Sets the roles of the named host. Returns its index in the list, or the list's length. */
+static unsigned int rank_set_roles(const struct rank_list *list, const char *name,
+				   struct rank *rank)
 {
 	unsigned int at = 0;
 
@@ -54,9 +63,12 @@
 	return at;
 }
 
-/* The readers come first, from the host's own one on, then the spares. */
-static const struct host *rank_feeder(const struct rank_list *list, const char *name,
-				      unsigned int start, unsigned int turn)
+/*
+ * Returns the feeder for that turn, skipping the host itself. The readers come first, beginning
+ * with the one at index "start", then the spare feeders.
+ */
+static const struct host *rank_feeder_at(const struct rank_list *list, const char *name,
+					 unsigned int start, unsigned int turn)
 {
 	for (unsigned int i = 0; i < list->feeders; i++) {
 		unsigned int at = (i + turn) % list->feeders;
@@ -70,9 +82,13 @@
 	return NULL;
 }
 
-/* Hosts spread over relays by their names; one of their own zone is nearer, and costs less. */
-static bool rank_is_better(const struct rank_self *self, uint64_t hash, const struct host *a,
-			   const struct host *b)
+/*
+ * Returns whether the host follows relay "a" rather than relay "b". A relay in its own availability
+ * zone is nearer and costs less; otherwise the hash of the host's name spreads hosts over the
+ * relays.
+ */
+static bool rank_prefers_relay(const struct rank_self *self, uint64_t hash, const struct host *a,
+			       const struct host *b)
 {
 	bool near_a = strcmp(a->zone, self->zone) == 0;
 	bool near_b = strcmp(b->zone, self->zone) == 0;
@@ -82,31 +98,31 @@
 	return host_weight(a, hash) > host_weight(b, hash);
 }
 
-/* How many relays the host would rather follow than that one. */
-static unsigned int rank_better(const struct rank_list *list, const struct rank_self *self,
-				const struct host *relay)
+/* Returns the number of relays that the host prefers to the given one. */
+static unsigned int rank_count_preferred(const struct rank_list *list, const struct rank_self *self,
+					 const struct host *relay)
 {
 	uint64_t hash = str_hash(self->name, strlen(self->name), 0);
-	unsigned int better = 0;
+	unsigned int preferred = 0;
 
 	for (unsigned int i = list->feeders; i < list->n; i++)
-		better += rank_is_better(self, hash, list->hosts[i], relay);
-	return better;
+		preferred += rank_prefers_relay(self, hash, list->hosts[i], relay);
+	return preferred;
 }
 
-/* The relay that the host tries after so many others; NULL: no more. */
-static const struct host *rank_relay(const struct rank_list *list, const struct rank_self *self)
+/* Returns the relay that the host tries at its present turn, or NULL if there is none left. */
+static const struct host *rank_relay_at(const struct rank_list *list, const struct rank_self *self)
 {
 	for (unsigned int i = list->feeders; i < list->n; i++) {
-		if (rank_better(list, self, list->hosts[i]) == self->turn)
+		if (rank_count_preferred(list, self, list->hosts[i]) == self->turn)
 			return list->hosts[i];
 	}
 	return NULL;
 }
 
 /*
- * Readers follow the next reader, so that one that the store turns away has a feed. Spares and
- * relays follow readers; all others follow relays, where there are some.
+ * Readers follow the next reader, so that a reader that the store rejects has a feed. Spare feeders
+ * and relays follow readers. All other hosts follow relays if there are any, otherwise readers.
  */
 void rank_choose(const struct host_table *table, const struct rank_self *self, int64_t now_us,
 		 struct rank *rank)
@@ -117,13 +133,13 @@
 	unsigned int at;
 
 	memset(rank, 0, sizeof(*rank));
-	rank_fill(table, self->hosts, now_us, &list);
+	rank_list_candidates(table, self->hosts, now_us, &list);
 	if (list.n == 0)
 		return;
-	at = rank_place(&list, self->name, rank);
+	at = rank_set_roles(&list, self->name, rank);
 	rank->relayed = at == list.n && list.n > list.feeders;
 	if (rank->relayed && turn < RANK_RELAYS_TRIED) {
-		rank->feeder = rank_relay(&list, self);
+		rank->feeder = rank_relay_at(&list, self);
 		if (rank->feeder)
 			return;
 	}
@@ -132,7 +148,7 @@
 	start = rank->reader ? at + 1
 			     : (unsigned int)(str_hash(self->name, strlen(self->name), 0) %
 					      list.readers);
-	rank->feeder = rank_feeder(&list, self->name, start, turn);
+	rank->feeder = rank_feeder_at(&list, self->name, start, turn);
 }
 
 bool rank_reads(const struct rank_host *host)
@@ -144,11 +160,11 @@
 	return host->first_start ? !host->settled : !host->knows_all;
 }
 
-int64_t rank_patience_us(const struct rank *rank, int64_t news_us)
+int64_t rank_patience_us(const struct rank *rank, int64_t apply_limit_us)
 {
 	if (rank->reader || rank->spare)
 		return 0;
-	return MAX(news_us - rank_change_us, 0) / 2;
+	return MAX(apply_limit_us - rank_feed_change_us, 0) / 2;
 }
 
 bool rank_may_feed(const struct rank_host *host)
@@ -160,13 +176,13 @@
 
 bool rank_round_heard(struct rank_round *round, int64_t number, int64_t now_us)
 {
-	bool news = number > round->number;
+	bool is_new = number > round->number;
 
 	if (number >= round->number)
 		round->heard_us = now_us;
-	if (news)
+	if (is_new)
 		round->number = number;
-	return news;
+	return is_new;
 }
 
 int64_t rank_round_done(struct rank_round *round)
@@ -176,5 +192,5 @@
 
 bool rank_round_is_ours(const struct rank_round *round, const struct rank *rank, int64_t now_us)
 {
-	return rank->first || (rank->reader && now_us - round->heard_us > rank_silent_us);
+	return rank->first || (rank->reader && now_us - round->heard_us > rank_round_timeout_us);
 }
--- a/router/rank.h
+++ b/router/rank.h
@@ -6,113 +6,125 @@
 G_BEGIN_DECLS
 
 /*
- * Which hosts read the store, and which of them feeds this one. All hosts rank the hosts of a table
- * alike, by rendezvous hashing, but for those that they have found silent themselves. Pure.
+ * Chooses which hosts read the store and which host this host follows, that is, receives its feed
+ * from. All hosts compute the same ranking of the hosts in a table by rendezvous hashing, except
+ * that each host leaves out those that it has found silent itself. Pure functions.
  */
 enum {
 	/*
-	 * Hosts that read the store. Each costs some two calls a second; two bear the loss of one,
-	 * and with a third a rack of hosts can go without all others reading at once.
+	 * Number of hosts that read the store. Each reader makes about two calls a second. Two
+	 * readers tolerate the loss of one; with a third reader, a rack of hosts can fail without
+	 * all other hosts reading the store at once.
 	 */
-	RANK_READERS_FEW = 2,
-	RANK_READERS = 3,
-	RANK_FEW_HOSTS = 10,
+	RANK_READERS_SMALL = 2, /* number of readers among at most RANK_SMALL_HOSTS hosts */
+	RANK_READERS = 3,	/* number of readers among more hosts than that */
+	RANK_SMALL_HOSTS = 10,
 	/*
-	 * Hosts that are asked for a feed, one after the other. Beyond the readers: when the store
-	 * turns these away, the next ones have no feed, read by themselves, and can feed others.
+	 * Number of readers and spare feeders that a host tries as its feeder, one after the other.
+	 * Spare feeders are the hosts ranked next to the readers: when the store rejects the
+	 * readers, the spare feeders have no feed, read the store themselves and can feed others.
 	 */
 	RANK_FEEDERS = 6,
 	/*
-	 * Followers of one host. Where the readers would have more, other hosts relay what they
-	 * get: so many that each has half of that, and a reader as many relays as it can have
-	 * followers. What a host sends then grows with that number, not with the deployment.
+	 * Number of followers that a host is meant to serve. If the readers would have more, relays
+	 * pass on the feed that they receive. There are so many relays that each has half of this
+	 * number of followers, and each reader at most this number of relays. What a host sends
+	 * then depends on this number, not on the size of the deployment.
 	 */
-	RANK_FOLLOWERS = 100,
-	RANK_RELAYED = RANK_FOLLOWERS / 2,
-	RANK_RELAYS_MAX = RANK_READERS * RANK_FOLLOWERS,
-	/* Relays that a host tries, one after the other, before the readers. */
+	RANK_FOLLOWERS_TARGET = 100,
+	RANK_RELAY_FOLLOWERS = RANK_FOLLOWERS_TARGET / 2,	/* number of followers of a relay */
+	RANK_RELAYS_MAX = RANK_READERS * RANK_FOLLOWERS_TARGET, /* largest number of relays */
+	/* Number of relays that a host tries, one after the other, before the readers. */
 	RANK_RELAYS_TRIED = 3
 };
 
-/* Who chooses. */
+/* The host that chooses its feeder. */
 struct rank_self {
 	const char *name;
 	const char *zone;
-	unsigned int hosts; /* that it knows, also those that can't feed others */
-	unsigned int turn;  /* feeders that have proved to be of no use so far */
+	unsigned int
+		hosts; /* number of hosts that it knows, including hosts that can't feed others */
+	unsigned int turn; /* number of feeders that it has tried without success so far */
 };
 
+/* Roles of a host, and the feeder that it should follow. */
 struct rank {
-	bool reader;		   /* this host reads the store */
-	bool first;		   /* it is the first of the readers */
-	bool spare;		   /* it is asked for a feed when no reader is of use */
-	bool relay;		   /* it hands its feed on */
-	bool relayed;		   /* it follows a relay, if one is of use */
-	const struct host *feeder; /* that this host should follow; NULL: nobody else */
+	bool reader;		   /* the host reads the store */
+	bool first;		   /* the host is the first of the readers */
+	bool spare;		   /* other hosts try this host as feeder after the readers */
+	bool relay;		   /* the host passes on the feed that it receives */
+	bool relayed;		   /* the host follows a relay, if a working one is found */
+	const struct host *feeder; /* the host to follow; NULL if there is none */
 };
 
-/* What a host knows of itself when it decides whether to read the store, and whether to feed. */
+/* State of a host that decides whether it reads the store and whether it may feed others. */
 struct rank_host {
-	bool reader;
+	bool reader;	  /* the host has the role of a reader */
 	bool first_start; /* the whole system starts for the first time */
-	bool settled;	  /* it has had the time to find a host that feeds it */
-	bool fed;
-	bool knows_all; /* what it needs to serve */
-	bool reached;	/* its own reads of the store succeed */
-	bool patient;	/* its feed was lost so lately that another one may take its place */
-	bool relay;
+	bool settled;	  /* the host has had the time to find a feeder after its start */
+	bool fed;	  /* the host receives a working feed */
+	bool knows_all;	  /* the host has the configuration and endpoints that it serves with */
+	bool reached;	  /* the host's own reads of the store succeed */
+	bool patient;	  /* the feed was lost less than rank_patience_us() ago */
+	bool relay;	  /* the host has the role of a relay */
 };
 
 /*
- * Whether the host reads the store itself: a reader, and one that has no feed. A host that starts
- * goes on reading until it knows all, though it has a feed: beginning a list of 3,000 endpoints
- * anew each time that the feed changes took 299 hosts 30 s to serve after all were killed, instead
- * of 8.5 s. In the first start it reads only who the hosts are, until it is settled.
+ * Returns whether the host reads the store itself. Readers do, and hosts without a feed. A host
+ * that starts goes on reading until it can serve, even if it has a feed: when it began the list of
+ * 3,000 endpoints again with each change of its feed, 299 hosts that had all been killed took 30 s
+ * until they served, instead of 8.5 s. In the first start of the system a host reads only the list
+ * of hosts, and only until it is settled.
  *
- * One that has lost its feed and knows all waits for another feed first. Where the store turns a
- * reader away, a third of all hosts lose their feeds in one moment, and there are others: at 984
- * hosts, each reading the store for that moment, it was asked 28 times a host in a minute.
+ * A host that has lost its feed and can serve first waits for another feed. If the store rejects a
+ * reader, a third of all hosts lose their feeds at the same time although other feeders work: when
+ * each of 984 hosts read the store meanwhile, the store received 28 calls per host in a minute.
  */
 bool rank_reads(const struct rank_host *host);
 
 /*
- * Whether others may follow the host. One that is no reader reads for a moment when it starts; who
- * follows it then loses its feed again. A relay has what its own feed brings.
+ * Returns whether other hosts may follow the host. A host that is not a reader reads the store only
+ * briefly when it starts, so its followers would soon lose their feed; therefore it must be
+ * settled. A relay may feed others while it receives a feed itself.
  */
 bool rank_may_feed(const struct rank_host *host);
 
 /*
- * For how long a host may wait for another feed: what is left of the time in which news must be in
- * force after a silent feed has been given up and the store has been read, half of it kept back.
- * 0: not at all. Spare feeders don't wait, or nobody would find one.
+ * Returns for how long a host may wait for another feed before it reads the store, in microseconds.
+ * "apply_limit_us" is the time within which a change in the store must take effect on the host.
+ * Giving up a silent feed and reading the store takes a part of that; the result is half of the
+ * rest. It is 0 for readers, and for spare feeders, which must read the store at once for others to
+ * follow them.
  */
-int64_t rank_patience_us(const struct rank *rank, int64_t news_us);
+int64_t rank_patience_us(const struct rank *rank, int64_t apply_limit_us);
 
-/* Hosts that relay where there are so many; 0: the readers feed all. */
-unsigned int rank_relays(unsigned int hosts);
+/* Returns the number of relays in a deployment of that many hosts; 0 if the readers feed all. */
+unsigned int rank_relay_count(unsigned int hosts);
 
+/* Sets the roles of the host "self" and the feeder that it should follow. */
 void rank_choose(const struct host_table *table, const struct rank_self *self, int64_t now_us,
 		 struct rank *rank);
 
 /*
- * Who asks all engines for their reports: the first reader, in rounds of a second. Each round has a
- * number, which the feeds hand on. A reader that has heard of no round for a while makes them
- * itself: hosts know of each other's death only by what they try themselves, and one that is fed
- * by another does not try the first one. In an outage of the store nobody asked for ten seconds,
- * and two dead engines were sent to all the while.
+ * Decides which host polls all engines for their reports. The first reader does, in rounds of a
+ * second. Each round has a number, which the feeds pass on. Another reader that has received no new
+ * number for three seconds polls, too: a host detects the failure of another host only by its own
+ * connections, and a reader that is fed by a third host has no connection to the first reader. In
+ * an outage of the store no host polled for ten seconds, and requests were sent to two dead engines
+ * during that time.
  */
 struct rank_round {
-	int64_t number;	  /* of the newest round that is known */
-	int64_t heard_us; /* when another host's round was last heard of */
+	int64_t number;	  /* number of the latest round that is known */
+	int64_t heard_us; /* when another host's round was last received, in microseconds */
 };
 
-/* Another host's round. Returns whether it is news to hand on. */
+/* Handles the number of another host's round. Returns whether it is new and must be passed on. */
 bool rank_round_heard(struct rank_round *round, int64_t number, int64_t now_us);
 
-/* A round of this host's own has ended; its number is returned. */
+/* Records that a round of this host has ended. Returns the number of that round. */
 int64_t rank_round_done(struct rank_round *round);
 
-/* Whether this host should make rounds. */
+/* Returns whether this host should poll the engines. */
 bool rank_round_is_ours(const struct rank_round *round, const struct rank *rank, int64_t now_us);
 
 G_END_DECLS
--- a/router/rank_test.cc
+++ b/router/rank_test.cc
@@ -42,30 +42,30 @@
 };
 
 /*
- * Symptom: after a kill of all hosts 100 hosts with 999 endpoints took more than 30 s to serve.
- * Sequence: each reads a list of several pages; a host that is no reader reads, too, and offers
- * itself as a feeder; it finds its own feed, stops reading, and has nothing for those that follow
- * it; they begin the list anew. Cause: a feed from anybody counted, and ended a host's own reading
- * before it knew what it needs.
+ * Guards against a slow restart: after all were killed, 100 hosts with 999 endpoints took more than
+ * 30 s to serve. A host that was not a reader read the list, which has several pages, and accepted
+ * followers. When it found a feed, it stopped reading before it could serve and had no more data
+ * for its followers, which had to read the list from the beginning. The cause was that any feed
+ * ended a host's own reading.
  */
-TEST_F(RankTest, WhoReadsAndWhoFeeds)
+TEST_F(RankTest, WhichHostsReadTheStoreAndFeedOthers)
 {
 	const struct {
 		const char *what;
-		/* reader, first start, settled, fed, knows all, reached, patient, relay */
+		/* the fields of struct rank_host in their order */
 		rank_host host;
 		bool reads, feeds;
 	} cases[] = {
 		{"a reader", {true, false, false, true, true, true, false, false}, true, true},
-		{"a reader that the store turns away",
+		{"a reader that the store rejects",
 		 {true, false, true, true, true, false, false, false},
 		 true,
 		 false},
-		{"it starts, and has a feed",
+		{"it starts and has a feed",
 		 {false, false, false, true, false, true, false, false},
 		 true,
 		 false},
-		{"it starts, and knows all",
+		{"it starts and can serve",
 		 {false, false, false, true, true, true, false, false},
 		 false,
 		 false},
@@ -73,7 +73,7 @@
 		 {false, false, false, false, false, true, false, false},
 		 true,
 		 false},
-		{"as usual", {false, false, true, true, true, false, false, false}, false, false},
+		{"running", {false, false, true, true, true, false, false, false}, false, false},
 		{"it has lost its feed",
 		 {false, false, true, false, true, true, false, false},
 		 true,
@@ -82,11 +82,11 @@
 		 {false, false, true, false, true, true, true, false},
 		 false,
 		 true},
-		{"it has just lost its feed, and does not know all",
+		{"it has just lost its feed and can't serve",
 		 {false, false, true, false, false, true, true, false},
 		 true,
 		 true},
-		{"it has a feed, late in a start",
+		{"it has a feed, is settled and can't serve",
 		 {false, false, true, true, false, true, false, false},
 		 true,
 		 true},
@@ -98,7 +98,7 @@
 		 {false, false, true, true, true, false, false, true},
 		 false,
 		 true},
-		{"a relay without",
+		{"a relay without a feed",
 		 {false, false, true, false, true, false, true, true},
 		 false,
 		 false},
@@ -114,7 +114,7 @@
 	}
 }
 
-TEST_F(RankTest, FewReadersAndOneFirst)
+TEST_F(RankTest, TwoOrThreeReadersAndOneFirstReader)
 {
 	const struct {
 		int hosts, readers;
@@ -135,7 +135,7 @@
 	}
 }
 
-TEST_F(RankTest, ReadersShareTheOthers)
+TEST_F(RankTest, FollowersAreSpreadEvenlyOverReaders)
 {
 	std::map<std::string, int> followers;
 	Hosts(270);
@@ -146,8 +146,8 @@
 		EXPECT_NEAR(f.second, 90, 30) << f.first;
 }
 
-/* The load: what a host hands on grows with its followers, whatever the deployment's size. */
-TEST_F(RankTest, NobodyHasTooManyFollowers)
+/* The number of followers of a host is limited, whatever the size of the deployment. */
+TEST_F(RankTest, NoHostHasTooManyFollowers)
 {
 	const struct {
 		int hosts, relays;
@@ -156,7 +156,7 @@
 		std::map<std::string, int> followers;
 		std::set<std::string> readers, relays;
 		Hosts(c.hosts);
-		EXPECT_EQ(rank_relays((unsigned int)c.hosts), (unsigned int)c.relays);
+		EXPECT_EQ(rank_relay_count((unsigned int)c.hosts), (unsigned int)c.relays);
 		for (int i = 0; i < c.hosts; i++) {
 			rank r = Choose(i);
 			std::string name = "host-" + std::to_string(i);
@@ -168,7 +168,7 @@
 		}
 		EXPECT_EQ(relays.size(), (size_t)c.relays);
 		for (const auto &f : followers) {
-			EXPECT_LE(f.second, RANK_FOLLOWERS + 30) << f.first;
+			EXPECT_LE(f.second, RANK_FOLLOWERS_TARGET + 30) << f.first;
 			EXPECT_TRUE(readers.count(f.first) || relays.count(f.first));
 		}
 		for (int i = 0; i < c.hosts; i++) {
@@ -182,7 +182,7 @@
 	Hosts(1);
 }
 
-/* Guards against a host that stays without a feed when its relay, and the next ones, are of no use.
+/* Guards against a host that stays without a feed because the relays that it tries do not work.
  */
 TEST_F(RankTest, AfterSomeRelaysTheReadersAreTried)
 {
@@ -199,11 +199,11 @@
 }
 
 /*
- * Symptom: some hosts did not hear of a change for as long as an outage lasted.
- * Sequence: the store turns away the readers and some others; one of the others follows a reader.
- * Cause: it went on asking that reader for a feed.
+ * Guards against hosts that receive no change for as long as an outage lasts: the store rejects
+ * the readers and some other hosts, and one of these hosts goes on requesting its feed from a
+ * reader.
  */
-TEST_F(RankTest, TurnsLeadToOtherFeedersBeyondTheReaders)
+TEST_F(RankTest, LaterTurnsTryFeedersOtherThanReaders)
 {
 	Hosts(7);
 	for (int i = 0; i < 7; i++) {
@@ -233,32 +233,32 @@
 	}
 }
 
-TEST_F(RankTest, WhoWaitsForAnotherFeed)
+TEST_F(RankTest, HowLongAHostWaitsForAnotherFeed)
 {
 	const struct {
 		const char *what;
 		rank place;
-		int64_t news_ms, patience_ms;
+		int64_t apply_limit_ms, wait_ms;
 	} cases[] = {
-		{"a follower with five seconds", {}, 5000, 1500},
-		{"with three", {}, 3000, 500},
-		{"with two", {}, 2000, 0},
-		{"with one", {}, 1000, 0},
+		{"a follower, changes within 5 s", {}, 5000, 1500},
+		{"within 3 s", {}, 3000, 500},
+		{"within 2 s", {}, 2000, 0},
+		{"within 1 s", {}, 1000, 0},
 		{"a reader", {true, false, false, false, false, nullptr}, 5000, 0},
 		{"a spare feeder", {false, false, true, false, false, nullptr}, 5000, 0},
 	};
 	Hosts(1);
 	for (const auto &c : cases)
-		EXPECT_EQ(rank_patience_us(&c.place, c.news_ms * 1000), c.patience_ms * 1000)
+		EXPECT_EQ(rank_patience_us(&c.place, c.apply_limit_ms * 1000), c.wait_ms * 1000)
 			<< c.what;
 }
 
-/* Hosts of one deployment before a store that turns some of them away, a tenth of a second a step.
+/* Simulates the hosts of a deployment and a store that rejects some of them, in steps of 100 ms.
  */
 class RankSim
 {
       public:
-	RankSim(int hosts, int64_t news_ms) : hosts_((size_t)hosts), news_us_(news_ms * 1000)
+	RankSim(int hosts, int64_t limit_ms) : hosts_((size_t)hosts), limit_us_(limit_ms * 1000)
 	{
 		std::vector<host> list((size_t)hosts);
 
@@ -273,10 +273,10 @@
 	{
 		host_table_finish(&table_);
 	}
-	void TurnAway(int part)
+	void Reject(int part)
 	{
 		for (size_t i = 0; i < hosts_.size(); i++)
-			hosts_[i].away = part > 0 && (i * 7919 + 3) % (size_t)part == 0;
+			hosts_[i].rejected = part > 0 && (i * 7919 + 3) % (size_t)part == 0;
 	}
 	void Run(int steps)
 	{
@@ -287,25 +287,25 @@
 	{
 		return (double)calls_ / (double)hosts_.size();
 	}
-	/* The longest that a host was without news, of those that some way leads to. */
-	int64_t OldestMs() const
+	/* Longest time that any host had neither a feed nor a successful read, in milliseconds. */
+	int64_t LongestGapMs() const
 	{
-		return oldest_us_ / 1000;
+		return longest_gap_us_ / 1000;
 	}
 
       private:
 	struct Host {
-		bool away = false, reads = false, reached = false, fed = true, relay = false;
-		bool feeds = false;
+		bool rejected = false, reads = false, reached = false, fed = true, relay = false;
+		bool may_feed = false;
 		unsigned int turn = 0;
-		int64_t stale_us = 0, fed_us = 0, news_us = 0, read_from_us = 0;
+		int64_t stale_us = 0, fed_us = 0, updated_us = 0, read_from_us = 0;
 	};
 	enum {
 		STEP_US = 100000,
-		STALE_US = 400000,	 /* for which a feeder that is away is kept */
-		STALE_RELAY_US = 900000, /* the same of a relay, which looks for another feed */
-		CALLS_OF_A_START = 2,	 /* configuration and endpoints */
-		STEPS_OF_A_CALL = 3	 /* of a host that goes on reading */
+		STALE_US = 400000,	 /* time after which a feeder that fails is replaced */
+		STALE_RELAY_US = 900000, /* the same for a relay, which seeks a feed itself */
+		CALLS_OF_A_START = 2,	 /* calls for the configuration and the endpoints */
+		STEPS_OF_A_CALL = 3	 /* steps between two calls of a host that reads */
 	};
 
 	Host &At(const host *h)
@@ -320,7 +320,7 @@
 					 h->fed,
 					 true,
 					 h->reached,
-					 now_ - h->fed_us < rank_patience_us(&place, news_us_),
+					 now_ - h->fed_us < rank_patience_us(&place, limit_us_),
 					 place.relay};
 		bool reads = rank_reads(&state);
 
@@ -330,17 +330,17 @@
 			calls_ += CALLS_OF_A_START;
 		else if (reads && (now_ - h->read_from_us) / STEP_US % STEPS_OF_A_CALL == 0)
 			calls_++;
-		h->reached = reads && !h->away;
+		h->reached = reads && !h->rejected;
 		h->reads = reads;
 		const rank_host after = {place.reader, false,	   true,  h->fed,
 					 true,	       h->reached, false, place.relay};
-		h->feeds = rank_may_feed(&after);
+		h->may_feed = rank_may_feed(&after);
 	}
 	void Follow(Host *h, const rank &place)
 	{
 		const Host &feeder = At(place.feeder);
 
-		h->fed = feeder.feeds;
+		h->fed = feeder.may_feed;
 		if (h->fed) {
 			h->fed_us = now_;
 			h->stale_us = 0;
@@ -367,47 +367,47 @@
 			Follow(h, place);
 			Read(h, place);
 			if (h->fed || h->reached)
-				h->news_us = now_;
-			oldest_us_ = std::max(oldest_us_, now_ - h->news_us);
+				h->updated_us = now_;
+			longest_gap_us_ = std::max(longest_gap_us_, now_ - h->updated_us);
 		}
 	}
 
 	host_table table_;
 	std::vector<Host> hosts_;
-	int64_t news_us_;
+	int64_t limit_us_; /* time within which a change must take effect */
 	int64_t now_ = 0;
-	int64_t oldest_us_ = 0;
+	int64_t longest_gap_us_ = 0;
 	long calls_ = 0;
 };
 
 /*
- * The load: the store turns a third of the hosts away for nine seconds, a reader among them. All
- * that followed it have other feeds; what they ask the store meanwhile falls with their number.
+ * The store rejects a third of the hosts for nine seconds, one of them a reader. Its followers can
+ * find other feeds, so a larger deployment makes fewer calls to the store for each host.
  */
-TEST(RankSimTest, HostsThatTheStoreTurnsAwayDoNotMakeTheOthersRead)
+TEST(RankSimTest, RejectedHostsDoNotMakeTheOthersReadTheStore)
 {
-	double before = 1e9;
+	double previous = 1e9;
 
 	for (int hosts : {30, 300, 984, 1968}) {
 		RankSim sim(hosts, 5000);
 
 		sim.Run(10);
-		sim.TurnAway(3);
+		sim.Reject(3);
 		sim.Run(90);
-		sim.TurnAway(0);
+		sim.Reject(0);
 		sim.Run(30);
-		EXPECT_LT(sim.CallsPerHost(), std::min(before, 10.0)) << hosts;
-		EXPECT_LT(sim.OldestMs(), 2500) << hosts;
-		before = sim.CallsPerHost();
+		EXPECT_LT(sim.CallsPerHost(), std::min(previous, 10.0)) << hosts;
+		EXPECT_LT(sim.LongestGapMs(), 2500) << hosts;
+		previous = sim.CallsPerHost();
 	}
 }
 
 /*
- * Symptom: in an outage of the store, engines that had died were sent to for ten seconds.
- * Sequence: the first reader dies; the second, fed by a third host, forgets after 4 s that it found
- * the first one silent. Cause: only the first reader asked engines for their reports.
+ * Guards against requests to dead engines: in an outage of the store they went on for ten seconds
+ * after the first reader had died. Only the first reader polled the engines, and the second, fed by
+ * a third host, forgot after 4 s that it had found the first one silent.
  */
-TEST(RankRoundTest, ASecondReaderTakesOver)
+TEST(RankRoundTest, ASecondReaderTakesOverThePolling)
 {
 	const int64_t s = 1000000;
 	rank first{}, second{}, other{};
@@ -420,20 +420,20 @@
 	EXPECT_FALSE(rank_round_is_ours(&round, &other, 60 * s)) << "no reader";
 }
 
-/* Two that make rounds at once: the second one hears of the first and stops, also in lockstep. */
-TEST(RankRoundTest, TheSecondOneStopsWhenTheFirstIsBack)
+/* Two readers poll at once, with the same numbers: the second one receives a round and stops. */
+TEST(RankRoundTest, TheSecondReaderStopsWhenTheFirstIsBack)
 {
 	const int64_t s = 1000000;
 	rank second{};
 	rank_round round{};
 	second.reader = true;
 	EXPECT_EQ(rank_round_done(&round), 1);
-	EXPECT_FALSE(rank_round_heard(&round, 1, 20 * s)) << "known already, so not handed on";
+	EXPECT_FALSE(rank_round_heard(&round, 1, 20 * s)) << "a known number is not passed on";
 	EXPECT_FALSE(rank_round_is_ours(&round, &second, 21 * s));
 }
 
-/* A host that has just started counts from nothing; older rounds are not handed on in a ring. */
-TEST(RankRoundTest, OldRoundsAreNoNews)
+/* A host that has just started counts from 0. Old rounds are not passed on, so none circulates. */
+TEST(RankRoundTest, OldRoundsAreNotPassedOn)
 {
 	rank_round round{};
 	EXPECT_TRUE(rank_round_heard(&round, 500, 1));
--- a/router/recall.c
+++ b/router/recall.c
@@ -7,22 +7,27 @@
 #include <string.h>
 
 enum {
-	/* Between two notes: a release of endpoints changes the list several times a second. */
+	/*
+	 * Shortest time between two writes of the list, in milliseconds. While new endpoints are
+	 * rolled out, the list changes several times a second.
+	 */
 	RECALL_PAUSE_MS = 1000,
+	/* Time limit of a call to the store, in milliseconds. */
 	RECALL_CALL_MS = 1000,
 	HTTP_OK = 200
 };
 
+/* Key of the saved list in the store. */
 static const char recall_key[] = "endpoints";
 
 struct recall {
 	struct rc *rc;
-	struct fp fp; /* packs the list */
-	guint noted;  /* version of the list that was noted; 0: none */
-	int64_t next_us;
-	bool asked; /* the note was read, or is being read */
-	struct store_call *write;
-	struct store_call *read;
+	struct fp fp;		  /* packs the list in the format of a feed */
+	guint saved_version;	  /* version of the list that was last saved; 0: none */
+	int64_t next_write_us;	  /* earliest time of the next write, in microseconds */
+	bool first_list_done;	  /* the first list was read; the saved list is not read after it */
+	struct store_call *write; /* the write under way, or NULL */
+	struct store_call *read;  /* the read under way, or NULL */
 };
 
 static void recall_on_written(void *ctx, const struct store_answer *answer);
@@ -49,7 +54,7 @@
 
 bool recall_is_noted(const struct recall *recall)
 {
-	return !recall->write && recall->noted == recall->rc->endpoints.version;
+	return !recall->write && recall->saved_version == recall->rc->endpoints.version;
 }
 
 static bool recall_is_due(const struct recall *recall, int64_t now_us)
@@ -58,13 +63,13 @@
 
 	if (!rc->rank.first || rc->stopping || !sf_is_reached(rc) || !rc->listed)
 		return false;
-	if (recall->write || now_us < recall->next_us || now_us < ep_whole_us(&rc->endpoints))
+	if (recall->write || now_us < recall->next_write_us || now_us < ep_whole_us(&rc->endpoints))
 		return false;
 	return !recall_is_noted(recall);
 }
 
-/* The note: the list as a feed carries it. */
-static GString *recall_record(struct recall *recall)
+/* Returns the record to save: the list, packed in the format of a feed. */
+static GString *recall_make_record(struct recall *recall)
 {
 	Feed__Note note = FEED__NOTE__INIT;
 	GString *record;
@@ -85,12 +90,12 @@
 	return record;
 }
 
-static void recall_log(const char *event, int status, int err, int64_t n)
+static void recall_log(const char *event, int status, int err, int64_t endpoints)
 {
 	jl_begin(JL_KEEP, event);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? store_strerror(err) : NULL);
-	jl_int("endpoints", n);
+	jl_int("endpoints", endpoints);
 	jl_end();
 }
 
@@ -109,9 +114,9 @@
 static void recall_write(struct recall *recall)
 {
 	struct rc *rc = recall->rc;
-	GString *record = recall_record(recall);
+	GString *record = recall_make_record(recall);
 
-	recall->noted = rc->endpoints.version;
+	recall->saved_version = rc->endpoints.version;
 	if (record->len > SEAM_RECORD_MAX)
 		recall_log("note_too_long", 0, 0, g_hash_table_size(rc->endpoints.entries));
 	else
@@ -128,15 +133,15 @@
 	recall_log(good ? "endpoints_noted" : "note_failed", answer->status, answer->err,
 		   g_hash_table_size(recall->rc->endpoints.entries));
 	if (!good)
-		recall->noted = 0;
+		recall->saved_version = 0;
 }
 
 void recall_on_return(struct recall *recall)
 {
-	recall->noted = 0;
+	recall->saved_version = 0;
 }
 
-/* A host that has seen the store away reads the note once, after its first list. */
+/* Reads the saved list. Done once, after the first list, if the store was unreachable before. */
 static void recall_read(struct recall *recall)
 {
 	struct rc *rc = recall->rc;
@@ -152,20 +157,20 @@
 {
 	if (!recall_is_due(recall, now_us))
 		return;
-	recall->next_us = now_us + tmr_ms(RECALL_PAUSE_MS);
+	recall->next_write_us = now_us + tmr_ms(RECALL_PAUSE_MS);
 	recall_write(recall);
 }
 
 bool recall_on_listed(struct recall *recall)
 {
-	if (!recall->asked && ep_is_returning(&recall->rc->endpoints, tmr_now()))
+	if (!recall->first_list_done && ep_is_returning(&recall->rc->endpoints, tmr_now()))
 		recall_read(recall);
-	recall->asked = true;
+	recall->first_list_done = true;
 	return recall->read != NULL;
 }
 
-/* With what was recalled, or without, the list is as good as it gets. */
-static void recall_end(struct recall *recall)
+/* Publishes the list of endpoints once the saved list has been merged or could not be read. */
+static void recall_complete_list(struct recall *recall)
 {
 	struct rc *rc = recall->rc;
 
@@ -176,7 +181,7 @@
 	feed_flush(rc->feed);
 }
 
-/* The note was written by another version of this program, or damaged. */
+/* The saved list was written by another version of this program, or is damaged. */
 static void recall_log_unreadable(const char *id, const char *error)
 {
 	jl_begin(JL_KEEP, "note_unreadable");
@@ -185,10 +190,10 @@
 	jl_end();
 }
 
-static void recall_take_items(struct recall *recall, const Feed__Endpoints *items)
+static void recall_add_entries(struct recall *recall, const Feed__Endpoints *items)
 {
 	struct rc *rc = recall->rc;
-	int64_t taken = 0;
+	int64_t added = 0;
 
 	for (size_t i = 0; i < items->n_items; i++) {
 		const Feed__Endpoint *e = items->items[i];
@@ -202,9 +207,9 @@
 			continue;
 		}
 		rec->text = str_dup(text);
-		taken += ep_on_recalled(&rc->endpoints, e->offset, rec, tmr_now());
+		added += ep_on_recalled(&rc->endpoints, e->offset, rec, tmr_now());
 	}
-	recall_log("endpoints_recalled", HTTP_OK, 0, taken);
+	recall_log("endpoints_recalled", HTTP_OK, 0, added);
 }
 
 static void recall_on_record(void *ctx, int64_t offset, struct str key, struct str value)
@@ -219,7 +224,7 @@
 	items = note ? fp_unpack(note->endpoints.data, note->endpoints.len, note->endpoints_len)
 		     : NULL;
 	if (items)
-		recall_take_items(recall, items);
+		recall_add_entries(recall, items);
 	else
 		recall_log("note_unreadable", HTTP_OK, BASE_EFRAME, 0);
 	if (items)
@@ -239,5 +244,5 @@
 						 answer->body, recall_on_record, recall, &read) < 0)
 		recall_log("note_not_read", answer->status, answer->err, 0);
 	g_free(read.last);
-	recall_end(recall);
+	recall_complete_list(recall);
 }
