--- a/router/loads.c
+++ b/router/loads.c
@@ -1,10 +1,11 @@
 #include "router/rc.h"
 
 enum {
-	LOADS_AGAIN_MS = 5000 /* after which what is not as usual is handed on again */
+	/* Time after which the loads of all unusual engines are sent again, in milliseconds. */
+	LOADS_AGAIN_MS = 5000
 };
 
-static void loads_clear(gpointer data)
+static void loads_clear_entry(gpointer data)
 {
 	g_free(((struct router_load *)data)->endpoint);
 }
@@ -13,7 +14,7 @@
 {
 	GArray *loads = g_array_new(FALSE, TRUE, sizeof(struct router_load));
 
-	g_array_set_clear_func(loads, loads_clear);
+	g_array_set_clear_func(loads, loads_clear_entry);
 	return loads;
 }
 
@@ -27,7 +28,10 @@
 	feed_flush(rc->feed);
 }
 
-/* old: NULL is an engine that nothing was heard of, which is taken to be as usual. */
+/*
+ * Returns whether the load differs from an older one for other hosts. If "old" is NULL, compares it
+ * with a usual load: pace 1, memory at most half full.
+ */
 static bool loads_differ(const struct router_load *old, const struct router_load *load)
 {
 	int full = MAX(load->full, (int)ROUTER_FULL_NEWS);
@@ -44,8 +48,8 @@
 	g_array_append_val(loads, copy);
 }
 
-/* Notes what an engine reported. Returns whether the others should hear of it. */
-static bool loads_note(struct rc *rc, const struct router_load *load)
+/* Stores the load that an engine reported. Returns whether it must be sent to the other hosts. */
+static bool loads_record(struct rc *rc, const struct router_load *load)
 {
 	struct router_load *old = g_hash_table_lookup(rc->polled, load->endpoint);
 	bool differs = loads_differ(old, load);
@@ -66,7 +70,7 @@
 	return !g_hash_table_contains(listed, endpoint);
 }
 
-/* All engines that are not as usual, for those that have not heard of them. */
+/* Adds the loads of all unusual engines, for hosts that have not received them. */
 static void loads_add_unusual(struct rc *rc, GArray *loads)
 {
 	GHashTable *listed = ep_incarnations(&rc->endpoints);
@@ -84,33 +88,33 @@
 
 void loads_free(gpointer data)
 {
-	loads_clear(data);
+	loads_clear_entry(data);
 	g_free(data);
 }
 
 /*
- * Engines hardly ever change their pace, and how full their memory is counts only from one half on;
- * nothing else of a report is used by other hosts. Whole rounds were the most of what a feed
- * carried: 16 MB a second at a reader of 300 hosts with 3,000 engines, and changes of the
- * configuration waited behind them for 5 s.
+ * Publishes only the loads that have changed. Engines rarely change their pace, and their use of
+ * memory matters only from one half on; other hosts use nothing else from a report. Whole rounds
+ * were the largest part of a feed: 16 MB/s at a reader in a system of 300 hosts with 3,000 engines,
+ * and changes of the configuration were queued behind them for 5 s.
  */
 void loads_take_round(struct rc *rc, GArray *loads)
 {
 	bool again = tmr_now() - rc->loads_us >= tmr_ms(LOADS_AGAIN_MS);
-	GArray *news = loads_new();
+	GArray *changed = loads_new();
 
 	rank_round_done(&rc->round);
 	for (guint i = 0; i < loads->len; i++) {
 		const struct router_load *load = &g_array_index(loads, struct router_load, i);
 
-		if (loads_note(rc, load))
-			loads_add(news, load);
+		if (loads_record(rc, load))
+			loads_add(changed, load);
 	}
 	if (again)
-		loads_add_unusual(rc, news);
+		loads_add_unusual(rc, changed);
 	g_array_unref(loads);
-	if (news->len > 0)
-		loads_take(rc, news);
+	if (changed->len > 0)
+		loads_take(rc, changed);
 	else
-		g_array_unref(news);
+		g_array_unref(changed);
 }
--- a/router/member.c
+++ b/router/member.c
@@ -5,42 +5,59 @@
 #include <string.h>
 
 /*
- * This host in the store: its entry in the list of hosts, and its place in the group whose one
- * leader orders engines.
+ * Maintains what the store holds about this host: its entry in the list of hosts, and its
+ * membership in the group whose leader gives orders to engines. The store elects that leader.
  */
 enum {
 	/*
-	 * The group's member that is silent for so long loses what it leads. Two joins may be lost
-	 * before that. A copy of the store may name a dead host as its leader, so it must not take
-	 * long: engines that start empty wait for it.
+	 * Time without a join after which the store removes a member from the group, in
+	 * milliseconds. If that member was the leader, another one is elected. Two joins in a row
+	 * may be lost. The time must be short because a copy of the store may name a dead host as
+	 * the leader, and engines that start without layers wait for a leader that works.
 	 */
 	MEMBER_TTL_MS = 2000,
-	/* For which a host leads after it has sent a join; the rest is for the store's clock. */
+	/*
+	 * Time for which a host leads after it has sent a join, in milliseconds. The difference to
+	 * MEMBER_TTL_MS allows for a store's clock that runs faster.
+	 */
 	MEMBER_LEASE_MS = 1800,
+	/* Pause between the end of a join and the next join, in milliseconds. */
 	MEMBER_JOIN_MS = 500,
+	/* Time limit of a join or a leave, in milliseconds. */
 	MEMBER_JOIN_CALL_MS = 700,
+	/* Time limit of a write to the list of hosts, in milliseconds. */
 	MEMBER_CALL_MS = 1000,
-	/* A copy of the store may name a member that has left within this time. */
+	/* Time after its leave for which a copy of the store may name a member, in milliseconds. */
 	MEMBER_COPY_MS = 30000,
+	/* Shortest pause before a failed write of the entry is repeated, in milliseconds. */
 	MEMBER_LIST_RETRY_MS = 2000,
-	/* Readers look at the list each five seconds, so a feed may lack a new entry for so long.
+	/*
+	 * Shortest time between two writes of the entry in the same era of the store, in
+	 * milliseconds. Readers read the list every five seconds, so a feed may lack a new entry
+	 * for that time.
+	 */
+	MEMBER_LIST_PAUSE_MS = 6000,
+	/*
+	 * Period over which hosts whose entries are missing at the same time spread their writes,
+	 * in milliseconds.
 	 */
-	MEMBER_LIST_AGAIN_MS = 6000,
-	/* Hosts that miss their entries together write them over this time. */
 	MEMBER_LIST_SPREAD_MS = 1000,
-	/* For which a host that has just started leaves that to those that feed it. */
-	MEMBER_LIST_FED_MS = 1500,
+	/*
+	 * Time after its start in which a host does not write its entry itself, in milliseconds:
+	 * its feeder passes the entry on to the first reader, which writes it.
+	 */
+	MEMBER_LIST_BY_FEEDER_MS = 1500,
 	HTTP_OK = 200
 };
 
 static void member_join(void *ctx, int64_t now_us);
 static void member_on_joined(void *ctx, const struct store_answer *answer);
-static void member_on_listed(void *ctx, const struct store_answer *answer);
+static void member_on_entry_written(void *ctx, const struct store_answer *answer);
 static void member_on_left(void *ctx, const struct store_answer *answer);
-static void member_list_again(void *ctx, int64_t now_us);
+static void member_on_list_timer(void *ctx, int64_t now_us);
 
-/* A call for the group; path and body are taken over. */
-static struct store_call *member_post(struct rc *rc, char *path, char *body, store_fn fn)
+/* Sends a join or a leave to the store. Takes ownership of the path and the body. */
+static struct store_call *member_call_group(struct rc *rc, char *path, char *body, store_fn fn)
 {
 	struct store_request request = {
 		.path = path, .json = body, .total_ms = MEMBER_JOIN_CALL_MS};
@@ -60,8 +77,8 @@
 	return s->link_mbps * s->cores;
 }
 
-/* Puts this host into the store's list of hosts, or out of it. */
-static void member_list_self(struct rc *rc, bool listed)
+/* Adds this host to the store's list of hosts, or removes it from there. */
+static void member_write_entry(struct rc *rc, bool listed)
 {
 	const struct router_settings *s = &rc->router->settings;
 	const struct seam_store *store = &rc->router->seam->store;
@@ -76,35 +93,35 @@
 
 	rc->listed_self_us = tmr_now();
 	rc->listed_self_era = rc->era.now;
-	store_call(rc, &request, member_on_listed, rc);
+	store_call(rc, &request, member_on_entry_written, rc);
 	g_string_free(record, TRUE);
 	g_free(text);
 }
 
-static void member_post_leave(struct rc *rc)
+static void member_send_leave(struct rc *rc)
 {
 	const struct seam_store *store = &rc->router->seam->store;
 
-	member_post(rc, store->leave_path(), store->make_leave(rc->router->settings.name),
-		    member_on_left);
+	member_call_group(rc, store->leave_path(), store->make_leave(rc->router->settings.name),
+			  member_on_left);
 	rc->left_us = tmr_now();
 }
 
-/* A lead that nobody uses would stay with this host until its place lapses. */
+/* Leaves the group, so that the lead does not stay unused until the membership expires. */
 static void member_leave(struct rc *rc)
 {
 	if (rc->lead.joined_us > 0)
-		member_post_leave(rc);
+		member_send_leave(rc);
 	lead_on_left(&rc->lead);
 }
 
-/* Whether a copy of the store may still have this host in the group. */
-static bool member_has_left_lately(const struct rc *rc)
+/* Returns whether a copy of the store may still name this host as a member of the group. */
+static bool member_has_left_recently(const struct rc *rc)
 {
 	return rc->left_us > 0 && tmr_now() - rc->left_us < tmr_ms(MEMBER_COPY_MS);
 }
 
-static void member_log_failed(const char *event, const struct store_answer *answer)
+static void member_log_failure(const char *event, const struct store_answer *answer)
 {
 	jl_begin(JL_KEEP, event);
 	jl_int("status", answer->status);
@@ -116,16 +133,16 @@
 {
 	(void)ctx;
 	if (answer->status != HTTP_OK)
-		member_log_failed("group_not_left", answer);
+		member_log_failure("group_not_left", answer);
 }
 
-/* Of what all hosts would else do in the same moment. */
-static int64_t member_spread_ms(const struct rc *rc)
+/* Returns an offset for the writes of this host, so that hosts don't write at the same time. */
+static int64_t member_write_offset_ms(const struct rc *rc)
 {
 	return g_str_hash(rc->router->settings.name) % MEMBER_LIST_SPREAD_MS;
 }
 
-static void member_on_listed(void *ctx, const struct store_answer *answer)
+static void member_on_entry_written(void *ctx, const struct store_answer *answer)
 {
 	struct rc *rc = ctx;
 
@@ -134,12 +151,12 @@
 		return;
 	if (!rc->stopping)
 		loop_after(rc->loop, &rc->list_timer,
-			   tmr_ms(MEMBER_LIST_RETRY_MS + member_spread_ms(rc)), member_list_again,
-			   rc);
-	member_log_failed("host_not_listed", answer);
+			   tmr_ms(MEMBER_LIST_RETRY_MS + member_write_offset_ms(rc)),
+			   member_on_list_timer, rc);
+	member_log_failure("host_not_listed", answer);
 }
 
-static bool member_is_listed(const struct rc *rc)
+static bool member_has_entry(const struct rc *rc)
 {
 	const struct router_settings *s = &rc->router->settings;
 	const struct rc_host *own = g_hash_table_lookup(rc->hosts, s->name);
@@ -148,24 +165,24 @@
 	       !rc->list_failed;
 }
 
-static void member_list_again(void *ctx, int64_t now_us)
+static void member_on_list_timer(void *ctx, int64_t now_us)
 {
 	struct rc *rc = ctx;
 
 	(void)now_us;
-	if (!rc->stopping && !member_is_listed(rc))
-		member_list_self(rc, true);
+	if (!rc->stopping && !member_has_entry(rc))
+		member_write_entry(rc, true);
 }
 
-/* The newest generation of the group that is known in this era. */
-static int64_t member_generation(const struct rc *rc)
+/* Returns the latest generation of the group that is known in this era; 0 if none is. */
+static int64_t member_known_generation(const struct rc *rc)
 {
 	if (era_of_fence(rc->lead.newest) != rc->era.now)
 		return 0;
 	return era_generation(rc->lead.newest);
 }
 
-/* Joins the group of hosts, or stays in it; the store says whether this host leads. */
+/* Joins the group or renews the membership. The answer says whether this host is the leader. */
 static void member_join(void *ctx, int64_t now_us)
 {
 	struct rc *rc = ctx;
@@ -175,9 +192,10 @@
 	(void)now_us;
 	if (rc->stopping)
 		return;
-	body = store->make_join(rc->router->settings.name, MEMBER_TTL_MS, member_generation(rc));
+	body = store->make_join(rc->router->settings.name, MEMBER_TTL_MS,
+				member_known_generation(rc));
 	lead_on_join(&rc->lead, tmr_boot_now());
-	rc->join = member_post(rc, store->join_path(), body, member_on_joined);
+	rc->join = member_call_group(rc, store->join_path(), body, member_on_joined);
 }
 
 static void member_on_joined(void *ctx, const struct store_answer *answer)
@@ -214,8 +232,8 @@
 void member_on_return(struct rc *rc)
 {
 	lead_on_return(&rc->lead, tmr_boot_now());
-	if (!rc->candidate && member_has_left_lately(rc))
-		member_post_leave(rc);
+	if (!rc->candidate && member_has_left_recently(rc))
+		member_send_leave(rc);
 	if (!rc->candidate)
 		return;
 	if (rc->join)
@@ -224,7 +242,7 @@
 	loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
 }
 
-/* The clock goes on while the host is suspended. */
+/* Uses a clock that also runs while the machine is suspended, so that a lease ends in time. */
 bool member_may_order(const struct rc *rc)
 {
 	return !rc->stopping && lead_may_order(&rc->lead, tmr_boot_now());
@@ -246,53 +264,57 @@
 	member_leave(rc);
 }
 
-/* In the first start of all there is no list yet; see listing.h. */
-static bool member_is_first(const struct rc *rc)
+/*
+ * Returns whether the system starts for the first time, so the store has no list of hosts yet, and
+ * this host has not registered itself; see reg_delay_us().
+ */
+static bool member_is_first_start(const struct rc *rc)
 {
 	return rc->router->settings.first_start && rc->listed_self_us == 0;
 }
 
-static void member_list_first(struct rc *rc)
+static void member_schedule_first_write(struct rc *rc)
 {
 	int64_t delay_us = reg_delay_us(rc->router->settings.name, g_hash_table_size(rc->hosts),
-				      tmr_now() - rc->start_us);
+					tmr_now() - rc->start_us);
 
-	loop_after(rc->loop, &rc->list_timer, delay_us, member_list_again, rc);
+	loop_after(rc->loop, &rc->list_timer, delay_us, member_on_list_timer, rc);
 }
 
 void member_start(struct rc *rc)
 {
 	lead_init(&rc->lead, tmr_ms(MEMBER_LEASE_MS));
-	if (member_is_first(rc))
-		member_list_first(rc);
+	if (member_is_first_start(rc))
+		member_schedule_first_write(rc);
 }
 
 /*
- * A host that was killed and starts again mostly finds its entry there. One whose entry is missing
- * writes it again: a copy of the store may lack it, and hosts that start later would not know it.
+ * Schedules a write of this host's entry if the list of hosts lacks it. A host that was killed and
+ * starts again usually still has its entry. A copy of the store may lack the entry, and then hosts
+ * that start later would not find this host.
  */
 void member_on_hosts(struct rc *rc)
 {
 	int64_t delay_us = 0;
 
-	if (rc->stopping || member_is_listed(rc))
+	if (rc->stopping || member_has_entry(rc))
 		return;
-	if (member_is_first(rc))
-		member_list_first(rc);
+	if (member_is_first_start(rc))
+		member_schedule_first_write(rc);
 	if (tmr_is_set(&rc->list_timer))
 		return;
 	if (rc->listed_self_us > 0)
-		delay_us = tmr_ms(member_spread_ms(rc));
+		delay_us = tmr_ms(member_write_offset_ms(rc));
 	else
-		delay_us = MAX(rc->start_us + tmr_ms(MEMBER_LIST_FED_MS) - tmr_now(),
-			       tmr_ms(member_spread_ms(rc)));
+		delay_us = MAX(rc->start_us + tmr_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
+			       tmr_ms(member_write_offset_ms(rc)));
 	if (rc->listed_self_us > 0 && rc->listed_self_era == rc->era.now)
-		delay_us += MAX(rc->listed_self_us + tmr_ms(MEMBER_LIST_AGAIN_MS) - tmr_now(), 0);
-	loop_after(rc->loop, &rc->list_timer, delay_us, member_list_again, rc);
+		delay_us += MAX(rc->listed_self_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
+	loop_after(rc->loop, &rc->list_timer, delay_us, member_on_list_timer, rc);
 }
 
 void member_stop(struct rc *rc)
 {
 	member_leave(rc);
-	member_list_self(rc, false);
+	member_write_entry(rc, false);
 }
--- a/router/poll.c
+++ b/router/poll.c
@@ -6,38 +6,46 @@
 #include <string.h>
 
 enum {
-	POLL_CALL_MS = 600, /* what has not answered by then is left out of the round */
-	/* Engines close a connection that is idle for so long, so it is not kept for the next. */
-	POLL_KEEP_MS = 3000,
+	/* Time limit of a request for a report, in milliseconds. */
+	POLL_CALL_MS = 600,
 	/*
-	 * Rounds in a row without an answer after which an engine is taken to be dead, on all
-	 * hosts. While the store is away its list does not shrink: in an outage of 11 s, two dead
-	 * engines that stayed listed rejected 800 requests. One round may miss for a full queue.
+	 * Time after which engines close an idle connection, in milliseconds. If a pass takes
+	 * longer, connections are not kept for the next pass.
 	 */
-	POLL_MISSES = 2,
-	POLL_DEAD_MS = 1500, /* for which that holds beyond the next round, which renews it */
+	POLL_KEEPALIVE_MS = 3000,
+	/*
+	 * Number of successive polls without an answer after which all hosts consider an engine
+	 * dead. Dead engines stay listed while the store is unreachable: in an outage of 11 s, two
+	 * of them rejected 800 requests. A single answer may be missing because of a full queue.
+	 */
+	POLL_MISSES_DEAD = 2,
+	/*
+	 * Time for which an engine is considered dead after the pass that would renew it, in
+	 * milliseconds.
+	 */
+	POLL_DEAD_MS = 1500,
 	HTTP_OK = 200
 };
 
-/* One engine asked in the present round. */
+/* A request for a report in the present round. */
 struct poll_call {
 	struct poll *poll;
-	char *endpoint; /* its incarnation */
-	int64_t born_ms;
+	char *endpoint;	 /* incarnation of the engine */
+	int64_t born_ms; /* start time of that incarnation, Unix time in milliseconds */
 	struct hc_call *call;
 };
 
 struct poll {
 	struct rc *rc;
-	GPtrArray *calls;   /* struct poll_call */
-	GArray *loads;	    /* struct router_load, of the present round; NULL: between rounds */
-	guint asked;	    /* engines in the present round */
-	guint misses;	    /* of the last round that was logged */
-	GHashTable *missed; /* incarnation -> times in a row without an answer */
-	GPtrArray *silent;  /* incarnations that did not answer in the present round */
-	struct pp pass;
-	guint engines; /* in the present pass */
-	int64_t next_us;
+	GPtrArray *calls;      /* struct poll_call, the requests under way */
+	GArray *loads;	       /* struct router_load, from the present round; NULL between rounds */
+	guint asked;	       /* number of engines polled in the present round */
+	guint last_silent;     /* number of silent engines at the end of the previous round */
+	GHashTable *misses;    /* incarnation -> number of successive polls without an answer */
+	GPtrArray *silent;     /* incarnations that did not answer in the present round */
+	struct pass pass;      /* engines still to be polled in the present pass */
+	guint pass_engines;    /* number of engines in the present pass */
+	int64_t next_round_us; /* time at which the next round begins, in microseconds */
 };
 
 static bool poll_on_head(void *ctx, int status, const GPtrArray *headers);
@@ -61,18 +69,18 @@
 
 	poll->rc = rc;
 	poll->calls = g_ptr_array_new_with_free_func(poll_call_free);
-	poll->missed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	poll->misses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	poll->silent = g_ptr_array_new_with_free_func(g_free);
-	pp_init(&poll->pass);
+	pass_init(&poll->pass);
 	return poll;
 }
 
 void poll_free(struct poll *poll)
 {
 	g_ptr_array_unref(poll->calls);
-	g_hash_table_destroy(poll->missed);
+	g_hash_table_destroy(poll->misses);
 	g_ptr_array_unref(poll->silent);
-	pp_finish(&poll->pass);
+	pass_finish(&poll->pass);
 	g_clear_pointer(&poll->loads, g_array_unref);
 	g_free(poll);
 }
@@ -88,7 +96,7 @@
 		.url = url,
 		.connect_ms = POLL_CALL_MS,
 		.total_ms = POLL_CALL_MS,
-		.close = pp_pass_us(poll->engines) > tmr_ms(POLL_KEEP_MS),
+		.close = pass_duration_us(poll->pass_engines) > tmr_ms(POLL_KEEPALIVE_MS),
 	};
 
 	call->poll = poll;
@@ -106,13 +114,13 @@
 	return service && rt_is_layered(service) && rec->layer_to > rec->layer_from;
 }
 
-static gboolean poll_is_gone(gpointer incarnation, gpointer missed, gpointer listed)
+static gboolean poll_is_unlisted(gpointer incarnation, gpointer misses, gpointer listed)
 {
-	(void)missed;
+	(void)misses;
 	return !g_hash_table_contains(listed, incarnation);
 }
 
-/* All engines that are listed now. */
+/* Begins a pass over all engines that are listed now. */
 static void poll_begin_pass(struct poll *poll)
 {
 	GHashTable *listed = ep_incarnations(&poll->rc->endpoints);
@@ -127,14 +135,14 @@
 		if (poll_is_engine(poll->rc, entry->rec))
 			g_ptr_array_add(engines, entry->rec->incarnation);
 	}
-	g_hash_table_foreach_remove(poll->missed, poll_is_gone, listed);
-	poll->engines = engines->len;
-	pp_begin(&poll->pass, engines);
+	g_hash_table_foreach_remove(poll->misses, poll_is_unlisted, listed);
+	poll->pass_engines = engines->len;
+	pass_begin(&poll->pass, engines);
 	g_ptr_array_unref(engines);
 	g_hash_table_destroy(listed);
 }
 
-static const struct ep_rec *poll_listed(const struct poll *poll, const char *incarnation)
+static const struct ep_rec *poll_find_listed(const struct poll *poll, const char *incarnation)
 {
 	char *id = g_strndup(incarnation, (gsize)(strrchr(incarnation, '@') - incarnation));
 	const struct ep_entry *entry = g_hash_table_lookup(poll->rc->endpoints.entries, id);
@@ -147,15 +155,15 @@
 {
 	GPtrArray *round;
 
-	if (pp_is_over(&poll->pass))
+	if (pass_is_over(&poll->pass))
 		poll_begin_pass(poll);
-	round = pp_take(&poll->pass);
+	round = pass_next_round(&poll->pass);
 	poll->loads = loads_new();
 	g_ptr_array_set_size(poll->silent, 0);
 	for (guint i = 0; i < round->len; i++) {
-		const struct ep_rec *rec = poll_listed(poll, round->pdata[i]);
+		const struct ep_rec *rec = poll_find_listed(poll, round->pdata[i]);
 
-		/* One that wants nothing is asked in the next pass after that. */
+		/* An engine that has requested a rest is left out until its rest is over. */
 		if (rec && !heard_rests(poll->rc, rec->incarnation, tmr_now()))
 			poll_ask(poll, rec);
 	}
@@ -163,12 +171,12 @@
 }
 
 /*
- * Where most engines of a round did not answer, this host itself is slow or cut off, and says
- * nothing about them.
+ * Reports engines as dead that have not answered repeatedly. If most engines of a round did not
+ * answer, this host itself is slow or disconnected, so it reports none.
  */
-static void poll_tell_dead(struct poll *poll, guint answered)
+static void poll_post_dead(struct poll *poll, guint answered)
 {
-	int64_t for_ms = POLL_DEAD_MS + pp_pass_us(poll->engines) / TMR_US_PER_MS;
+	int64_t for_ms = POLL_DEAD_MS + pass_duration_us(poll->pass_engines) / TMR_US_PER_MS;
 
 	if (answered * 2 < poll->asked)
 		return;
@@ -176,22 +184,22 @@
 		const char *id = poll->silent->pdata[i];
 		const struct suspect suspect = {id, for_ms, SUSPECT_NO_REPORT, 0};
 
-		if (GPOINTER_TO_INT(g_hash_table_lookup(poll->missed, id)) >= POLL_MISSES)
+		if (GPOINTER_TO_INT(g_hash_table_lookup(poll->misses, id)) >= POLL_MISSES_DEAD)
 			suspect_on_news(poll->rc, &suspect, poll);
 		else
-			pp_ask_again(&poll->pass, id);
+			pass_retry(&poll->pass, id);
 	}
 }
 
-/* A line when the number of silent engines changes. */
+/* Logs the round if the number of silent engines has changed. */
 static void poll_log_round(const struct poll *poll, guint answered)
 {
-	if (poll->misses == g_hash_table_size(poll->missed))
+	if (poll->last_silent == g_hash_table_size(poll->misses))
 		return;
 	jl_begin(JL_KEEP, "reports");
 	jl_int("asked", poll->asked);
 	jl_int("answered", answered);
-	jl_int("silent", g_hash_table_size(poll->missed));
+	jl_int("silent", g_hash_table_size(poll->misses));
 	jl_end();
 }
 
@@ -199,9 +207,9 @@
 {
 	GArray *loads = g_steal_pointer(&poll->loads);
 
-	poll_tell_dead(poll, loads->len);
+	poll_post_dead(poll, loads->len);
 	poll_log_round(poll, loads->len);
-	poll->misses = g_hash_table_size(poll->missed);
+	poll->last_silent = g_hash_table_size(poll->misses);
 	if (loads->len > 0)
 		loads_take_round(poll->rc, loads);
 	else
@@ -209,8 +217,8 @@
 }
 
 /*
- * One reader asks; the others hear of it through the feed. Two that both believe that it is for
- * them cost some calls more.
+ * Only one reader polls the engines; the other hosts receive the loads through the feed. If two
+ * readers poll at the same time, this only costs additional calls.
  */
 void poll_on_tick(struct poll *poll, int64_t now_us)
 {
@@ -221,48 +229,48 @@
 		g_clear_pointer(&poll->loads, g_array_unref);
 		return;
 	}
-	if (now_us < poll->next_us || poll->loads)
+	if (now_us < poll->next_round_us || poll->loads)
 		return;
 	poll_begin(poll);
 	poll->asked = poll->calls->len;
-	poll->next_us = now_us + poll->pass.round_us;
+	poll->next_round_us = now_us + poll->pass.round_us;
 	if (poll->calls->len == 0)
 		poll_end(poll);
 }
 
-/* In eighths, so that not every report is news to the other hosts. */
-static int poll_eighths(const struct seam_report *report)
+/* Returns the used memory in eighths, so that small changes are not sent to the other hosts. */
+static int poll_memory_eighths(const struct seam_report *report)
 {
 	double part = report->kv_total > 0 ? report->kv_used / report->kv_total : 0;
 
 	return (int)(CLAMP(part, 0, 1) * ROUTER_FULL + 0.5);
 }
 
-static void poll_note_miss(struct poll *poll, const char *endpoint)
+static void poll_record_miss(struct poll *poll, const char *endpoint)
 {
-	gpointer missed = g_hash_table_lookup(poll->missed, endpoint);
+	gpointer misses = g_hash_table_lookup(poll->misses, endpoint);
 
-	g_hash_table_replace(poll->missed, g_strdup(endpoint),
-			     GINT_TO_POINTER(GPOINTER_TO_INT(missed) + 1));
+	g_hash_table_replace(poll->misses, g_strdup(endpoint),
+			     GINT_TO_POINTER(GPOINTER_TO_INT(misses) + 1));
 	g_ptr_array_add(poll->silent, g_strdup(endpoint));
 }
 
-/* Takes the report of an engine that is as it is listed. */
-static void poll_take(struct poll *poll, const struct poll_call *call,
-		      const struct seam_report *report)
+/* Stores the report of an engine whose listed incarnation is still running. */
+static void poll_store_report(struct poll *poll, const struct poll_call *call,
+			      const struct seam_report *report)
 {
 	const struct router_load load = {g_strdup(call->endpoint), report->pace,
-					 poll_eighths(report)};
+					 poll_memory_eighths(report)};
 
 	g_array_append_val(poll->loads, load);
-	g_hash_table_remove(poll->missed, call->endpoint);
+	g_hash_table_remove(poll->misses, call->endpoint);
 }
 
 /*
- * The engine has started again since it was listed: what the list says of its layers is of an
- * incarnation that is gone. Without this, pipelines would go through it until its next heartbeat.
+ * Reports that the engine has restarted since it was listed, so the listed layers are those of an
+ * earlier incarnation. Without this, pipelines would use the engine until its next heartbeat.
  */
-static void poll_tell_restarted(struct poll *poll, const struct poll_call *call)
+static void poll_post_restarted(struct poll *poll, const struct poll_call *call)
 {
 	const struct suspect suspect = {call->endpoint, POLL_DEAD_MS, SUSPECT_RESTARTED, 0};
 
@@ -289,13 +297,13 @@
 	if (status == HTTP_OK &&
 	    poll->rc->router->seam->engine.parse_report(str_make(body, len), &report) == 0) {
 		if (report.born_ms != 0 && report.born_ms > call->born_ms)
-			poll_tell_restarted(poll, call);
+			poll_post_restarted(poll, call);
 		else
-			poll_take(poll, call, &report);
+			poll_store_report(poll, call, &report);
 		seam_report_finish(&report);
 	} else {
 		met_add(met_counter("bg_reports_missed_total", ""), 1);
-		poll_note_miss(poll, call->endpoint);
+		poll_record_miss(poll, call->endpoint);
 	}
 	g_ptr_array_remove_fast(poll->calls, call);
 	if (poll->calls->len == 0)
--- a/router/poll_pass.h
+++ b/router/poll_pass.h
@@ -8,38 +8,41 @@
 G_BEGIN_DECLS
 
 /*
- * A pass over all engines, each asked once for its report, in rounds of at most a second. Asking
- * all at once held 2,910 connections in one moment; and since the other readers heard of no round
- * for the 19 s that it took, they asked all engines, too. Pure.
+ * A pass over all engines: each engine is polled once for its report, in rounds of at most a
+ * second. Polling all at once opened 2,910 connections at the same time and took 19 s. During that
+ * time the other readers received no round number, so they polled all engines, too. No I/O.
  */
 enum {
-	/* Reports a second at most: one costs some 250 us, so these 4 % of a core. */
-	PP_PER_S = 150
+	/*
+	 * Most reports requested in a second. A report takes about 250 us of processor time, so
+	 * these take 4 % of a core.
+	 */
+	PASS_REPORTS_PER_S = 150
 };
 
-struct pp {
-	GQueue due; /* incarnations that are still to be asked, in this order; owned */
-	guint per_round;
-	int64_t round_us; /* between the beginnings of two rounds */
+struct pass {
+	GQueue due;	  /* incarnations still to be polled, the next one first; owned */
+	guint per_round;  /* number of engines to poll in a round */
+	int64_t round_us; /* time between the beginnings of two rounds, in microseconds */
 };
 
-void pp_init(struct pp *pp);
-void pp_finish(struct pp *pp);
+void pass_init(struct pass *pass);
+void pass_finish(struct pass *pass);
 
-/* A pass over these incarnations (char *, copied) begins. */
-void pp_begin(struct pp *pp, const GPtrArray *engines);
+/* Begins a pass over these incarnations (char *, copied). */
+void pass_begin(struct pass *pass, const GPtrArray *engines);
 
-/* Whether all have been asked. */
-bool pp_is_over(const struct pp *pp);
+/* Returns whether every engine of the pass has been polled. */
+bool pass_is_over(const struct pass *pass);
 
-/* Takes those of the next round: incarnations, to be freed with the array. */
-GPtrArray *pp_take(struct pp *pp);
+/* Removes the next round from the pass. Returns its incarnations, to be freed with the array. */
+GPtrArray *pass_next_round(struct pass *pass);
 
-/* One that did not answer is asked in the next round once more. */
-void pp_ask_again(struct pp *pp, const char *engine);
+/* Adds an engine that did not answer to the next round, unless the pass is over. */
+void pass_retry(struct pass *pass, const char *engine);
 
-/* How long a pass over so many takes. */
-int64_t pp_pass_us(guint engines);
+/* Returns the duration of a pass over that many engines, in microseconds. */
+int64_t pass_duration_us(guint engines);
 
 G_END_DECLS
 
--- a/router/poll_pass_test.cc
+++ b/router/poll_pass_test.cc
@@ -14,11 +14,11 @@
       protected:
 	PollPassTest()
 	{
-		pp_init(&pass_);
+		pass_init(&pass_);
 	}
 	~PollPassTest() override
 	{
-		pp_finish(&pass_);
+		pass_finish(&pass_);
 	}
 	void Begin(int engines)
 	{
@@ -26,24 +26,24 @@
 
 		for (int i = 0; i < engines; i++)
 			g_ptr_array_add(list, g_strdup_printf("e%d@0", i));
-		pp_begin(&pass_, list);
+		pass_begin(&pass_, list);
 		g_ptr_array_unref(list);
 	}
-	std::set<std::string> Take()
+	std::set<std::string> NextRound()
 	{
-		GPtrArray *round = pp_take(&pass_);
-		std::set<std::string> taken;
+		GPtrArray *round = pass_next_round(&pass_);
+		std::set<std::string> polled;
 
 		for (guint i = 0; i < round->len; i++)
-			taken.insert((const char *)round->pdata[i]);
+			polled.insert((const char *)round->pdata[i]);
 		g_ptr_array_unref(round);
-		return taken;
+		return polled;
 	}
-	pp pass_;
+	pass pass_;
 };
 
-/* The load: each engine of 30 to 1,968 hosts, never more at once than in a second. */
-TEST_F(PollPassTest, EachIsAskedOnceAPass)
+/* The engines of 30 to 1,968 hosts; no round has more engines than may be polled in a second. */
+TEST_F(PollPassTest, EachEngineIsPolledOncePerPass)
 {
 	for (int engines : {0, 1, 33, 93, 150, 151, 900, 2910, 5820}) {
 		std::set<std::string> all;
@@ -52,30 +52,30 @@
 
 		Begin(engines);
 		do {
-			std::set<std::string> round = Take();
+			std::set<std::string> round = NextRound();
 
-			EXPECT_LE(round.size(), (size_t)PP_PER_S);
-			EXPECT_LE(pass_.round_us, SEC) << "the other readers hear of each round";
+			EXPECT_LE(round.size(), (size_t)PASS_REPORTS_PER_S);
+			EXPECT_LE(pass_.round_us, SEC) << "the other readers receive each round";
 			asked += round.size();
 			all.insert(round.begin(), round.end());
 			took += pass_.round_us;
-		} while (!pp_is_over(&pass_));
+		} while (!pass_is_over(&pass_));
 		EXPECT_EQ(all.size(), (size_t)engines);
 		EXPECT_EQ(asked, (size_t)engines);
-		EXPECT_NEAR((double)took, (double)pp_pass_us((guint)engines), 1000);
+		EXPECT_NEAR((double)took, (double)pass_duration_us((guint)engines), 1000);
 	}
 }
 
-TEST_F(PollPassTest, OneThatDidNotAnswerComesFirst)
+TEST_F(PollPassTest, AnEngineThatDidNotAnswerIsPolledFirst)
 {
 	Begin(300);
-	EXPECT_EQ(Take().count("e7@0"), 1U);
-	pp_ask_again(&pass_, "e7@0");
-	EXPECT_EQ(Take().count("e7@0"), 1U);
-	while (!pp_is_over(&pass_))
-		Take();
-	pp_ask_again(&pass_, "e7@0");
-	EXPECT_TRUE(pp_is_over(&pass_)) << "it is asked at the beginning of the next pass, too";
+	EXPECT_EQ(NextRound().count("e7@0"), 1U);
+	pass_retry(&pass_, "e7@0");
+	EXPECT_EQ(NextRound().count("e7@0"), 1U);
+	while (!pass_is_over(&pass_))
+		NextRound();
+	pass_retry(&pass_, "e7@0");
+	EXPECT_TRUE(pass_is_over(&pass_)) << "it is asked at the beginning of the next pass, too";
 }
 
 } // namespace
--- a/router/recall.c
+++ b/router/recall.c
@@ -25,7 +25,7 @@
 	struct fp fp;		  /* packs the list in the format of a feed */
 	guint saved_version;	  /* version of the list that was last saved; 0: none */
 	int64_t next_write_us;	  /* earliest time of the next write, in microseconds */
-	bool first_list_done;	  /* the first list was read; the saved list is not read after it */
+	bool first_list_done;	  /* the first list was read; no read is started after that */
 	struct store_call *write; /* the write under way, or NULL */
 	struct store_call *read;  /* the read under way, or NULL */
 };
--- a/router/state.c
+++ b/router/state.c
@@ -7,18 +7,19 @@
 #include <string.h>
 
 /*
- * What a host believes, for operators. Each thread writes down what it knows itself: the control
- * thread begins, the traffic thread adds its part and answers.
+ * A request of an operator for the state of this host, or for clearing a quarantined request. Each
+ * thread adds the part of the state that it maintains: first the control thread, then the traffic
+ * thread, which sends the answer.
  */
 struct state {
 	struct router *router;
-	struct hd_call *call;
-	json_t *json;
-	char *content; /* that is to be cleared; owned */
+	struct hd_call *call; /* the HTTP request to answer */
+	json_t *json;	      /* the state as far as it has been collected */
+	char *content;	      /* digest of the quarantined request to clear; owned */
 };
 
-static void state_from_control(void *ctx);
-static void state_from_traffic(void *ctx);
+static void state_add_control_part(void *ctx);
+static void state_add_traffic_part(void *ctx);
 
 static const char *const state_names[] = {
 	[EP_READY] = "ready",
@@ -31,7 +32,7 @@
 
 	state->router = router;
 	state->call = call;
-	loop_post(router->rc->loop, state_from_control, state);
+	loop_post(router->rc->loop, state_add_control_part, state);
 }
 
 static json_t *state_hosts(const struct rc *rc)
@@ -51,13 +52,16 @@
 	return list;
 }
 
-/* Since the store was last reached, by this host or by the one that feeds it; -1: never. */
+/*
+ * Returns the time since this host or its feeder last reached the store, in milliseconds; -1 if
+ * neither ever did.
+ */
 static int64_t state_age_ms(const struct rc *rc, int64_t now_us)
 {
 	return rc->fresh_us > 0 ? (now_us - rc->fresh_us) / TMR_US_PER_MS : -1;
 }
 
-/* Which one this host runs, since when, and how it came by it. */
+/* Describes a configuration or settings in force: digest, since when, and where they came from. */
 static json_t *state_origin(const struct router_origin *origin, json_int_t version)
 {
 	char digest[17];
@@ -91,7 +95,7 @@
 	return list;
 }
 
-static void state_put_origins(json_t *json, const struct rc *rc)
+static void state_add_origins(json_t *json, const struct rc *rc)
 {
 	const struct router *router = rc->router;
 
@@ -103,7 +107,7 @@
 			  router->settings_waiting ? router->settings_waiting : ""));
 }
 
-static void state_from_control(void *ctx)
+static void state_add_control_part(void *ctx)
 {
 	struct state *state = ctx;
 	const struct rc *rc = state->router->rc;
@@ -118,13 +122,13 @@
 		member_may_order(rc), "noted", recall_is_noted(rc->recall), "feeder",
 		follow_feeder(rc->follow), "fed", follow_is_fed(rc->follow), "store_age_ms",
 		(json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
-	state_put_origins(state->json, rc);
+	state_add_origins(state->json, rc);
 	json_object_set_new(state->json, "quarantine", state_quarantine(rc));
 	json_object_set_new(state->json, "limits", limits_state(rc->limits));
-	loop_post(&state->router->tf->loop, state_from_traffic, state);
+	loop_post(&state->router->tf->loop, state_add_traffic_part, state);
 }
 
-static int64_t state_left_ms(int64_t until_us, int64_t now_us)
+static int64_t state_remaining_ms(int64_t until_us, int64_t now_us)
 {
 	return MAX(until_us - now_us, 0) / TMR_US_PER_MS;
 }
@@ -140,13 +144,13 @@
 			 "state", state_names[rec->state], "from", rec->layer_from, "to",
 			 rec->layer_to, "in_flight", ep->in_flight, "pace",
 			 ep->load_us > 0 ? ep->pace : 1.0, "full", ep->full, "doubted_ms",
-			 (json_int_t)state_left_ms(ep->doubt.until_us, now_us), "suspected_ms",
-			 (json_int_t)state_left_ms(ep->suspect_us, now_us), "rest_ms",
-			 (json_int_t)state_left_ms(ep->rest.until_us, now_us), "permits",
+			 (json_int_t)state_remaining_ms(ep->doubt.until_us, now_us), "suspected_ms",
+			 (json_int_t)state_remaining_ms(ep->suspect_us, now_us), "rest_ms",
+			 (json_int_t)state_remaining_ms(ep->rest.until_us, now_us), "permits",
 			 ep->limit.permits, "permits_used", (json_int_t)ep->limit_used);
 }
 
-/* Endpoints that want nothing of this host, until when, and whose answer said so. */
+/* Lists the endpoints that asked this host to send nothing for a while, and the remaining time. */
 static json_t *state_rests(const struct tf *tf, int64_t now_us)
 {
 	json_t *list = json_array();
@@ -156,7 +160,7 @@
 	g_hash_table_iter_init(&iter, tf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct tf_ep *ep = value;
-		int64_t left_ms = state_left_ms(ep->rest.until_us, now_us);
+		int64_t left_ms = state_remaining_ms(ep->rest.until_us, now_us);
 
 		if (left_ms > 0)
 			json_array_append_new(
@@ -212,7 +216,7 @@
 	return list;
 }
 
-static void state_from_traffic(void *ctx)
+static void state_add_traffic_part(void *ctx)
 {
 	struct state *state = ctx;
 	const struct tf *tf = state->router->tf;
@@ -235,7 +239,7 @@
 	g_free(state);
 }
 
-static void state_clear(void *ctx)
+static void state_clear_on_control(void *ctx)
 {
 	struct state *state = ctx;
 	char *content = state->content;
@@ -257,7 +261,7 @@
 	state->router = router;
 	state->call = call;
 	state->content = g_strdup(content ? content : "");
-	loop_post(router->rc->loop, state_clear, state);
+	loop_post(router->rc->loop, state_clear_on_control, state);
 }
 
 void state_gauges(const struct rc *rc, int64_t now_us)
