--- a/router/crash.c
+++ b/router/crash.c
@@ -11,30 +11,36 @@
 #include <string.h>
 
 enum {
-	/* An endpoint that lives answers within some ms; ended ones refuse within one round trip.
+	/*
+	 * Time limit of a probe, in milliseconds. A live endpoint answers within some milliseconds;
+	 * the host of an ended one refuses the connection within one round trip.
 	 */
 	CRASH_CALL_MS = 250,
-	/* Between two tries, where the first one told nothing: the endpoint's queue was full. */
-	CRASH_AGAIN_MS = 100,
+	/* Pause after an unclear probe, in milliseconds; the endpoint's queue may be full. */
+	CRASH_RETRY_MS = 100,
+	/* Most probes to send while the result is unclear. */
 	CRASH_TRIES = 3,
 	/*
-	 * How often one that seems to have ended is asked once more, until it tells that it has
-	 * started again, or that it lives; each pause is twice as long, 9 s in all.
+	 * Number of further probes of an endpoint that seems to have ended, until a report shows
+	 * that it has restarted or that it is still running. The first pause is CRASH_CONFIRM_MS
+	 * milliseconds, each further one twice as long, 9 s in all.
+	 */
+	CRASH_CONFIRM_TRIES = 5,
+	CRASH_CONFIRM_MS = 300,
+	/*
+	 * Time for which an endpoint that has ended is not chosen, in milliseconds. After that, its
+	 * missing reports show that it has ended.
 	 */
-	CRASH_PROOFS = 5,
-	CRASH_PROOF_MS = 300,
-	/* For which one that has ended is passed over; missed reports tell of it from then on. */
 	CRASH_ENDED_MS = 3000,
 	HTTP_OK = 200
 };
 
 enum crash_finding {
-	CRASH_ALIVE,
-	CRASH_LIVES,	/* proved: the same incarnation goes on */
-	CRASH_ENDED,	/* it takes no connections, or another incarnation stands there */
-	CRASH_VANISHED, /* it takes no connections; an endpoint that is very busy may do that, too
-			 */
-	CRASH_UNCLEAR	/* this host may be the one that is cut off, or the endpoint is busy */
+	CRASH_ALIVE,	/* the endpoint answers or sends data */
+	CRASH_LIVES,	/* confirmed: the same incarnation is still running */
+	CRASH_ENDED,	/* connections are refused, or another incarnation has the address */
+	CRASH_VANISHED, /* no connection succeeds; a very busy endpoint may cause that, too */
+	CRASH_UNCLEAR	/* this host may be disconnected, or the endpoint is busy */
 };
 
 static const char *const crash_findings[] = {
@@ -42,26 +48,26 @@
 	[CRASH_VANISHED] = "vanished", [CRASH_UNCLEAR] = "unclear",
 };
 
-/* An endpoint at which attempts were cut, being asked whether it lives. */
+/* A check whether an endpoint at which attempts were cut has ended. */
 struct crash_check {
 	struct tf *tf;
-	struct tf_ep *ep; /* holds a reference */
-	GArray *cuts;	  /* struct crash_cut */
-	struct tmr timer;
-	int64_t began_us;
-	int tries;
-	int proofs;   /* tries after it had seemed to end */
-	bool counted; /* what was cut counts, as far as that goes without a proof */
-	guint told;   /* cuts that were counted */
+	struct tf_ep *ep;  /* the endpoint; the check holds a reference */
+	GArray *cuts;	   /* struct crash_cut, the attempts that were cut */
+	struct tmr timer;  /* starts the next probe */
+	int64_t began_us;  /* time at which the last probe began, in microseconds */
+	int tries;	   /* number of probes begun */
+	int confirm_tries; /* number of probes scheduled after the endpoint seemed to have ended */
+	bool counted;	   /* the endpoint seemed to have ended, so its cut attempts were counted */
+	guint n_counted;   /* number of cut attempts that were counted */
 };
 
-static void crash_ask(struct crash_check *check);
-static void crash_on_again(void *ctx, int64_t now_us);
+static void crash_probe(struct crash_check *check);
+static void crash_on_timer(void *ctx, int64_t now_us);
 static bool crash_on_head(void *ctx, int status, const GPtrArray *headers);
-static void crash_on_checked(void *ctx, int status, int err, bool sent, const char *body,
-			     size_t len);
+static void crash_on_probed(void *ctx, int status, int err, bool sent, const char *body,
+			    size_t len);
 
-static const struct hc_ops crash_ops = {.on_head = crash_on_head, .on_done = crash_on_checked};
+static const struct hc_ops crash_ops = {.on_head = crash_on_head, .on_done = crash_on_probed};
 
 static void crash_cut_clear(gpointer data)
 {
@@ -91,8 +97,8 @@
 	g_free(check);
 }
 
-/* What the endpoint answers without running anything: its report, or its health. */
-static const char *crash_path(const struct crash_check *check)
+/* Returns the path of the probe, which does not run a request: the report or the health check. */
+static const char *crash_probe_path(const struct crash_check *check)
 {
 	const struct tf *tf = check->tf;
 	const struct rt_service *service =
@@ -103,14 +109,14 @@
 	return service->health_path ? service->health_path : "/";
 }
 
-static void crash_ask(struct crash_check *check)
+static void crash_probe(struct crash_check *check)
 {
 	struct hc_request request = {.method = "GET",
 				     .connect_ms = CRASH_CALL_MS,
 				     .total_ms = CRASH_CALL_MS,
 				     .fresh = true,
 				     .close = true};
-	char *url = g_strdup_printf("http://%s%s", check->ep->rec->addr, crash_path(check));
+	char *url = g_strdup_printf("http://%s%s", check->ep->rec->addr, crash_probe_path(check));
 
 	check->began_us = tmr_now();
 	check->tries++;
@@ -119,7 +125,7 @@
 	g_free(url);
 }
 
-/* The start that the report tells; 0: none. */
+/* Returns the start time from a report, Unix time in milliseconds; 0 if it can't be read. */
 static int64_t crash_born_ms(const struct crash_check *check, struct str body)
 {
 	struct seam_report report;
@@ -132,7 +138,7 @@
 	return born_ms;
 }
 
-/* Whether the report is of a later start than the one at which the attempts were cut. */
+/* Returns whether the report is from a later incarnation than the listed one. */
 static bool crash_has_restarted(const struct crash_check *check, struct str body)
 {
 	int64_t known_ms = check->ep->rec->born_ms;
@@ -141,11 +147,12 @@
 }
 
 /*
- * Whether one that seemed to have ended goes on. A cut of the network refuses connections as an
- * ended process does; five such cuts, each when the same request had just begun, had it refused for
- * ten minutes. The start that it tells is the same then.
+ * Returns whether the same incarnation still runs although it seemed to have ended; its report then
+ * has the same start time. A network failure can refuse connections as an ended process does: after
+ * five such failures, each when the same request had just begun, that request was refused for ten
+ * minutes.
  */
-static bool crash_lives(const struct crash_check *check, int status, struct str body)
+static bool crash_is_same_incarnation(const struct crash_check *check, int status, struct str body)
 {
 	int64_t known_ms = check->ep->rec->born_ms;
 
@@ -153,21 +160,22 @@
 	       crash_born_ms(check, body) == known_ms;
 }
 
-/* Another endpoint, or its own next incarnation, stands at its address. */
+/* Returns whether another endpoint, or a later incarnation of this one, has its address. */
 static bool crash_is_replaced(const struct tf *tf, const struct tf_ep *ep)
 {
 	return !ep->listed && g_hash_table_contains(tf->by_addr, ep->rec->addr);
 }
 
 /*
- * Only a refused connection shows by itself that the process has ended. Silence does only where
- * this host has heard others meanwhile. A connection that is closed may be one too many for a busy
- * endpoint; several in a row, and nothing else from there, are its end behind a proxy.
+ * Evaluates the result of a probe. Only a refused connection shows by itself that the process has
+ * ended. A timeout shows it only if this host has received data from other endpoints meanwhile. A
+ * connection that is closed may exceed the limit of a busy endpoint; if several probes in a row are
+ * closed and the endpoint sends nothing else, it has ended behind a proxy.
  */
-static enum crash_finding crash_find(const struct crash_check *check, int status, int err,
-				     struct str body)
+static enum crash_finding crash_evaluate(const struct crash_check *check, int status, int err,
+					 struct str body)
 {
-	if (crash_lives(check, status, body))
+	if (crash_is_same_incarnation(check, status, body))
 		return CRASH_LIVES;
 	if (check->ep->progress_us > check->began_us)
 		return CRASH_ALIVE;
@@ -192,11 +200,11 @@
 }
 
 /*
- * A busy endpoint resets connections that are too many for it, and a request with them that it has
- * never begun. So what may have been waiting there is counted only where the end is proved, and
- * what had just been sent counts less until then.
+ * Drops attempts that may have been waiting, and marks the others as unconfirmed, so that attempts
+ * that had just been sent count less. A busy endpoint resets excess connections, also those of
+ * requests that it has never begun.
  */
-static void crash_weigh_unproved(struct crash_check *check)
+static void crash_mark_unproved(struct crash_check *check)
 {
 	for (guint i = check->cuts->len; i > 0; i--) {
 		struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i - 1);
@@ -208,7 +216,7 @@
 	}
 }
 
-static guint crash_count(const struct crash_check *check, enum crash_progress progress)
+static guint crash_count_progress(const struct crash_check *check, enum crash_progress progress)
 {
 	guint n = 0;
 
@@ -225,10 +233,10 @@
 	jl_str("finding", crash_findings[finding]);
 	jl_str("error", err < 0 ? base_strerror(err) : NULL);
 	jl_int("tries", check->tries);
-	jl_int("waiting", crash_count(check, CRASH_WAITING));
-	jl_int("sent", crash_count(check, CRASH_SENT));
-	jl_int("begun", crash_count(check, CRASH_BEGUN));
-	jl_int("running", crash_count(check, CRASH_RUNNING));
+	jl_int("waiting", crash_count_progress(check, CRASH_WAITING));
+	jl_int("sent", crash_count_progress(check, CRASH_SENT));
+	jl_int("begun", crash_count_progress(check, CRASH_BEGUN));
+	jl_int("running", crash_count_progress(check, CRASH_RUNNING));
 	jl_end();
 }
 
@@ -237,7 +245,7 @@
 	return cut->progress == CRASH_BEGUN || cut->progress == CRASH_SENT;
 }
 
-static void crash_log_begun(const struct crash_check *check)
+static void crash_log_suspects(const struct crash_check *check)
 {
 	for (guint i = 0; i < check->cuts->len; i++) {
 		const struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i);
@@ -255,77 +263,80 @@
 	}
 }
 
-static void crash_ask_in(struct crash_check *check, int64_t delay_ms)
+static void crash_probe_later(struct crash_check *check, int64_t delay_ms)
 {
-	loop_after(&check->tf->loop, &check->timer, tmr_ms(delay_ms), crash_on_again, check);
+	loop_after(&check->tf->loop, &check->timer, tmr_ms(delay_ms), crash_on_timer, check);
 }
 
-/* One that wants rest is asked once, and then when the rest is over. */
-static void crash_on_again(void *ctx, int64_t now_us)
+/* Sends the next probe. If the endpoint has requested a rest, waits until that is over. */
+static void crash_on_timer(void *ctx, int64_t now_us)
 {
 	struct crash_check *check = ctx;
 
 	if (tf_rest_may_call(check->ep))
-		crash_ask(check);
+		crash_probe(check);
 	else
-		crash_ask_in(check, (check->ep->rest.until_us - now_us) / TMR_US_PER_MS + 1);
+		crash_probe_later(check, (check->ep->rest.until_us - now_us) / TMR_US_PER_MS + 1);
 }
 
-/* The endpoint has ended, or so it seems: what was cut there counts. */
+/* The endpoint has ended or seems to have ended: counts the cut attempts as crashes. */
 static void crash_count_cuts(struct crash_check *check, enum crash_finding finding)
 {
 	if (finding == CRASH_VANISHED)
-		crash_weigh_unproved(check);
+		crash_mark_unproved(check);
 	met_add(met_counter("bg_endpoints_ended_total", ""), 1);
-	crash_log_begun(check);
+	crash_log_suspects(check);
 	tf_quar_crashed(check->tf, check->ep, check->cuts);
 	check->counted = true;
-	check->told = check->cuts->len;
+	check->n_counted = check->cuts->len;
 }
 
 /*
- * It has ended, or has again: what was cut since counts, and what had just been sent in full. What
- * was counted before is not counted once more: an operator may have cleared it meanwhile.
+ * It is confirmed that the endpoint has ended, or it has ended again: counts the attempts that were
+ * cut since, and counts unconfirmed attempts in full. Other attempts that were counted before are
+ * not counted again, because an operator may have cleared their quarantine meanwhile.
  */
-static void crash_prove(struct crash_check *check)
+static void crash_confirm(struct crash_check *check)
 {
-	GArray *news = g_array_new(FALSE, FALSE, sizeof(struct crash_cut));
+	GArray *confirmed = g_array_new(FALSE, FALSE, sizeof(struct crash_cut));
 
 	for (guint i = 0; i < check->cuts->len; i++) {
 		struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i);
 
-		if (i < check->told && !cut->unproved)
+		if (i < check->n_counted && !cut->unproved)
 			continue;
 		cut->unproved = false;
-		g_array_append_val(news, *cut);
+		g_array_append_val(confirmed, *cut);
 	}
-	check->told = check->cuts->len;
-	if (news->len > 0)
-		tf_quar_crashed(check->tf, check->ep, news);
-	g_array_unref(news);
+	check->n_counted = check->cuts->len;
+	if (confirmed->len > 0)
+		tf_quar_crashed(check->tf, check->ep, confirmed);
+	g_array_unref(confirmed);
 }
 
-/* Another incarnation stands at its address, or its entry has gone with it. */
-static bool crash_is_over(const struct crash_check *check, int status, enum crash_finding finding)
+/* Returns whether the result is certain: the endpoint lives, or was replaced or removed. */
+static bool crash_is_certain(const struct crash_check *check, int status,
+			     enum crash_finding finding)
 {
 	return finding == CRASH_LIVES || !check->ep->listed ||
 	       (finding == CRASH_ENDED && status > 0);
 }
 
-/* One that seemed to end is looked after until it is certain, or for some seconds. */
-static void crash_follow(struct crash_check *check, int status, enum crash_finding finding)
+/* Schedules the next probe of an endpoint that seems to have ended, or ends the check. */
+static void crash_continue_check(struct crash_check *check, int status, enum crash_finding finding)
 {
-	if (crash_is_over(check, status, finding) || check->proofs == CRASH_PROOFS)
+	if (crash_is_certain(check, status, finding) || check->confirm_tries == CRASH_CONFIRM_TRIES)
 		crash_check_free(check);
 	else
-		crash_ask_in(check, CRASH_PROOF_MS << check->proofs++);
+		crash_probe_later(check, CRASH_CONFIRM_MS << check->confirm_tries++);
 }
 
 /*
- * The placer hears it from here a second or two before reports are missed. When the last endpoints
- * of a range end together, nothing is served until others have loaded it.
+ * Reports the endpoint as ended to both threads. The placer learns of it one or two seconds before
+ * reports are missing. That matters when the last endpoints that hold a range of layers end
+ * together: no request is served until other endpoints have loaded that range.
  */
-static void crash_tell_ended(struct crash_check *check)
+static void crash_report_ended(struct crash_check *check)
 {
 	const char *endpoint = check->ep->rec->incarnation;
 
@@ -333,15 +344,15 @@
 	suspect_post(check->tf->router->rc, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
 }
 
-/* It had seemed to end before. */
-static void crash_on_checked_again(struct crash_check *check, int status,
-				   enum crash_finding finding)
+/* Handles a further probe of an endpoint that seemed to have ended. */
+static void crash_on_confirm_probed(struct crash_check *check, int status,
+				    enum crash_finding finding)
 {
 	if (finding == CRASH_ENDED)
-		crash_prove(check);
+		crash_confirm(check);
 	if (finding == CRASH_LIVES)
 		tf_quar_lives(check->tf, check->ep);
-	crash_follow(check, status, finding);
+	crash_continue_check(check, status, finding);
 }
 
 static bool crash_on_head(void *ctx, int status, const GPtrArray *headers)
@@ -352,34 +363,33 @@
 	return true;
 }
 
-static void crash_on_checked(void *ctx, int status, int err, bool sent, const char *body,
-			     size_t len)
+static void crash_on_probed(void *ctx, int status, int err, bool sent, const char *body, size_t len)
 {
 	struct crash_check *check = ctx;
-	enum crash_finding finding = crash_find(check, status, err, str_make(body, len));
+	enum crash_finding finding = crash_evaluate(check, status, err, str_make(body, len));
 
 	(void)sent;
 	if (check->counted) {
-		crash_on_checked_again(check, status, finding);
+		crash_on_confirm_probed(check, status, finding);
 		return;
 	}
 	if (finding == CRASH_UNCLEAR && check->tries < CRASH_TRIES) {
-		crash_ask_in(check, CRASH_AGAIN_MS);
+		crash_probe_later(check, CRASH_RETRY_MS);
 		return;
 	}
 	crash_log(check, finding, err);
 	if (finding == CRASH_ENDED)
-		crash_tell_ended(check);
+		crash_report_ended(check);
 	if (!crash_is_end(finding)) {
 		crash_check_free(check);
 		return;
 	}
 	crash_count_cuts(check, finding);
-	crash_follow(check, status, finding);
+	crash_continue_check(check, status, finding);
 }
 
-/* One that is leaving ends on its own account; one that is replaced at its address has ended. */
-static bool crash_is_planned(const struct tf *tf, const struct tf_ep *ep)
+/* Returns whether the end is planned: the endpoint leaves, or is removed without a successor. */
+static bool crash_is_planned_end(const struct tf *tf, const struct tf_ep *ep)
 {
 	return ep->rec->state != EP_READY || (!ep->listed && !crash_is_replaced(tf, ep));
 }
@@ -388,13 +398,13 @@
 {
 	struct crash_cut copy = *cut;
 
-	if (crash_is_planned(tf, ep))
+	if (crash_is_planned_end(tf, ep))
 		return;
 	copy.account = g_strdup(cut->account);
 	copy.id = g_strdup(cut->id);
 	if (!ep->crash) {
 		ep->crash = crash_check_new(tf, ep);
-		crash_on_again(ep->crash, tmr_now());
+		crash_on_timer(ep->crash, tmr_now());
 	}
 	g_array_append_val(ep->crash->cuts, copy);
 }
--- a/router/crash.h
+++ b/router/crash.h
@@ -6,34 +6,33 @@
 #include <glib.h>
 
 /*
- * Which requests were under way at an endpoint when it ended. An attempt that breaks off may have
- * lost its answer only; whether its endpoint has ended is seen by asking the endpoint itself. Part
- * of the traffic thread.
+ * Finds out which requests were under way at an endpoint when its process ended. A cut attempt, one
+ * whose answer breaks off, may have lost only its connection; to learn whether the endpoint has
+ * ended, this host sends a probe to the endpoint. Runs in the traffic thread.
  */
 struct tf;
 struct tf_ep;
 struct crash_check;
 
-/* How far an attempt had come when it was cut. */
+/* Progress of an attempt at the time when it was cut. */
 enum crash_progress {
-	CRASH_WAITING, /* nothing was heard of it for long: it was waiting in the endpoint's queue
-			*/
-	CRASH_SENT,    /* nothing was heard of it, but it had just been sent */
-	CRASH_BEGUN,   /* it had just begun, and brought little of its answer or nothing */
-	CRASH_RUNNING  /* it had gone on for a while */
+	CRASH_WAITING, /* sent some time ago, no answer yet: waiting in the endpoint's queue */
+	CRASH_SENT,    /* just sent, no answer yet */
+	CRASH_BEGUN,   /* just begun, with little or nothing of its answer received */
+	CRASH_RUNNING  /* its answer had been received for a while */
 };
 
 /* An attempt that was cut. */
 struct crash_cut {
-	struct quar_key key;
-	char *account; /* owned; "": none */
-	char *id;      /* owned; of the request */
+	struct quar_key key; /* digest of client account, target and body */
+	char *account;	     /* client account; "" if there is none; owned */
+	char *id;	     /* id of the request; owned */
 	enum crash_progress progress;
-	int64_t lasted_us; /* from the head of its answer to the newest part */
-	bool unproved;	   /* the endpoint may only have been busy */
+	int64_t lasted_us; /* time from the head of the answer to its last part, in microseconds */
+	bool unproved;	   /* not confirmed that the endpoint has ended; it may only be busy */
 };
 
-/* An attempt of a request was cut at that endpoint; texts are copied. */
+/* Handles an attempt that was cut at that endpoint. The texts are copied. */
 void crash_on_cut(struct tf *tf, struct tf_ep *ep, const struct crash_cut *cut);
 
 #endif
--- a/router/placer.c
+++ b/router/placer.c
@@ -8,30 +8,35 @@
 
 enum {
 	/*
-	 * Endpoints register over some seconds after a start. A plan made from the first ones would
-	 * be worse than one made from all; so the placer waits until none has come for this long.
+	 * Time without a new endpoint after which the first plan is made, in microseconds.
+	 * Endpoints register over some seconds after a start, and a plan for the first of them
+	 * would be worse than a plan for all.
 	 */
 	PLACER_SETTLE_US = 700000,
+	/* Longest time from the first endpoint to the first plan, in microseconds. */
 	PLACER_SETTLE_MAX_US = 4000000,
 	/*
-	 * A plan is made when endpoints or the configuration change. Without a change one is made
-	 * after this time, for orders that had no effect. (A plan over 3,000 engines that hold
-	 * their layers takes 0.3 ms of a core, the sorted list that it is made from besides.)
+	 * Time from a plan to the next one if neither endpoints nor the configuration change, in
+	 * milliseconds. The next plan repeats orders that had no effect. A plan for 3,000 engines
+	 * that hold their layers takes 0.3 ms of processor time, not including the sorted list that
+	 * it is made from.
 	 */
 	PLACER_REPLAN_MS = 1000,
 	/*
-	 * Orders that may wait for an answer. At a start of 3,000 engines one host gave 2,777
-	 * orders at once: 1,547 timed out, and for 4 s its own reads of the store did, too. At 128,
-	 * 86 engines are still ordered all at once.
+	 * Most orders that wait for an answer. At a start of 3,000 engines one host sent 2,777
+	 * orders at once: 1,547 of them timed out, and for 4 s its own reads of the store timed
+	 * out, too. With 128, the orders for 86 engines are still sent at once.
 	 */
-	PLACER_AT_ONCE = 128,
+	PLACER_ORDERS_MAX = 128,
+	/* Time limits of a call to an engine and of its connection, in milliseconds. */
 	PLACER_CALL_MS = 1000,
 	PLACER_CONNECT_MS = 500,
 	/*
-	 * An order without an effect in the endpoint's entry is given again after this time, or
-	 * after two heartbeats of the endpoint, which writes its entry only then.
+	 * An order is repeated if the endpoint's entry does not show its effect after this time, in
+	 * milliseconds, or after this number of the endpoint's heartbeats, whichever is longer. The
+	 * endpoint writes its entry only with a heartbeat.
 	 */
-	PLACER_PATIENCE_MS = 4000,
+	PLACER_REPEAT_MS = 4000,
 	PLACER_HEARTBEATS = 2,
 	HTTP_OK = 200,
 	HTTP_ACCEPTED = 202,
@@ -39,37 +44,38 @@
 	HTTP_FENCED = 412
 };
 
-/* An order under way, by endpoint. */
+/* An order to hold a range of layers, sent to an endpoint or about to be sent. */
 struct placer_order {
 	struct placer *placer;
-	char *incarnation; /* that the order is for */
-	int64_t born_ms;
-	char *addr;
-	int from;
-	int to;
-	int64_t given_us;
-	int64_t fence;
-	struct hc_call *call;
+	char *incarnation;    /* incarnation of the endpoint that receives the order */
+	int64_t born_ms;      /* start time of that incarnation, Unix time in milliseconds */
+	char *addr;	      /* address of the endpoint */
+	int from;	      /* first layer to hold */
+	int to;		      /* layer after the last one to hold */
+	int64_t begun_us;     /* time at which the order was begun, in microseconds */
+	int64_t fence;	      /* fencing number that the order carries */
+	struct hc_call *call; /* the call under way, or NULL */
 };
 
 struct placer {
 	struct rc *rc;
-	GHashTable *orders; /* incarnation of an endpoint -> struct placer_order */
-	int64_t seen_us;    /* when the first endpoint was seen */
-	int64_t grown_us;   /* when a new one was last seen */
-	guint known;
-	bool due;	 /* what a plan depends on has changed */
-	int64_t next_us; /* when a plan is made without a change */
+	GHashTable *orders;	/* incarnation of an endpoint -> struct placer_order */
+	int64_t first_seen_us;	/* time at which the first endpoint was seen, in microseconds */
+	int64_t last_growth_us; /* time at which a new endpoint was last seen, in microseconds */
+	guint known;		/* number of endpoints at the last tick */
+	bool plan_due;	      /* endpoints or the configuration have changed since the last plan */
+	int64_t next_plan_us; /* time of the next plan without a change, in microseconds */
 };
 
 static bool placer_on_head(void *ctx, int status, const GPtrArray *headers);
 static void placer_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len);
 static void placer_on_report(void *ctx, int status, int err, bool sent, const char *body,
 			     size_t len);
-static void placer_send(struct placer_order *order, int64_t expect);
-static void placer_plan(struct placer *placer, const struct rt_service *service, int64_t now_us);
-static void placer_order(struct placer *placer, const struct ep_rec *rec,
-			 const struct pl_move *move, int64_t now_us);
+static void placer_send_order(struct placer_order *order, int64_t expect);
+static void placer_run_plan(struct placer *placer, const struct rt_service *service,
+			    int64_t now_us);
+static void placer_begin_order(struct placer *placer, const struct ep_rec *rec,
+			       const struct pl_move *move, int64_t now_us);
 
 static const struct hc_ops placer_ops = {.on_head = placer_on_head, .on_done = placer_on_done};
 static const struct hc_ops placer_report_ops = {.on_head = placer_on_head,
@@ -103,22 +109,22 @@
 
 void placer_on_change(struct placer *placer)
 {
-	placer->due = true;
+	placer->plan_due = true;
 }
 
-static bool placer_settled(struct placer *placer, int64_t now_us)
+static bool placer_is_settled(struct placer *placer, int64_t now_us)
 {
 	guint known = g_hash_table_size(placer->rc->endpoints.entries);
 
-	if (known > 0 && placer->seen_us == 0)
-		placer->seen_us = now_us;
+	if (known > 0 && placer->first_seen_us == 0)
+		placer->first_seen_us = now_us;
 	if (known > placer->known)
-		placer->grown_us = now_us;
+		placer->last_growth_us = now_us;
 	placer->known = known;
-	if (placer->seen_us == 0)
+	if (placer->first_seen_us == 0)
 		return false;
-	return now_us - placer->grown_us >= PLACER_SETTLE_US ||
-	       now_us - placer->seen_us >= PLACER_SETTLE_MAX_US;
+	return now_us - placer->last_growth_us >= PLACER_SETTLE_US ||
+	       now_us - placer->first_seen_us >= PLACER_SETTLE_MAX_US;
 }
 
 void placer_on_tick(struct placer *placer, int64_t now_us)
@@ -127,28 +133,28 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!placer_settled(placer, now_us) || !rc->conf || !member_may_order(rc))
+	if (!placer_is_settled(placer, now_us) || !rc->conf || !member_may_order(rc))
 		return;
-	if (!placer->due && now_us < placer->next_us)
+	if (!placer->plan_due && now_us < placer->next_plan_us)
 		return;
-	placer->due = false;
-	placer->next_us = now_us + tmr_ms(PLACER_REPLAN_MS);
+	placer->plan_due = false;
+	placer->next_plan_us = now_us + tmr_ms(PLACER_REPLAN_MS);
 	g_hash_table_iter_init(&iter, rc->conf->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (rt_is_layered(value))
-			placer_plan(placer, value, now_us);
+			placer_run_plan(placer, value, now_us);
 	}
 }
 
-static int64_t placer_patience_us(const struct placer *placer)
+static int64_t placer_repeat_us(const struct placer *placer)
 {
 	int64_t heartbeat_ms = placer->rc->router->settings.heartbeat_ms;
 
-	return tmr_ms(MAX((int64_t)PLACER_PATIENCE_MS, PLACER_HEARTBEATS * heartbeat_ms));
+	return tmr_ms(MAX((int64_t)PLACER_REPEAT_MS, PLACER_HEARTBEATS * heartbeat_ms));
 }
 
-/* Orders that wait for an answer. */
-static guint placer_waiting(const struct placer *placer)
+/* Returns the number of orders that wait for an answer. */
+static guint placer_count_unanswered(const struct placer *placer)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -160,8 +166,8 @@
 	return n;
 }
 
-/* An order whose effect shows no longer counts. */
-static void placer_settle_order(struct placer *placer, const struct ep_rec *rec)
+/* Forgets the endpoint's order if its entry shows that the order was carried out. */
+static void placer_drop_done_order(struct placer *placer, const struct ep_rec *rec)
 {
 	struct placer_order *order = g_hash_table_lookup(placer->orders, rec->incarnation);
 
@@ -171,18 +177,18 @@
 		g_hash_table_remove(placer->orders, rec->incarnation);
 }
 
-/* Whether the order was given before that time. */
-static gboolean placer_is_over(gpointer id, gpointer value, gpointer before_us)
+/* Returns whether the order was begun at that time or earlier. */
+static gboolean placer_is_expired(gpointer id, gpointer value, gpointer expired_us)
 {
 	const struct placer_order *order = value;
 
 	(void)id;
-	return order->given_us <= *(const int64_t *)before_us;
+	return order->begun_us <= *(const int64_t *)expired_us;
 }
 
-/* One that is dead, though it is still listed, holds nothing. */
-static void placer_node(struct placer *placer, const struct rt_service *service,
-			const struct ep_rec *rec, int64_t now_us, struct pl_node *node)
+/* Describes an endpoint for the plan. A dead endpoint that is still listed counts as empty. */
+static void placer_fill_node(struct placer *placer, const struct rt_service *service,
+			     const struct ep_rec *rec, int64_t now_us, struct pl_node *node)
 {
 	const struct rt_kind *kind = rt_kind_of(service, rec->kind);
 	const struct placer_order *order = g_hash_table_lookup(placer->orders, rec->incarnation);
@@ -203,7 +209,7 @@
 	}
 }
 
-static void placer_gauges(const struct rt_service *service, const GArray *nodes)
+static void placer_update_gauges(const struct rt_service *service, const GArray *nodes)
 {
 	char *labels = g_strdup_printf("service=\"%s\"", service->name);
 	struct pl_figures figures;
@@ -215,56 +221,57 @@
 	g_free(labels);
 }
 
-static void placer_plan(struct placer *placer, const struct rt_service *service, int64_t now_us)
+static void placer_run_plan(struct placer *placer, const struct rt_service *service, int64_t now_us)
 {
 	GPtrArray *recs = ep_snapshot(&placer->rc->endpoints);
 	GArray *nodes = g_array_new(FALSE, TRUE, sizeof(struct pl_node));
-	GPtrArray *of_nodes = g_ptr_array_new();
+	GPtrArray *node_recs = g_ptr_array_new();
 	GArray *moves = g_array_new(FALSE, TRUE, sizeof(struct pl_move));
-	int64_t before_us = now_us - placer_patience_us(placer);
-	guint room;
+	int64_t expired_us = now_us - placer_repeat_us(placer);
+	guint free_slots;
 
-	/* Endpoints may vanish before an order to them shows any effect. */
-	g_hash_table_foreach_remove(placer->orders, placer_is_over, &before_us);
+	/* Forget old orders: an endpoint may end before its entry shows the effect of an order. */
+	g_hash_table_foreach_remove(placer->orders, placer_is_expired, &expired_us);
 	for (guint i = 0; i < recs->len; i++) {
 		struct ep_rec *rec = recs->pdata[i];
 		struct pl_node node;
 
 		if (strcmp(rec->service, service->name) != 0 || rec->state != EP_READY)
 			continue;
-		placer_settle_order(placer, rec);
-		placer_node(placer, service, rec, now_us, &node);
+		placer_drop_done_order(placer, rec);
+		placer_fill_node(placer, service, rec, now_us, &node);
 		g_array_append_val(nodes, node);
-		g_ptr_array_add(of_nodes, rec);
+		g_ptr_array_add(node_recs, rec);
 	}
 	pl_plan(&service->engine, (const struct pl_node *)(void *)nodes->data, (int)nodes->len,
 		moves);
 	if (moves->len == 0 && g_hash_table_size(placer->orders) == 0)
 		pl_balance(&service->engine, (const struct pl_node *)(void *)nodes->data,
 			   (int)nodes->len, moves);
-	placer_gauges(service, nodes);
-	room = PLACER_AT_ONCE - MIN(placer_waiting(placer), PLACER_AT_ONCE);
-	for (guint i = 0; i < MIN(moves->len, room); i++) {
+	placer_update_gauges(service, nodes);
+	free_slots = PLACER_ORDERS_MAX - MIN(placer_count_unanswered(placer), PLACER_ORDERS_MAX);
+	for (guint i = 0; i < MIN(moves->len, free_slots); i++) {
 		const struct pl_move *move = &g_array_index(moves, struct pl_move, i);
 
-		placer_order(placer, of_nodes->pdata[move->node], move, now_us);
+		placer_begin_order(placer, node_recs->pdata[move->node], move, now_us);
 	}
-	/* The plan is a pure function of the view, so the rest comes out alike at the next tick. */
-	placer->due = placer->due || moves->len > room;
+	/* The plan depends only on the view, so the next tick yields the remaining moves again. */
+	placer->plan_due = placer->plan_due || moves->len > free_slots;
 	g_array_unref(moves);
-	g_ptr_array_unref(of_nodes);
+	g_ptr_array_unref(node_recs);
 	g_array_unref(nodes);
 	g_ptr_array_unref(recs);
 }
 
 /*
- * The endpoint's report comes first: it tells how many orders the endpoint has begun. An order
- * names that number, so one that is carried out late, after another, has no effect. An endpoint
- * that has started again counts from 0 anew, so a report of another incarnation than the plan knew
- * of ends the order: its number could fit by chance, and the plan was made for what was lost.
+ * Begins an order by requesting the endpoint's report, which holds the number of orders that the
+ * endpoint has begun. An order carries that number, so an order that arrives late, after another
+ * one, has no effect. An endpoint that has restarted counts from 0 again. So the order is dropped
+ * if the report is from another incarnation than the plan was made for: the number could match by
+ * chance, and the layers that the plan assumed are lost.
  */
-static void placer_order(struct placer *placer, const struct ep_rec *rec,
-			 const struct pl_move *move, int64_t now_us)
+static void placer_begin_order(struct placer *placer, const struct ep_rec *rec,
+			       const struct pl_move *move, int64_t now_us)
 {
 	struct rc *rc = placer->rc;
 	struct placer_order *order = g_new0(struct placer_order, 1);
@@ -285,7 +292,7 @@
 	order->addr = g_strdup(rec->addr);
 	order->from = move->from;
 	order->to = move->to;
-	order->given_us = now_us;
+	order->begun_us = now_us;
 	order->fence = rc->lead.fence;
 	g_hash_table_replace(placer->orders, order->incarnation, order);
 	jl_begin(JL_KEEP, "place");
@@ -333,10 +340,10 @@
 	seam_report_finish(&report);
 	if (!busy && !reborn && member_may_order(placer->rc) &&
 	    !heard_rests(placer->rc, order->incarnation, tmr_now()))
-		placer_send(order, expect);
+		placer_send_order(order, expect);
 }
 
-static void placer_send(struct placer_order *order, int64_t expect)
+static void placer_send_order(struct placer_order *order, int64_t expect)
 {
 	struct rc *rc = order->placer->rc;
 	const struct seam_engine *engine = &rc->router->seam->engine;
@@ -362,8 +369,10 @@
 }
 
 /*
- * An order that gets no answer may have been taken, or be carried out later; its effect is looked
- * for in the endpoint's entry, and only after a while the order is given again.
+ * Handles the answer to an order. An order without an answer may have been accepted or may be
+ * carried out later, so it is repeated only if the endpoint's entry does not show its effect after
+ * some time. An order that was not sent, or was rejected with status 409 or 412, is repeated after
+ * a quarter of that time.
  */
 static void placer_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len)
 {
@@ -383,5 +392,5 @@
 	if (status == HTTP_FENCED)
 		lead_on_refused(&placer->rc->lead, order->fence);
 	if (!sent || status == HTTP_CONFLICT || status == HTTP_FENCED)
-		order->given_us -= placer_patience_us(placer) * 3 / 4;
+		order->begun_us -= placer_repeat_us(placer) * 3 / 4;
 }
