--- a/router/host_news.c
+++ b/router/host_news.c
@@ -14,25 +14,25 @@
 	g_free(entry);
 }
 
-void hn_init(struct hn *hn)
+void hn_init(struct hn *delta)
 {
-	*hn = (struct hn){.links = g_hash_table_new(g_str_hash, g_str_equal)};
-	g_queue_init(&hn->order);
+	*delta = (struct hn){.links = g_hash_table_new(g_str_hash, g_str_equal)};
+	g_queue_init(&delta->order);
 }
 
-void hn_finish(struct hn *hn)
+void hn_finish(struct hn *delta)
 {
-	g_hash_table_destroy(hn->links);
-	g_queue_clear_full(&hn->order, hn_entry_free);
+	g_hash_table_destroy(delta->links);
+	g_queue_clear_full(&delta->order, hn_entry_free);
 }
 
-static void hn_drop(struct hn *hn, GList *link)
+static void hn_drop(struct hn *delta, GList *link)
 {
 	struct hn_entry *entry = link->data;
 
-	hn->n_removed -= entry->removed;
-	g_hash_table_remove(hn->links, entry->name);
-	g_queue_delete_link(&hn->order, link);
+	delta->n_removed -= entry->removed;
+	g_hash_table_remove(delta->links, entry->name);
+	g_queue_delete_link(&delta->order, link);
 	hn_entry_free(entry);
 }
 
@@ -40,57 +40,57 @@
  * Limits the number of removed hosts by forgetting the one that was removed first. A follower that
  * has not received this removal by now learns of it from its next whole list.
  */
-static void hn_make_room(struct hn *hn)
+static void hn_make_room(struct hn *delta)
 {
-	GList *link = hn->order.head;
+	GList *link = delta->order.head;
 
-	if (hn->n_removed <= HN_REMOVED_MAX)
+	if (delta->n_removed <= HN_REMOVED_MAX)
 		return;
 	while (!((struct hn_entry *)link->data)->removed)
 		link = link->next;
-	hn_drop(hn, link);
+	hn_drop(delta, link);
 }
 
-static struct hn_entry *hn_entry(struct hn *hn, const char *name)
+static struct hn_entry *hn_entry(struct hn *delta, const char *name)
 {
-	GList *link = g_hash_table_lookup(hn->links, name);
+	GList *link = g_hash_table_lookup(delta->links, name);
 	struct hn_entry *entry;
 
 	if (link) {
-		g_queue_unlink(&hn->order, link);
-		g_queue_push_tail_link(&hn->order, link);
+		g_queue_unlink(&delta->order, link);
+		g_queue_push_tail_link(&delta->order, link);
 		return link->data;
 	}
 	entry = g_new0(struct hn_entry, 1);
 	entry->name = g_strdup(name);
-	g_queue_push_tail(&hn->order, entry);
-	g_hash_table_insert(hn->links, entry->name, hn->order.tail);
+	g_queue_push_tail(&delta->order, entry);
+	g_hash_table_insert(delta->links, entry->name, delta->order.tail);
 	return entry;
 }
 
-void hn_on_change(struct hn *hn, const char *name, bool removed)
+void hn_on_change(struct hn *delta, const char *name, bool removed)
 {
-	struct hn_entry *entry = hn_entry(hn, name);
+	struct hn_entry *entry = hn_entry(delta, name);
 
-	hn->n_removed += (guint)removed - (guint)entry->removed;
+	delta->n_removed += (guint)removed - (guint)entry->removed;
 	entry->removed = removed;
-	entry->version = ++hn->version;
-	hn_make_room(hn);
+	entry->version = ++delta->version;
+	hn_make_room(delta);
 }
 
-void hn_on_compared(struct hn *hn)
+void hn_on_compared(struct hn *delta)
 {
-	hn->full_before = ++hn->version;
+	delta->full_before = ++delta->version;
 }
 
-bool hn_needs_whole(const struct hn *hn, guint since)
+bool hn_needs_whole(const struct hn *delta, guint since)
 {
-	return since == 0 || since < hn->full_before;
+	return since == 0 || since < delta->full_before;
 }
 
-void hn_each_since(const struct hn *hn, guint since, hn_fn fn, void *ctx)
+void hn_each_since(const struct hn *delta, guint since, hn_fn fn, void *ctx)
 {
-	for (const GList *link = hn->order.tail; link; link = link->prev) {
+	for (const GList *link = delta->order.tail; link; link = link->prev) {
 		const struct hn_entry *entry = link->data;
 
 		if (entry->version <= since)
--- a/router/host_news.h
+++ b/router/host_news.h
@@ -30,24 +30,24 @@
 	guint n_removed;   /* number of entries of removed hosts */
 };
 
-void hn_init(struct hn *hn);
-void hn_finish(struct hn *hn);
+void hn_init(struct hn *delta);
+void hn_finish(struct hn *delta);
 
 /* Records that a host was added, was removed, or has changed its address. */
-void hn_on_change(struct hn *hn, const char *name, bool removed);
+void hn_on_change(struct hn *delta, const char *name, bool removed);
 
 /* The list was compared with the store's list: every follower gets the whole list once more. */
-void hn_on_compared(struct hn *hn);
+void hn_on_compared(struct hn *delta);
 
 /* Returns whether a follower that has the changes up to number "since" gets the whole list. */
-bool hn_needs_whole(const struct hn *hn, guint since);
+bool hn_needs_whole(const struct hn *delta, guint since);
 
 /*
  * Calls "fn" once for each host that has changed after change number "since", the latest change
  * first. If "since" is 0, calls it for all hosts in the log.
  */
 typedef void (*hn_fn)(void *ctx, const char *name, bool removed);
-void hn_each_since(const struct hn *hn, guint since, hn_fn fn, void *ctx);
+void hn_each_since(const struct hn *delta, guint since, hn_fn fn, void *ctx);
 
 G_END_DECLS
 
