--- a/router/host_news.c
+++ b/router/host_news.c
@@ -38,7 +38,7 @@
 
 /*
  * Limits the number of removed hosts by forgetting the one that was removed first. A follower that
- * has not received this removal by now learns of it from its next whole list.
+ * has not received this removal yet gets it with its next whole list.
  */
 static void hn_make_room(struct hn *delta)
 {
--- a/router/host_news_test.cc
+++ b/router/host_news_test.cc
@@ -13,7 +13,7 @@
 	size_t sent = 0;
 	std::map<std::string, bool> present; /* by host name; false: the host was removed */
 
-	static void OnChange(void *ctx, const char *name, bool removed)
+	static void Add(void *ctx, const char *name, bool removed)
 	{
 		auto *self = static_cast<Follower *>(ctx);
 
@@ -26,7 +26,7 @@
 		std::map<std::string, bool> before;
 
 		before.swap(present);
-		hn_each_since(&delta, hn_needs_whole(&delta, since) ? 0 : since, OnChange, this);
+		hn_each_since(&delta, hn_needs_whole(&delta, since) ? 0 : since, Add, this);
 		for (const auto &host : before)
 			present.insert(host);
 		since = delta.version;
--- a/router/loads.c
+++ b/router/loads.c
@@ -1,7 +1,10 @@
 #include "router/rc.h"
 
 enum {
-	/* Time after which the loads of all unusual engines are sent again, in milliseconds. */
+	/*
+	 * Time after which the loads of all unusual engines are sent again, in milliseconds. An
+	 * engine is unusual if its pace is not 1 or its memory is more than half full.
+	 */
 	LOADS_AGAIN_MS = 5000
 };
 
--- a/router/poll.c
+++ b/router/poll.c
@@ -20,8 +20,8 @@
 	 */
 	POLL_MISSES_DEAD = 2,
 	/*
-	 * Time for which an engine is considered dead after the pass that would renew it, in
-	 * milliseconds.
+	 * An engine is considered dead for the duration of a pass and this time, in milliseconds,
+	 * unless the next pass renews that.
 	 */
 	POLL_DEAD_MS = 1500,
 	HTTP_OK = 200
--- a/router/rank.h
+++ b/router/rank.h
@@ -42,9 +42,8 @@
 struct rank_self {
 	const char *name;
 	const char *zone;
-	unsigned int
-		hosts; /* number of hosts that it knows, including hosts that can't feed others */
-	unsigned int turn; /* number of feeders that it has tried without success so far */
+	unsigned int hosts; /* number of known hosts, including those that can't feed others */
+	unsigned int turn;  /* number of feeders that it has tried without success so far */
 };
 
 /* Roles of a host, and the feeder that it should follow. */
