--- a/ep/doubt.c
+++ b/ep/doubt.c
@@ -1,23 +1,23 @@
 #include "ep/doubt.h"
 
-/* A full memory has room again within some hundred ms, as requests end. */
-static const int64_t dbt_first_us = 700000;
+/* Length of the first period: full memory has room again within some 100 ms, as requests end. */
+static const int64_t avoid_first_us = 700000;
 
-/* An endpoint that is dead lapses from the list within some 4 s. */
-static const int64_t dbt_most_us = 4000000;
+/* Longest period: the entry of a dead endpoint expires from the list within about 4 s. */
+static const int64_t avoid_max_us = 4000000;
 
-/* What lasts so little longer than what is known is no news. */
-static const int64_t dbt_step_us = 500000;
+/* Shortest extension of a running period that dbt_set() makes. */
+static const int64_t avoid_min_extension_us = 500000;
 
 int64_t dbt_on_fault(struct dbt *dbt, int64_t now_us)
 {
-	int64_t for_us = dbt_first_us;
+	int64_t for_us = avoid_first_us;
 
 	if (dbt_is_set(dbt, now_us))
 		return 0;
-	for (int i = 0; i < dbt->faults && for_us < dbt_most_us; i++)
+	for (int i = 0; i < dbt->faults && for_us < avoid_max_us; i++)
 		for_us *= 2;
-	for_us = MIN(for_us, dbt_most_us);
+	for_us = MIN(for_us, avoid_max_us);
 	dbt->faults++;
 	dbt->fault_us = now_us;
 	dbt->until_us = now_us + for_us;
@@ -32,7 +32,7 @@
 
 bool dbt_set(struct dbt *dbt, int64_t for_us, int64_t now_us)
 {
-	if (dbt->until_us + dbt_step_us >= now_us + for_us)
+	if (dbt->until_us + avoid_min_extension_us >= now_us + for_us)
 		return false;
 	dbt->until_us = now_us + for_us;
 	return true;
--- a/ep/doubt.h
+++ b/ep/doubt.h
@@ -8,29 +8,34 @@
 G_BEGIN_DECLS
 
 /*
- * For how long one host passes an endpoint over that others say is at fault. The cause may pass in
- * a moment (its memory is full) or stay (it is dead, and its entry has not lapsed yet), and an
- * answer does not tell which. So the first time is short, and each further one without anything
- * served in between lasts twice as long. Pure.
+ * How long one host avoids an endpoint that others report to be at fault. The cause may be brief
+ * (the endpoint's memory is full) or permanent (the endpoint has died, and its entry has not
+ * expired yet), and the report doesn't say which. So the first period is short, and each further
+ * one is twice as long unless the endpoint has served a request in between. The module does no I/O.
  *
- * Tried anew every 0.7 s by each of seven hosts, one dead endpoint that stayed listed for 14 s
- * rejected 411 requests; each was sent again, which spent the budget of repeats for all others.
+ * When each of seven hosts retried a dead endpoint every 0.7 s during the 14 s for which it stayed
+ * listed, it rejected 411 requests. Each of them was sent again, which used up the retry budget of
+ * all other requests.
  */
 struct dbt {
-	int faults;	  /* in a row */
-	int64_t fault_us; /* when the last one was counted */
-	int64_t until_us; /* it is passed over until then */
+	int faults;	  /* number of consecutive reported faults */
+	int64_t fault_us; /* time at which the last fault was counted, in microseconds */
+	int64_t until_us; /* end of the period in which the endpoint is avoided, in microseconds */
 };
 
-/* It was named at fault. Returns for how long it is passed over, or 0 if it was already. */
+/* The endpoint was reported at fault. Returns the length of the new period, or 0 if one runs. */
 int64_t dbt_on_fault(struct dbt *dbt, int64_t now_us);
 
-/* A request that was sent at that time was served through it. */
+/* The endpoint served a request that was sent to it at sent_us. */
 void dbt_on_served(struct dbt *dbt, int64_t sent_us);
 
-/* Passes it over for that time, for another reason. Returns false if that is little news. */
+/*
+ * Avoids the endpoint until now_us + for_us, for a reason other than a fault. Returns false, and
+ * changes nothing, if this would not extend the present period by more than half a second.
+ */
 bool dbt_set(struct dbt *dbt, int64_t for_us, int64_t now_us);
 
+/* Whether the endpoint is avoided now. */
 bool dbt_is_set(const struct dbt *dbt, int64_t now_us);
 
 G_END_DECLS
--- a/ep/ep.c
+++ b/ep/ep.c
@@ -4,22 +4,23 @@
 
 enum {
 	/*
-	 * After the store's return, living endpoints are listed again within two seconds; what is
-	 * missing then is gone.
+	 * Time in which running endpoints register again after an outage of the store. Entries that
+	 * are still missing afterwards are dropped.
 	 */
-	EP_RETURN_US = 2000000,
+	EP_REREGISTER_US = 2000000,
 	/*
-	 * Notes on endpoints that are gone. They are for records that come late by another way,
-	 * which takes seconds; at 310 restarts a day they would else grow for as long as the
-	 * process runs.
+	 * Tombstones reject late records of ended endpoints that arrive from another host, which
+	 * takes seconds. At 310 restarts a day the tables would grow for as long as the process
+	 * runs, so tombstones older than EP_TOMBSTONE_US are dropped once a table holds more than
+	 * EP_TOMBSTONES_MAX of them.
 	 */
-	EP_NOTES_MAX = 1024, /* from which on old ones are dropped */
-	EP_NOTE_US = 600000000
+	EP_TOMBSTONES_MAX = 1024,
+	EP_TOMBSTONE_US = 600000000
 };
 
 static void ep_entry_free(gpointer data);
-static void ep_holder_free(gpointer data);
-static gint ep_by_id(gconstpointer a, gconstpointer b);
+static void ep_addr_owner_free(gpointer data);
+static gint ep_compare_ids(gconstpointer a, gconstpointer b);
 
 struct ep_rec *ep_rec_new(const char *id, int64_t born_ms)
 {
@@ -60,71 +61,73 @@
 	g_free(entry);
 }
 
-static void ep_holder_free(gpointer data)
+static void ep_addr_owner_free(gpointer data)
 {
-	struct ep_holder *holder = data;
+	struct ep_addr_owner *owner = data;
 
-	g_free(holder->id);
-	g_free(holder);
+	g_free(owner->id);
+	g_free(owner);
 }
 
 void ep_list_init(struct ep_list *list)
 {
 	memset(list, 0, sizeof(*list));
 	list->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ep_entry_free);
-	list->left = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	list->removed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	list->addrs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, ep_holder_free);
-	list->returned_us = -1;
+	list->departures = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	list->removals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	list->addr_owners =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, ep_addr_owner_free);
+	list->store_back_us = -1;
 	list->listed_us = -1;
 }
 
 void ep_list_finish(struct ep_list *list)
 {
 	g_hash_table_destroy(list->entries);
-	g_hash_table_destroy(list->left);
-	g_hash_table_destroy(list->removed);
-	g_hash_table_destroy(list->addrs);
+	g_hash_table_destroy(list->departures);
+	g_hash_table_destroy(list->removals);
+	g_hash_table_destroy(list->addr_owners);
 }
 
 bool ep_is_returning(const struct ep_list *list, int64_t now_us)
 {
-	if (list->away)
+	if (list->store_failing)
 		return true;
-	return list->returned_us >= 0 && now_us - list->returned_us < EP_RETURN_US;
+	return list->store_back_us >= 0 && now_us - list->store_back_us < EP_REREGISTER_US;
 }
 
-static void ep_note(GHashTable *notes, const char *id, struct ep_note note)
+static void ep_put_tombstone(GHashTable *tombstones, const char *id, struct ep_tombstone tombstone)
 {
-	g_hash_table_replace(notes, g_strdup(id), g_memdup2(&note, sizeof(note)));
+	g_hash_table_replace(tombstones, g_strdup(id), g_memdup2(&tombstone, sizeof(tombstone)));
 }
 
 /*
- * An endpoint that has said it is leaving comes back only as a new incarnation. A list that is read
- * late or anew may show the old one as ready once more; sending to it then would reach it after it
- * has gone.
+ * Remembers that an incarnation has announced that it leaves. A late or repeated listing may show
+ * it as ready again, and a request sent then would reach an endpoint that has ended, so only a new
+ * incarnation can become ready.
  */
-static void ep_mark_left(struct ep_list *list, const struct ep_rec *rec, int64_t now_us)
+static void ep_record_departure(struct ep_list *list, const struct ep_rec *rec, int64_t now_us)
 {
-	ep_note(list->left, rec->id,
-		(struct ep_note){
-			.born_ms = rec->born_ms, .heartbeat = rec->heartbeat, .at_us = now_us});
+	ep_put_tombstone(list->departures, rec->id,
+			 (struct ep_tombstone){.born_ms = rec->born_ms,
+					       .heartbeat = rec->heartbeat,
+					       .at_us = now_us});
 }
 
-static bool ep_start_has_left(const struct ep_list *list, const char *id, int64_t born_ms)
+static bool ep_incarnation_has_left(const struct ep_list *list, const char *id, int64_t born_ms)
 {
-	const struct ep_note *note = g_hash_table_lookup(list->left, id);
+	const struct ep_tombstone *tombstone = g_hash_table_lookup(list->departures, id);
 
-	return note && born_ms <= note->born_ms;
+	return tombstone && born_ms <= tombstone->born_ms;
 }
 
 static bool ep_has_left(const struct ep_list *list, const struct ep_rec *rec)
 {
-	return ep_start_has_left(list, rec->id, rec->born_ms);
+	return ep_incarnation_has_left(list, rec->id, rec->born_ms);
 }
 
-/* The record once more, as of an endpoint that is leaving: other threads may have the old one. */
-static struct ep_rec *ep_rec_leaving(const struct ep_rec *rec)
+/* Copies a record with the state set to draining; other threads may still use the original. */
+static struct ep_rec *ep_rec_copy_draining(const struct ep_rec *rec)
 {
 	struct ep_rec *copy = ep_rec_new(rec->id, rec->born_ms);
 
@@ -148,15 +151,16 @@
 	char *id = g_strndup(incarnation, at ? (gsize)(at - incarnation) : strlen(incarnation));
 	int64_t born_ms = at ? g_ascii_strtoll(at + 1, NULL, 10) : 0;
 	struct ep_entry *entry = g_hash_table_lookup(list->entries, id);
-	bool news = !ep_start_has_left(list, id, born_ms);
+	bool is_new = !ep_incarnation_has_left(list, id, born_ms);
 	struct ep_rec *rec;
 
-	if (news)
-		ep_note(list->left, id, (struct ep_note){.born_ms = born_ms, .at_us = now_us});
-	if (news && entry && entry->rec->born_ms == born_ms) {
-		/* The table's key is the record's own text. */
+	if (is_new)
+		ep_put_tombstone(list->departures, id,
+				 (struct ep_tombstone){.born_ms = born_ms, .at_us = now_us});
+	if (is_new && entry && entry->rec->born_ms == born_ms) {
+		/* The key in the table is the id string of the record that is replaced. */
 		g_hash_table_steal(list->entries, id);
-		rec = ep_rec_leaving(entry->rec);
+		rec = ep_rec_copy_draining(entry->rec);
 		ep_rec_unref(entry->rec);
 		entry->rec = rec;
 		g_hash_table_insert(list->entries, rec->id, entry);
@@ -164,11 +168,11 @@
 		list->version++;
 	}
 	g_free(id);
-	return news;
+	return is_new;
 }
 
-/* Whether both say the same of the endpoint: one is a heartbeat after the other. */
-static bool ep_is_same(const struct ep_rec *a, const struct ep_rec *b)
+/* Whether two records differ at most in the fields that change with every heartbeat. */
+static bool ep_same_content(const struct ep_rec *a, const struct ep_rec *b)
 {
 	return a->born_ms == b->born_ms && a->state == b->state && a->slots == b->slots &&
 	       a->layer_from == b->layer_from && a->layer_to == b->layer_to &&
@@ -176,49 +180,51 @@
 	       strcmp(a->zone, b->zone) == 0 && g_strcmp0(a->kind, b->kind) == 0;
 }
 
-static void ep_note_removal(struct ep_list *list, const char *id, int64_t place,
-			    const struct ep_entry *entry, int64_t now_us)
+static void ep_record_removal(struct ep_list *list, const char *id, int64_t place,
+			      const struct ep_entry *entry, int64_t now_us)
 {
-	const struct ep_note *before = g_hash_table_lookup(list->removed, id);
-	struct ep_note note = {.place = place, .at_us = now_us};
+	const struct ep_tombstone *previous = g_hash_table_lookup(list->removals, id);
+	struct ep_tombstone tombstone = {.place = place, .at_us = now_us};
 
-	if (before) {
-		note.born_ms = before->born_ms;
-		note.heartbeat = before->heartbeat;
+	if (previous) {
+		tombstone.born_ms = previous->born_ms;
+		tombstone.heartbeat = previous->heartbeat;
 	}
-	if (entry && entry->rec->born_ms >= note.born_ms) {
-		note.born_ms = entry->rec->born_ms;
-		note.heartbeat = entry->rec->heartbeat;
+	if (entry && entry->rec->born_ms >= tombstone.born_ms) {
+		tombstone.born_ms = entry->rec->born_ms;
+		tombstone.heartbeat = entry->rec->heartbeat;
 	}
-	if (!before || place > before->place)
-		ep_note(list->removed, id, note);
+	if (!previous || place > previous->place)
+		ep_put_tombstone(list->removals, id, tombstone);
 }
 
 /*
- * The entry is gone from the store. A note stays: what was written of the endpoint before may come
- * once more, by another way or written again after the store's return.
+ * Processes an entry that is missing in the store. If running endpoints may be missing, a ready one
+ * is kept as lapsed. Otherwise it is removed and a tombstone is kept, since older records of the
+ * endpoint may still arrive from another host, or be written again after the store was restored.
  */
-static void ep_remove(struct ep_list *list, struct ep_entry *entry, int64_t now_us)
+static void ep_lapse_or_remove(struct ep_list *list, struct ep_entry *entry, int64_t now_us)
 {
 	if (entry->rec->state == EP_READY && ep_is_returning(list, now_us)) {
 		entry->lapsed = true;
 		return;
 	}
-	ep_note_removal(list, entry->rec->id, list->next - 1, entry, now_us);
+	ep_record_removal(list, entry->rec->id, list->next - 1, entry, now_us);
 	g_hash_table_remove(list->entries, entry->rec->id);
 	list->changed = true;
 	list->version++;
 }
 
 /*
- * Whether a record that comes after the removal is what a copy of the store still has, or what was
- * written again. An endpoint that doesn't count its heartbeats is believed when it registers, not
- * when a copy lists it.
+ * Whether a record that follows the removal in the log still describes the time before it, because
+ * the store was restored from a copy that contains it, or because it was written again. The record
+ * of an endpoint without a heartbeat counter is accepted when the endpoint registers, but not when
+ * it stands in the listing of a restored copy.
  */
-static bool ep_is_of_removed(const struct ep_list *list, const struct ep_note *removed,
-			     int64_t place, const struct ep_rec *rec)
+static bool ep_predates_removal(const struct ep_list *list, const struct ep_tombstone *removed,
+				int64_t place, const struct ep_rec *rec)
 {
-	if (!list->may_return || rec->born_ms != removed->born_ms)
+	if (!list->store_has_eras || rec->born_ms != removed->born_ms)
 		return false;
 	if (rec->heartbeat > 0)
 		return rec->heartbeat <= removed->heartbeat;
@@ -226,115 +232,117 @@
 }
 
 /*
- * Records reach a host by two ways, from the store and from another host, so an older one may come
- * after a newer one. One that is older than the removal of its id, or than a record of another id
- * at the same address, is of an endpoint that is gone.
+ * Whether a record describes an endpoint that has ended. Records reach a host from the store and
+ * from another host, so an older one may arrive after a newer one. A record that is older than the
+ * removal of its id, or than a record of another id at the same address, is outdated.
  */
 static bool ep_is_outdated(const struct ep_list *list, int64_t place, const struct ep_rec *rec)
 {
-	const struct ep_holder *holder = g_hash_table_lookup(list->addrs, rec->addr);
-	const struct ep_note *removed = g_hash_table_lookup(list->removed, rec->id);
+	const struct ep_addr_owner *owner = g_hash_table_lookup(list->addr_owners, rec->addr);
+	const struct ep_tombstone *removed = g_hash_table_lookup(list->removals, rec->id);
 
 	if (removed && (place < removed->place || rec->born_ms < removed->born_ms))
 		return true;
-	if (removed && ep_is_of_removed(list, removed, place, rec))
+	if (removed && ep_predates_removal(list, removed, place, rec))
 		return true;
-	return holder && place < holder->place;
+	return owner && place < owner->place;
 }
 
 /*
- * What a copy of the store says of an endpoint, or what was written again after its return, may be
- * older than what is known, though its place is later. The endpoint's own counts tell.
+ * Whether a record is of the same incarnation as the entry and has a lower heartbeat number. After
+ * the store was restored from a copy, a record in that copy, or one that was written again, can
+ * have a later place than the known record and still be older.
  */
-static bool ep_is_of_copy(const struct ep_list *list, const struct ep_entry *entry,
-			  const struct ep_rec *rec)
+static bool ep_is_older_heartbeat(const struct ep_list *list, const struct ep_entry *entry,
+				  const struct ep_rec *rec)
 {
-	if (!list->may_return || !rec || rec->heartbeat == 0)
+	if (!list->store_has_eras || !rec || rec->heartbeat == 0)
 		return false;
 	return rec->born_ms == entry->rec->born_ms && rec->heartbeat < entry->rec->heartbeat;
 }
 
 /*
- * A heartbeat that an endpoint sent before its restart may be written after the first one of its
- * new incarnation. Taken for news it would list layers that nobody holds: requests to them are
- * rejected until the next heartbeat.
+ * Whether a record is of an earlier incarnation than the entry. A heartbeat from before a restart
+ * may be written after the first one of the new incarnation. If it were accepted, the list would
+ * show layers that the endpoint no longer holds, and requests to them would be rejected until the
+ * next heartbeat.
  */
-static bool ep_is_of_earlier(const struct ep_entry *entry, const struct ep_rec *rec)
+static bool ep_is_earlier_incarnation(const struct ep_entry *entry, const struct ep_rec *rec)
 {
 	return entry && rec && rec->born_ms < entry->rec->born_ms;
 }
 
-/* An address belongs to one endpoint; the older entry there is of one that has ended. */
-static void ep_take_addr(struct ep_list *list, int64_t place, const struct ep_rec *rec,
-			 int64_t now_us)
+/* Assigns the address to the record's endpoint and removes an older endpoint there as ended. */
+static void ep_assign_addr(struct ep_list *list, int64_t place, const struct ep_rec *rec,
+			   int64_t now_us)
 {
-	struct ep_holder *holder = g_hash_table_lookup(list->addrs, rec->addr);
-	const struct ep_entry *before = NULL;
+	struct ep_addr_owner *owner = g_hash_table_lookup(list->addr_owners, rec->addr);
+	const struct ep_entry *previous = NULL;
 
-	if (!holder) {
-		holder = g_new0(struct ep_holder, 1);
-		g_hash_table_insert(list->addrs, g_strdup(rec->addr), holder);
-	} else if (strcmp(holder->id, rec->id) != 0) {
-		before = g_hash_table_lookup(list->entries, holder->id);
+	if (!owner) {
+		owner = g_new0(struct ep_addr_owner, 1);
+		g_hash_table_insert(list->addr_owners, g_strdup(rec->addr), owner);
+	} else if (strcmp(owner->id, rec->id) != 0) {
+		previous = g_hash_table_lookup(list->entries, owner->id);
 	}
-	if (before && strcmp(before->rec->addr, rec->addr) == 0) {
-		ep_note_removal(list, holder->id, place, before, now_us);
-		g_hash_table_remove(list->entries, holder->id);
+	if (previous && strcmp(previous->rec->addr, rec->addr) == 0) {
+		ep_record_removal(list, owner->id, place, previous, now_us);
+		g_hash_table_remove(list->entries, owner->id);
 		list->version++;
 	}
-	g_free(holder->id);
-	holder->id = g_strdup(rec->id);
-	holder->place = place;
-	holder->at_us = now_us;
+	g_free(owner->id);
+	owner->id = g_strdup(rec->id);
+	owner->place = place;
+	owner->at_us = now_us;
 }
 
-/* The endpoint is listed, but what the record says of it is not news. */
-static enum ep_news ep_keep(const struct ep_list *list, struct ep_entry *entry, int64_t place,
-			    struct ep_rec *rec)
+/* Handles an outdated record: marks the entry as seen in the listing and frees the record. */
+static enum ep_record_effect ep_keep_entry(const struct ep_list *list, struct ep_entry *entry,
+					   int64_t place, struct ep_rec *rec)
 {
 	entry->seen = true;
-	if (place > entry->place && ep_is_of_copy(list, entry, rec)) {
+	if (place > entry->place && ep_is_older_heartbeat(list, entry, rec)) {
 		entry->place = place;
 		entry->lapsed = false;
 	}
 	if (rec)
 		ep_rec_unref(rec);
-	return EP_NOTHING;
+	return EP_OUTDATED;
 }
 
-/* Whether the entry says what the record says, and stands in the store. */
+/* Whether the entry stands in the store and the record has the same content. */
 static bool ep_is_heartbeat(const struct ep_entry *entry, const struct ep_rec *rec)
 {
-	return entry && !entry->lapsed && ep_is_same(entry->rec, rec);
+	return entry && !entry->lapsed && ep_same_content(entry->rec, rec);
 }
 
-enum ep_news ep_on_record(struct ep_list *list, int64_t place, const char *id, struct ep_rec *rec,
-			  int64_t now_us)
+enum ep_record_effect ep_on_record(struct ep_list *list, int64_t place, const char *id,
+				   struct ep_rec *rec, int64_t now_us)
 {
 	struct ep_entry *entry = g_hash_table_lookup(list->entries, id);
 	bool heartbeat;
 
 	if (place >= list->next)
 		list->next = place + 1;
-	if (entry && (place < entry->place || ep_is_of_earlier(entry, rec) ||
-		      ep_is_of_copy(list, entry, rec)))
-		return ep_keep(list, entry, place, rec);
+	if (entry && (place < entry->place || ep_is_earlier_incarnation(entry, rec) ||
+		      ep_is_older_heartbeat(list, entry, rec)))
+		return ep_keep_entry(list, entry, place, rec);
 	if (!rec) {
-		ep_note_removal(list, id, place, entry, now_us);
+		ep_record_removal(list, id, place, entry, now_us);
 		if (entry)
-			ep_remove(list, entry, now_us);
+			ep_lapse_or_remove(list, entry, now_us);
 		return EP_NEWS;
 	}
 	if (era_of_place(place) < list->era || ep_is_outdated(list, place, rec)) {
 		ep_rec_unref(rec);
-		return EP_NOTHING;
+		return EP_OUTDATED;
 	}
-	ep_take_addr(list, place, rec, now_us);
+	ep_assign_addr(list, place, rec, now_us);
 	if (rec->state == EP_DRAINING)
-		ep_mark_left(list, rec, now_us);
+		ep_record_departure(list, rec, now_us);
 	else if (ep_has_left(list, rec))
 		rec->state = EP_DRAINING;
-	if (!entry || !ep_is_same(entry->rec, rec))
+	if (!entry || !ep_same_content(entry->rec, rec))
 		list->version++;
 	heartbeat = ep_is_heartbeat(entry, rec);
 	entry = g_new0(struct ep_entry, 1);
@@ -355,7 +363,7 @@
 		ep_rec_unref(rec);
 		return false;
 	}
-	ep_take_addr(list, place, rec, now_us);
+	ep_assign_addr(list, place, rec, now_us);
 	entry = g_new0(struct ep_entry, 1);
 	entry->rec = rec;
 	entry->place = place;
@@ -389,7 +397,7 @@
 			g_ptr_array_add(missing, value);
 	}
 	for (guint i = 0; i < missing->len; i++)
-		ep_remove(list, missing->pdata[i], now_us);
+		ep_lapse_or_remove(list, missing->pdata[i], now_us);
 	g_ptr_array_unref(missing);
 	list->listing = false;
 	list->next = end;
@@ -399,61 +407,64 @@
 
 int64_t ep_whole_us(const struct ep_list *list)
 {
-	return MAX(list->listed_us, list->returned_us) + EP_RETURN_US;
+	return MAX(list->listed_us, list->store_back_us) + EP_REREGISTER_US;
 }
 
 void ep_on_era(struct ep_list *list, int64_t era, bool returned, int64_t now_us)
 {
 	list->era = era;
-	list->may_return = true;
+	list->store_has_eras = true;
 	if (!returned)
 		return;
-	list->away = false;
-	list->returned_us = now_us;
+	list->store_failing = false;
+	list->store_back_us = now_us;
 }
 
 void ep_on_away(struct ep_list *list)
 {
-	list->away = true;
+	list->store_failing = true;
 }
 
 void ep_on_reached(struct ep_list *list, int64_t now_us)
 {
-	if (list->away)
-		list->returned_us = now_us;
-	list->away = false;
+	if (list->store_failing)
+		list->store_back_us = now_us;
+	list->store_failing = false;
 }
 
-static void ep_forget_notes(const struct ep_list *list, GHashTable *notes, int64_t now_us)
+static void ep_drop_old_tombstones(const struct ep_list *list, GHashTable *tombstones,
+				   int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer id;
 	gpointer value;
 
-	if (g_hash_table_size(notes) <= EP_NOTES_MAX)
+	if (g_hash_table_size(tombstones) <= EP_TOMBSTONES_MAX)
 		return;
-	g_hash_table_iter_init(&iter, notes);
+	g_hash_table_iter_init(&iter, tombstones);
 	while (g_hash_table_iter_next(&iter, &id, &value)) {
-		const struct ep_note *note = value;
+		const struct ep_tombstone *tombstone = value;
 
-		if (now_us - note->at_us > EP_NOTE_US && !g_hash_table_contains(list->entries, id))
+		if (now_us - tombstone->at_us > EP_TOMBSTONE_US &&
+		    !g_hash_table_contains(list->entries, id))
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
-static void ep_forget_holders(struct ep_list *list, int64_t now_us)
+static void ep_drop_old_addr_owners(struct ep_list *list, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (g_hash_table_size(list->addrs) <= g_hash_table_size(list->entries) + EP_NOTES_MAX)
+	if (g_hash_table_size(list->addr_owners) <=
+	    g_hash_table_size(list->entries) + EP_TOMBSTONES_MAX)
 		return;
-	g_hash_table_iter_init(&iter, list->addrs);
+	g_hash_table_iter_init(&iter, list->addr_owners);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct ep_holder *holder = value;
+		const struct ep_addr_owner *owner = value;
 
-		if (now_us - holder->at_us > EP_NOTE_US &&
-		    !g_hash_table_contains(list->entries, holder->id))
+		if (now_us - owner->at_us > EP_TOMBSTONE_US &&
+		    !g_hash_table_contains(list->entries, owner->id))
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -476,17 +487,17 @@
 	gpointer value;
 	bool dropped = false;
 
-	ep_forget_notes(list, list->left, now_us);
-	ep_forget_notes(list, list->removed, now_us);
-	ep_forget_holders(list, now_us);
+	ep_drop_old_tombstones(list, list->departures, now_us);
+	ep_drop_old_tombstones(list, list->removals, now_us);
+	ep_drop_old_addr_owners(list, now_us);
 	if (ep_is_returning(list, now_us))
 		return false;
 	g_hash_table_iter_init(&iter, list->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (!((const struct ep_entry *)value)->lapsed)
 			continue;
-		ep_note_removal(list, ((struct ep_entry *)value)->rec->id, list->next - 1, value,
-				now_us);
+		ep_record_removal(list, ((struct ep_entry *)value)->rec->id, list->next - 1, value,
+				  now_us);
 		g_hash_table_iter_remove(&iter);
 		dropped = true;
 	}
@@ -495,7 +506,7 @@
 	return dropped;
 }
 
-static gint ep_by_id(gconstpointer a, gconstpointer b)
+static gint ep_compare_ids(gconstpointer a, gconstpointer b)
 {
 	const struct ep_rec *ra = *(struct ep_rec *const *)a;
 	const struct ep_rec *rb = *(struct ep_rec *const *)b;
@@ -512,7 +523,7 @@
 	g_hash_table_iter_init(&iter, list->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		g_ptr_array_add(snapshot, ep_rec_ref(((struct ep_entry *)value)->rec));
-	g_ptr_array_sort(snapshot, ep_by_id);
+	g_ptr_array_sort(snapshot, ep_compare_ids);
 	return snapshot;
 }
 
--- a/ep/ep.h
+++ b/ep/ep.h
@@ -11,39 +11,42 @@
 G_BEGIN_DECLS
 
 /*
- * The list of endpoints as they register themselves in the store. An entry that vanishes counts as
- * gone at once while the store is well; while it was away, entries lapse although their endpoints
- * live, so a lapsed one is kept until the store has been back long enough for it to register again.
+ * The list of endpoints that have registered themselves in the store. While the store is reachable,
+ * an endpoint whose entry disappears is dropped at once. During an outage of the store, entries
+ * expire although their endpoints still run, so an expired (lapsed) entry is kept until the store
+ * has been back long enough for the endpoint to register again.
  *
- * Records are ordered by their places in the store's log (era/era.h). Where the store has come back
- * from a copy, it lists what it had some seconds earlier, and what was lost is written again in any
- * order. There an endpoint's own counts tell what is newer: its start and its heartbeats. Without
- * that an endpoint that had gone would be sent to again, or layers that it has given up. Before a
- * store that tells no eras the places alone count.
- * Pure: records and the time go in.
+ * Records are ordered by their places in the store's log (era/era.h). A store that was restored
+ * from a copy lists the state of some seconds earlier, and the lost records are written again in
+ * any order. In that case the endpoint's own counters, its start time and its number of heartbeats,
+ * show which record is newer. Without them this host would send requests to an endpoint that has
+ * ended, or for layers that an endpoint no longer holds. For a store without eras the places alone
+ * decide.
+ *
+ * The module does no I/O: records and the time are passed in. All times are in microseconds of the
+ * caller's clock, except those that are marked as Unix time.
  */
 enum ep_state {
 	EP_READY,
 	EP_DRAINING
 };
 
-/* What an endpoint says of itself; immutable once it is in a list. */
+/* What an endpoint reports about itself. A record is immutable once it is in a list. */
 struct ep_rec {
 	char *id;
-	int64_t born_ms; /* Unix time of its start, which tells its incarnations apart; 0: not told
-			  */
-	char *incarnation; /* id and start in one; what is learnt of an endpoint is kept under it */
+	int64_t born_ms; /* Unix time of the endpoint's start, in milliseconds; 0 if not reported */
+	char *incarnation; /* "id@born_ms"; identifies one run of the endpoint */
 	char *service;
 	char *addr;
 	char *zone;
-	char *kind; /* of its accelerator; NULL for a plain service */
+	char *kind; /* type of the accelerator; NULL for a plain service */
 	enum ep_state state;
-	int slots;
-	int layer_from;	   /* first layer that it holds */
-	int layer_to;	   /* one past the last; equal to layer_from: it holds none */
-	int64_t heartbeat; /* how many it has sent since its start; 0: not told */
-	int64_t cold_ms;   /* how much longer it is slow after its start */
-	char *text;	   /* the record as it was read, for handing it on; NULL: not kept */
+	int slots;	   /* number of requests that the endpoint runs at once */
+	int layer_from;	   /* first model layer that the endpoint holds */
+	int layer_to;	   /* one past the last layer; equal to layer_from if it holds none */
+	int64_t heartbeat; /* number of heartbeats since the endpoint's start; 0 if not reported */
+	int64_t cold_ms; /* remaining time for which the endpoint is slow after its start, in ms */
+	char *text;	 /* the record as it was read, for forwarding to other hosts; or NULL */
 	gint refs;
 };
 
@@ -54,102 +57,108 @@
 /* An entry of the list. */
 struct ep_entry {
 	struct ep_rec *rec;
-	int64_t place; /* of the record in the store's log */
-	bool lapsed;   /* it was missed; kept until the time for coming back is over */
-	bool seen;     /* in the listing that is being read */
+	int64_t place; /* place of the record in the store's log */
+	bool lapsed;   /* missing in the store, but kept for now since its endpoint may still run */
+	bool seen;     /* whether the listing that is being read contains the entry */
 };
 
-/* Who registered at an address last. */
-struct ep_holder {
+/* The endpoint that registered last at an address. */
+struct ep_addr_owner {
 	char *id;
-	int64_t place; /* of that record */
-	int64_t at_us; /* when it was heard of */
+	int64_t place; /* place in the store's log of the record that gives the address */
+	int64_t at_us; /* time at which that record was processed */
 };
 
-/* What is remembered of an endpoint that is not in the list any more. */
-struct ep_note {
-	int64_t place;	   /* of its removal */
-	int64_t born_ms;   /* of the incarnation that is gone */
-	int64_t heartbeat; /* the last one that was heard of */
-	int64_t at_us;	   /* when it was heard of */
+/* What is kept about an incarnation after it has announced that it leaves, or was removed. */
+struct ep_tombstone {
+	int64_t place;	   /* place of the removal in the store's log; 0 if it only leaves */
+	int64_t born_ms;   /* Unix time of the incarnation's start, in milliseconds */
+	int64_t heartbeat; /* highest heartbeat number known of the incarnation */
+	int64_t at_us;	   /* time at which this tombstone was created */
 };
 
 struct ep_list {
-	GHashTable *entries; /* id -> struct ep_entry */
-	GHashTable *left;    /* id that said it is leaving -> struct ep_note */
-	GHashTable *removed; /* id -> struct ep_note */
-	GHashTable *addrs;   /* address -> struct ep_holder */
-	bool away;	     /* the last call to the store failed */
-	int64_t returned_us; /* when it was reached again after that; -1: never away */
-	int64_t listed_us;   /* when it was first read whole; -1: not yet */
-	int64_t next;	     /* place of the next record to read */
-	int64_t era;	     /* of the store, as far as is known */
-	bool may_return;     /* the store tells eras, so it may come back from a copy */
-	bool listing;	     /* a whole listing is being read */
-	bool changed;
-	guint version; /* counts changes of what entries say; heartbeats are none */
+	GHashTable *entries;	 /* id -> struct ep_entry */
+	GHashTable *departures;	 /* id that announced that it leaves -> struct ep_tombstone */
+	GHashTable *removals;	 /* id of a removed entry -> struct ep_tombstone */
+	GHashTable *addr_owners; /* address -> struct ep_addr_owner */
+	bool store_failing;	 /* the last call to the store failed */
+	int64_t store_back_us;	 /* time of the last end of an outage of the store; -1 if none */
+	int64_t listed_us;	 /* time of the first complete listing; -1 if none */
+	int64_t next;		 /* place in the store's log of the next record to read */
+	int64_t era;		 /* latest known era of the store */
+	bool store_has_eras;	 /* the store reports eras, so it may be restored from a copy */
+	bool listing;		 /* a complete listing is being read */
+	bool changed;		 /* set with each change to the list; cleared by the caller */
+	guint version;		 /* number of changes to the entries; heartbeats don't count */
 };
 
 void ep_list_init(struct ep_list *list);
 
-/* A set of the incarnations that are listed; the texts belong to the list. */
+/* Returns a new set of the listed incarnations. The strings belong to the list. */
 GHashTable *ep_incarnations(const struct ep_list *list);
 void ep_list_finish(struct ep_list *list);
 
-/* What a record told. */
-enum ep_news {
-	EP_NOTHING,   /* something newer is known of the endpoint or its address */
-	EP_HEARTBEAT, /* that the endpoint lives; it says the same as before */
-	EP_NEWS
+/* What a record changed in the list. */
+enum ep_record_effect {
+	EP_OUTDATED,  /* nothing: a newer record of the endpoint or of its address is known */
+	EP_HEARTBEAT, /* the endpoint still runs, and its record is otherwise unchanged */
+	EP_NEWS	      /* an entry was added, changed or removed */
 };
 
-/* One record of the log: rec is taken over; NULL: the entry is removed. */
-enum ep_news ep_on_record(struct ep_list *list, int64_t place, const char *id, struct ep_rec *rec,
-			  int64_t now_us);
+/* Processes one record of the log and takes ownership of rec. NULL as rec removes the entry. */
+enum ep_record_effect ep_on_record(struct ep_list *list, int64_t place, const char *id,
+				   struct ep_rec *rec, int64_t now_us);
 
 /*
- * The endpoint said itself that it is leaving, whatever its entry says; for good, as far as this
- * incarnation goes. Returns whether that was news.
+ * The endpoint itself has announced that it leaves. This overrides its entry for the rest of this
+ * incarnation. Returns false if the announcement was known already.
  */
 bool ep_on_leaving(struct ep_list *list, const char *incarnation, int64_t now_us);
 
-/* A whole listing follows, entry by entry, with ep_on_record(); then ep_on_listed(). */
+/*
+ * Begin and end a complete listing. In between, ep_on_record() is called for each entry; entries
+ * that the listing lacks are removed at its end. end: place of the first record after the listing.
+ */
 void ep_on_listing(struct ep_list *list);
 void ep_on_listed(struct ep_list *list, int64_t end, int64_t now_us);
 
 /*
- * The store's era. returned: the store has just come back from a copy; what that lacks is taken as
- * after an outage, and what it has is no news unless its endpoint says more than was known.
+ * Sets the store's era. returned: the store has just been restored from a copy. Entries that the
+ * copy lacks are then treated as after an outage, and an entry that it contains counts as a change
+ * only if the endpoint's counters are higher than the known ones.
  */
 void ep_on_era(struct ep_list *list, int64_t era, bool returned, int64_t now_us);
 
-/* A call to the store failed; entries that vanish meanwhile may belong to endpoints that live. */
+/* A call to the store failed. Entries that expire from now on may belong to running endpoints. */
 void ep_on_away(struct ep_list *list);
 
-/* A call to the store succeeded. Before the records that it brought are given. */
+/* A call to the store succeeded. Must be called before the records that the call returned. */
 void ep_on_reached(struct ep_list *list, int64_t now_us);
 
 /*
- * What a host of this system knew before the store was away, one by one. An endpoint that is not
- * in the list is taken for one whose entry has lapsed, if the time for coming back is not over, and
- * nothing newer is known of it or of its address. Takes rec over; returns whether it was taken.
+ * Adds one entry that a host of this system knew before an outage of the store. The entry is added
+ * as lapsed if the list lacks the endpoint, living endpoints may still be missing, and nothing
+ * newer is known of the endpoint or of its address. Takes ownership of rec. Returns whether it was
+ * added.
  */
 bool ep_on_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us);
 
-/* Whether the store is away, or came back so lately that living endpoints may be missing. */
+/* Whether the store is unreachable, or came back so recently that running endpoints may be missing.
+ */
 bool ep_is_returning(const struct ep_list *list, int64_t now_us);
 
-/* Entries that are missing in the store, and are kept until living endpoints must be back. */
+/* Number of entries that are missing in the store but still kept. */
 int ep_lapsed(const struct ep_list *list);
 
-/* Drops lapsed entries whose time is over. Returns whether there were any. */
+/* Drops lapsed entries and old tombstones that are due. Returns whether an entry was dropped. */
 bool ep_on_time(struct ep_list *list, int64_t now_us);
 
 /*
- * Until when endpoints that live may be missing. A host that starts can't know whether the store
- * was away just before, and one that starts beside its return reads an empty list: in a day on
- * which all hosts were killed in an outage, 2,208 requests were refused in the two seconds until
- * the endpoints had registered again, and nearly all of these had spent their one retry.
+ * Time until which running endpoints may be missing from the list. A starting host can't know
+ * whether the store has just had an outage; if it has, the first listing may be empty. In a test in
+ * which all hosts were killed during an outage, 2,208 requests were refused in the two seconds
+ * until the endpoints had registered again, and nearly all of them had used their only retry.
  */
 int64_t ep_whole_us(const struct ep_list *list);
 
--- a/ep/ep_test.cc
+++ b/ep/ep_test.cc
@@ -366,10 +366,10 @@
 		now += SEC;
 		ep_on_time(&list_, now);
 	}
-	EXPECT_LE(g_hash_table_size(list_.removed), 1100u);
-	EXPECT_LE(g_hash_table_size(list_.left), 1100u);
-	EXPECT_LE(g_hash_table_size(list_.addrs), 1100u);
-	EXPECT_TRUE(g_hash_table_contains(list_.left, "i-7"));
+	EXPECT_LE(g_hash_table_size(list_.removals), 1100u);
+	EXPECT_LE(g_hash_table_size(list_.departures), 1100u);
+	EXPECT_LE(g_hash_table_size(list_.addr_owners), 1100u);
+	EXPECT_TRUE(g_hash_table_contains(list_.departures, "i-7"));
 }
 
 } // namespace
--- a/ep/failing.h
+++ b/ep/failing.h
@@ -8,31 +8,35 @@
 G_BEGIN_DECLS
 
 /*
- * How much one host holds recent failures against an endpoint. Of endpoints that are alike the one
- * that costs least gets everything, so whatever is left of a failure would decide for as long as it
- * lasts: it fades to nothing, with time and with each request that is served. One that is passed
- * over gets a request now and then, or nothing would show that it is well again. Pure.
+ * The penalty of an endpoint for its recent failures, as one host has seen them. Among equal
+ * endpoints the one of the lowest cost gets all requests, so even a small penalty would keep an
+ * endpoint unused for as long as it lasts. The penalty therefore decays to zero, with time and with
+ * each served request. An endpoint that is passed over for its penalty gets a trial request from
+ * time to time, as nothing else would show that it works again. The module does no I/O.
  */
 struct flg {
-	double recent; /* failures, fading */
-	int64_t at_us; /* when that was last brought up to date */
-	int passed;    /* choices in which it was passed over since it was last chosen */
+	double failures;    /* number of failures, decayed up to updated_us */
+	int64_t updated_us; /* time at which failures was last computed, in microseconds */
+	int passed_over; /* number of choices of another endpoint since the last choice of this */
 };
 
 enum {
-	FLG_TRIAL_EVERY = 10 /* choices that pass it over until it is tried */
+	/* An endpoint with a penalty gets a trial request after it was passed over so many times.
+	 */
+	PENALTY_TRIAL_EVERY = 10
 };
 
+/* A request to the endpoint failed, or was served. */
 void flg_on_failed(struct flg *flg, int64_t now_us);
 void flg_on_served(struct flg *flg, int64_t now_us);
 
-/* How many failures count now; 0: none. */
+/* The penalty, as a decayed number of failures; 0 if there is none. */
 double flg_recent(const struct flg *flg, int64_t now_us);
 
-/* Another one was chosen. Returns whether it is this one's turn to be tried. */
+/* Another endpoint was chosen. Returns whether this one is to get a trial request instead. */
 bool flg_on_passed(struct flg *flg, int64_t now_us);
 
-/* It was chosen. */
+/* This endpoint was chosen. */
 void flg_on_chosen(struct flg *flg);
 
 G_END_DECLS
--- a/ep/failing_test.cc
+++ b/ep/failing_test.cc
@@ -52,7 +52,7 @@
 TEST(FailingTest, OneThatGoesOnFailingGetsFew)
 {
 	EXPECT_LE(Gets(1, 100, 0.5, 0, 60 * SEC), 6000 / 6);
-	EXPECT_LE(Gets(1, 100, 1, 0, 60 * SEC), 6000 / FLG_TRIAL_EVERY);
+	EXPECT_LE(Gets(1, 100, 1, 0, 60 * SEC), 6000 / PENALTY_TRIAL_EVERY);
 	EXPECT_LE(Gets(1, 10, 0.5, 0, 60 * SEC), 600 / 6);
 }
 
--- a/ep/rest.c
+++ b/ep/rest.c
@@ -9,9 +9,9 @@
 	if (for_us <= 0 || now_us + for_us <= rst->until_us)
 		return false;
 	if (is_new)
-		rst->calls = 0;
+		rst->report_calls = 0;
 	rst->until_us = now_us + for_us;
-	rst->open_us = rst->until_us + (int64_t)(spread * RST_SPREAD_US);
+	rst->send_from_us = rst->until_us + (int64_t)(spread * RST_SPREAD_US);
 	rst->trial_us = 0;
 	return is_new;
 }
@@ -31,8 +31,8 @@
 	if (rst->until_us == 0)
 		return now_us;
 	if (rst->trial_us == 0)
-		return MAX(rst->open_us, now_us);
-	return MAX(rst->trial_us + RST_TRIAL_US, now_us);
+		return MAX(rst->send_from_us, now_us);
+	return MAX(rst->trial_us + REST_TRIAL_US, now_us);
 }
 
 void rst_on_sent(struct rst *rst, int64_t now_us)
@@ -57,5 +57,5 @@
 {
 	if (!rst_is_asked(rst, now_us))
 		return true;
-	return rst->calls++ == 0;
+	return rst->report_calls++ == 0;
 }
--- a/ep/rest.h
+++ b/ep/rest.h
@@ -8,45 +8,53 @@
 G_BEGIN_DECLS
 
 /*
- * The time in which one endpoint wants nothing of one host. The endpoint asks for it when it
- * rejects a request, and each answer is a promise of its own, so the latest end holds. Afterwards
- * one request goes there first: many hosts were asked in the same moment, and all that waits would
- * find an idle endpoint that may be no better than before. Pure.
+ * A rest: a period in which one host sends no requests to an endpoint, because the endpoint asked
+ * for it when it rejected a request. Each such answer is binding by itself, so the latest end
+ * applies. After the end the host first sends a single trial request. Otherwise the waiting
+ * requests of all hosts, which were asked at the same moment, would arrive together at an endpoint
+ * that looks idle and may still be overloaded. The module does no I/O; times are in microseconds.
  */
 struct rst {
-	int64_t until_us; /* the endpoint wants nothing until then; 0: it has not asked */
-	int64_t open_us;  /* from when on this host sends there again */
-	int64_t trial_us; /* when the first request after that was sent; 0: none was */
-	int calls;	  /* reports and checks that were sent there meanwhile */
+	int64_t until_us;     /* end of the rest; 0 if there was none, or its trial has ended */
+	int64_t send_from_us; /* time from which this host may send the trial request */
+	int64_t trial_us;     /* time at which the trial request was sent; 0 if it was not */
+	int report_calls;     /* number of calls for reports and health checks during the rest */
 };
 
 enum {
-	RST_SPREAD_US = 300000, /* over which hosts come back */
-	RST_TRIAL_US = 400000	/* for which the others wait for the answer to the first request */
+	RST_SPREAD_US = 300000, /* time after a rest over which the hosts' trial requests spread */
+	REST_TRIAL_US =
+		400000 /* longest time for which other requests wait for the trial's answer */
 };
 
-/* What was asked for. Returns whether this is a rest of its own, not one more within another. */
+/*
+ * The endpoint asked for a rest of for_us. spread: random part, 0 to 1, of RST_SPREAD_US by which
+ * this host waits longer. Returns true if a rest begins, false if one is extended or unchanged.
+ */
 bool rst_on_asked(struct rst *rst, int64_t for_us, int64_t now_us, double spread);
 
-/* Whether a request may be sent to the endpoint; after the end, whether there is no trial. */
+/* Whether a request may be sent to the endpoint: no rest and no wait for a trial's answer. */
 bool rst_is_open(const struct rst *rst, int64_t now_us);
 
-/* A request is sent there. */
+/* A request is sent to the endpoint. */
 void rst_on_sent(struct rst *rst, int64_t now_us);
 
-/* It took a request that was sent after the end. Returns whether the rest is over by that. */
+/*
+ * The endpoint accepted a request. Returns whether this ends the rest, which is the case after its
+ * end, once the trial request was sent.
+ */
 bool rst_on_taken(struct rst *rst, int64_t now_us);
 
-/* Whether the endpoint wants nothing now. */
+/* Whether the endpoint is resting now. */
 bool rst_is_asked(const struct rst *rst, int64_t now_us);
 
 /*
- * Whether this host may ask the endpoint for its report, which is no request of a caller's: once in
- * a rest, since a running stream may depend on it. Counts it.
+ * Whether this host may call the endpoint for its report or a health check. This is allowed once
+ * during a rest, since a running stream may depend on the answer. The call is counted.
  */
 bool rst_may_call(struct rst *rst, int64_t now_us);
 
-/* When a request may be sent there: at once, at the end of the rest or of the trial. */
+/* Earliest time at which a request may be sent: now, after the rest, or after the trial. */
 int64_t rst_open_us(const struct rst *rst, int64_t now_us);
 
 G_END_DECLS
--- a/ep/rest_test.cc
+++ b/ep/rest_test.cc
@@ -41,11 +41,11 @@
 	rst rest{};
 	rst_on_asked(&rest, SEC, 0, 0);
 	rst_on_sent(&rest, SEC);
-	EXPECT_FALSE(rst_is_open(&rest, SEC + RST_TRIAL_US - 1));
-	EXPECT_TRUE(rst_is_open(&rest, SEC + RST_TRIAL_US));
-	rst_on_sent(&rest, SEC + RST_TRIAL_US);
-	EXPECT_TRUE(rst_is_open(&rest, SEC + RST_TRIAL_US));
-	EXPECT_LE(RST_SPREAD_US + RST_TRIAL_US, SEC);
+	EXPECT_FALSE(rst_is_open(&rest, SEC + REST_TRIAL_US - 1));
+	EXPECT_TRUE(rst_is_open(&rest, SEC + REST_TRIAL_US));
+	rst_on_sent(&rest, SEC + REST_TRIAL_US);
+	EXPECT_TRUE(rst_is_open(&rest, SEC + REST_TRIAL_US));
+	EXPECT_LE(RST_SPREAD_US + REST_TRIAL_US, SEC);
 }
 
 /* The trial was taken: the endpoint is used like the others. */
--- a/era/era.c
+++ b/era/era.c
@@ -1,50 +1,50 @@
 #include "era/era.h"
 
-static int64_t era_join(int64_t era, int64_t number, int bits)
+static int64_t era_pack(int64_t era, int64_t number, int bits)
 {
 	if (number < 0)
 		return ERA_NONE;
 	return era << bits | (number & ((INT64_C(1) << bits) - 1));
 }
 
-static int64_t era_upper(int64_t joined, int bits)
+static int64_t era_upper_bits(int64_t joined, int bits)
 {
 	return joined < 0 ? ERA_NONE : joined >> bits;
 }
 
-static int64_t era_lower(int64_t joined, int bits)
+static int64_t era_lower_bits(int64_t joined, int bits)
 {
 	return joined < 0 ? ERA_NONE : joined & ((INT64_C(1) << bits) - 1);
 }
 
 int64_t era_place(int64_t era, int64_t offset)
 {
-	return era_join(era, offset, ERA_OFFSET_BITS);
+	return era_pack(era, offset, ERA_OFFSET_BITS);
 }
 
 int64_t era_of_place(int64_t place)
 {
-	return era_upper(place, ERA_OFFSET_BITS);
+	return era_upper_bits(place, ERA_OFFSET_BITS);
 }
 
 int64_t era_offset(int64_t place)
 {
-	return era_lower(place, ERA_OFFSET_BITS);
+	return era_lower_bits(place, ERA_OFFSET_BITS);
 }
 
 int64_t era_fence(int64_t era, int64_t generation)
 {
-	return era_join(era, generation, ERA_GENERATION_BITS);
+	return era_pack(era, generation, ERA_GENERATION_BITS);
 }
 
 int64_t era_of_fence(int64_t fence)
 {
-	return era_upper(fence, ERA_GENERATION_BITS);
+	return era_upper_bits(fence, ERA_GENERATION_BITS);
 }
 
 int64_t era_generation(int64_t fence)
 {
-	return era_lower(fence, ERA_GENERATION_BITS);
+	return era_lower_bits(fence, ERA_GENERATION_BITS);
 }
 
 enum era_news era_hear(struct era *era, int64_t told)
@@ -52,11 +52,11 @@
 	bool first = !era->known;
 
 	if (told < 0 || told > ERA_MAX)
-		return ERA_SAME;
+		return ERA_UNCHANGED;
 	if (!first && told < era->now)
 		return ERA_PAST;
 	if (!first && told == era->now)
-		return ERA_SAME;
+		return ERA_UNCHANGED;
 	era->known = true;
 	era->now = told;
 	return first ? ERA_FIRST : ERA_RETURN;
--- a/era/era.h
+++ b/era/era.h
@@ -8,46 +8,52 @@
 G_BEGIN_DECLS
 
 /*
- * The store's era rises by one each time that the store comes back from a copy some seconds old.
- * What it had acknowledged since is gone then, and it gives out offsets and generations again that
- * hosts have seen. Ordered by these alone, an endpoint that registers after the return would be
- * older than what hosts know of it, and no host's order would be taken by an engine that has seen
- * the greater generation.
+ * The store's era is a counter that rises by one each time the store is restored from a copy some
+ * seconds old. Such a restore loses what the store acknowledged after the copy was made, and the
+ * store then assigns log offsets and group generations again that hosts have seen already. If hosts
+ * ordered records by these alone, an endpoint that registers after the restore would look older
+ * than its known record, and engines that have seen the higher generation would refuse every order.
  *
- * So what the store numbers is kept together with the era, in one number whose upper bits are the
- * era: a place in the log (era, offset) and a fencing number (era, generation). Numbers of a later
- * era are greater. This is the only module that makes such numbers or takes them apart. Pure.
+ * So each number of the store is combined with the era in one integer whose upper bits are the era:
+ * a place is a position in the log (era, offset), a fencing number is (era, generation). Numbers of
+ * a later era are greater. Only this module composes and splits such numbers. It does no I/O.
  */
 enum {
 	ERA_OFFSET_BITS = 40,
 	ERA_GENERATION_BITS = 32,
-	/* A fencing number stays below 2^53, so that every JSON reader takes it. */
+	/* A fencing number stays below 2^53, the limit for exact integers in JSON readers. */
 	ERA_MAX = (1 << 21) - 1,
-	ERA_NONE = -1 /* a place, a fencing number or an era that is not known */
+	ERA_NONE = -1 /* an unknown place, fencing number or era */
 };
 
+/* Composes a place, and returns its parts. ERA_NONE as offset or place gives ERA_NONE. */
 int64_t era_place(int64_t era, int64_t offset);
 int64_t era_of_place(int64_t place);
 int64_t era_offset(int64_t place);
 
+/* Composes a fencing number, and returns its parts. ERA_NONE as argument gives ERA_NONE. */
 int64_t era_fence(int64_t era, int64_t generation);
 int64_t era_of_fence(int64_t fence);
 int64_t era_generation(int64_t fence);
 
-/* The newest era that this host has heard of. */
+/* The latest era that this host knows. */
 struct era {
-	int64_t now; /* 0 as long as no store tells one */
-	bool known;
+	int64_t now; /* latest known era; 0 if no store has reported one */
+	bool known;  /* whether an era was reported */
 };
 
+/* How a reported era compares with the latest known one. */
 enum era_news {
-	ERA_SAME,   /* nothing new, or nothing told */
-	ERA_FIRST,  /* the first era of this process: what it knows so far is of that era */
-	ERA_RETURN, /* the store has come back from a copy, once or several times */
-	ERA_PAST    /* told by somebody who has not heard of the return */
+	ERA_UNCHANGED, /* the same, or no era was reported */
+	ERA_FIRST,     /* the first one since the process started; existing data belong to it */
+	ERA_RETURN,    /* later: the store was restored from a copy, once or several times */
+	ERA_PAST       /* earlier: the sender doesn't know of the restore yet */
 };
 
-/* An answer of the store, or another host, tells an era; ERA_NONE: it tells none. */
+/*
+ * Updates the latest known era with one that the store or another host reported. told: that era, or
+ * ERA_NONE if the message contains none.
+ */
 enum era_news era_hear(struct era *era, int64_t told);
 
 G_END_DECLS
--- a/era/era_test.cc
+++ b/era/era_test.cc
@@ -45,15 +45,15 @@
 		era_news news;
 		int64_t after;
 	} cases[] = {
-		{"nothing", true, 3, ERA_NONE, ERA_SAME, 3},
-		{"nothing, ever", false, 0, ERA_NONE, ERA_SAME, 0},
+		{"nothing", true, 3, ERA_NONE, ERA_UNCHANGED, 3},
+		{"nothing, ever", false, 0, ERA_NONE, ERA_UNCHANGED, 0},
 		{"the first one", false, 0, 5, ERA_FIRST, 5},
 		{"the first one is 0", false, 0, 0, ERA_FIRST, 0},
-		{"the same", true, 3, 3, ERA_SAME, 3},
+		{"the same", true, 3, 3, ERA_UNCHANGED, 3},
 		{"one return", true, 3, 4, ERA_RETURN, 4},
 		{"several", true, 3, 9, ERA_RETURN, 9},
 		{"an answer that was under way", true, 3, 2, ERA_PAST, 3},
-		{"more than can be", true, 3, ERA_MAX + 1, ERA_SAME, 3},
+		{"more than can be", true, 3, ERA_MAX + 1, ERA_UNCHANGED, 3},
 	};
 	for (const auto &c : cases) {
 		era e{c.now, c.known};
--- a/lead/lead.c
+++ b/lead/lead.c
@@ -8,19 +8,19 @@
 	lead->ttl_us = ttl_us;
 	lead->fence = -1;
 	lead->newest = -1;
-	lead->refused = -1;
+	lead->refused_fence = -1;
 }
 
 void lead_on_join(struct lead *lead, int64_t now_us)
 {
-	lead->began_us = now_us;
+	lead->join_sent_us = now_us;
 }
 
 bool lead_on_joined(struct lead *lead, int64_t fence, bool leads)
 {
 	bool changed = leads != lead->leads || fence != lead->fence;
 
-	lead->joined_us = lead->began_us;
+	lead->joined_us = lead->join_sent_us;
 	lead->fence = fence;
 	lead->newest = MAX(lead->newest, fence);
 	lead->leads = leads;
@@ -35,14 +35,14 @@
 void lead_on_return(struct lead *lead, int64_t now_us)
 {
 	if (!lead_may_order(lead, now_us))
-		lead->clear_us = now_us + lead->ttl_us;
+		lead->wait_until_us = now_us + lead->ttl_us;
 	lead->leads = false;
 	lead->joined_us = 0;
 }
 
 void lead_on_refused(struct lead *lead, int64_t fence)
 {
-	lead->refused = MAX(lead->refused, fence);
+	lead->refused_fence = MAX(lead->refused_fence, fence);
 }
 
 void lead_on_left(struct lead *lead)
@@ -51,9 +51,9 @@
 	lead->joined_us = 0;
 }
 
-/* Under a newer number another host may lead, which this one has not been told yet. */
+/* A fencing number newer than this host's own may mean that another host holds the lease now. */
 bool lead_may_order(const struct lead *lead, int64_t now_us)
 {
-	return lead->leads && lead->fence == lead->newest && lead->fence > lead->refused &&
-	       now_us >= lead->clear_us && now_us - lead->joined_us < lead->ttl_us;
+	return lead->leads && lead->fence == lead->newest && lead->fence > lead->refused_fence &&
+	       now_us >= lead->wait_until_us && now_us - lead->joined_us < lead->ttl_us;
 }
--- a/lead/lead.h
+++ b/lead/lead.h
@@ -8,49 +8,53 @@
 G_BEGIN_DECLS
 
 /*
- * Whether this host may give orders to engines: the lease that the store's group of hosts gives to
- * one member, and the fencing number that goes with it (the group's generation in the store's era,
- * see era/era.h). Pure; times are of a clock that goes on while the host is suspended.
+ * Decides whether this host is the leader, the only host that may send orders to engines. The store
+ * keeps a group of hosts and gives a lease to one member. The lease comes with a fencing number,
+ * made of the group's generation and the store's era (era/era.h). The module does no I/O. All times
+ * are in microseconds of a clock that keeps running while the host is suspended.
  *
- * Two hosts that order at once would undo each other's placements and load weights for nothing.
- * The store gives the lease to another host when a member has been silent for its time to live
- * since a join arrived there. This host counts that time from before it sent the join, so its own
- * right ends first, whatever the join's way took, and however long the host was suspended.
+ * Two hosts that send orders at once would undo each other's placements and load weights for
+ * nothing. The store gives the lease to another host when no join of the holder has arrived for
+ * the lease's time to live. This host counts that time from when it sent the join. Its own right to
+ * send orders therefore ends first, however long the join was on its way or the host suspended.
  *
- * When the store comes back from a copy, it may give the lease to another host than the one that
- * holds it, and that one may not hear of the return: it is suspended, or cut off from all but the
- * engines. So a host that hears of a return joins anew, and orders only when a lease from before
- * must be over, unless it held that itself.
+ * A store that was restored from a copy may give the lease to another host, and the previous holder
+ * may not learn of that: it may be suspended, or cut off from everything but the engines. So a host
+ * that learns of a restore joins again, and sends orders only once every lease from before has
+ * expired, unless it held that lease itself.
  */
 struct lead {
-	int64_t ttl_us;	   /* of a member, as the store counts it */
-	int64_t began_us;  /* when the join under way was sent */
-	int64_t joined_us; /* when the last join that was answered had been sent; 0: none */
-	int64_t clear_us;  /* from when on no lease from before a return is left */
-	int64_t fence;	   /* number that this join was answered with; -1: none */
-	int64_t newest;	   /* number that is known from any side; -1: none */
-	int64_t refused;   /* fencing number that an engine refused; -1: none */
-	bool leads;	   /* as that join was answered */
+	int64_t ttl_us;	       /* time to live of a lease in the store */
+	int64_t join_sent_us;  /* time at which the latest join was sent */
+	int64_t joined_us;     /* time at which the last answered join was sent; 0 if none */
+	int64_t wait_until_us; /* no orders before then: a lease from before a restore may last */
+	int64_t fence;	       /* fencing number in the answer to the last join; -1 if none */
+	int64_t newest;	       /* highest fencing number known from any source; -1 if none */
+	int64_t refused_fence; /* highest fencing number that an engine refused; -1 if none */
+	bool leads;	       /* whether the answer to the last join gave the lease to this host */
 };
 
 void lead_init(struct lead *lead, int64_t ttl_us);
 
-/* A join is sent; it was answered. The second returns whether anything changed. */
+/* A join was sent to the store. */
 void lead_on_join(struct lead *lead, int64_t now_us);
+
+/* The store answered the join. Returns whether the fencing number or the lease changed. */
 bool lead_on_joined(struct lead *lead, int64_t fence, bool leads);
 
-/* Another host knows that fencing number. */
+/* Another host reported this fencing number. */
 void lead_on_heard(struct lead *lead, int64_t fence);
 
-/* The store has come back from a copy. */
+/* The store was restored from a copy. */
 void lead_on_return(struct lead *lead, int64_t now_us);
 
-/* An engine has seen a higher fencing number than that one. */
+/* An engine refused an order with this fencing number, since it has seen a higher one. */
 void lead_on_refused(struct lead *lead, int64_t fence);
 
-/* The host leaves the group. */
+/* This host leaves the group. */
 void lead_on_left(struct lead *lead);
 
+/* Whether this host may send orders to engines now. */
 bool lead_may_order(const struct lead *lead, int64_t now_us);
 
 G_END_DECLS
--- a/lead/lead_era_test.cc
+++ b/lead/lead_era_test.cc
@@ -120,7 +120,7 @@
 		lead_on_join(&l, NOW - h.age);
 		lead_on_joined(&l, era_fence(h.era, 1), true);
 	}
-	l.clear_us = NOW + h.clear;
+	l.wait_until_us = NOW + h.clear;
 	return l;
 }
 
@@ -128,7 +128,7 @@
 {
 	int64_t age = l.leads ? NOW - l.joined_us : OLD;
 	h.age = (uint8_t)std::min<int64_t>(age, OLD);
-	h.clear = (uint8_t)std::clamp<int64_t>(l.clear_us - NOW, 0, TTL);
+	h.clear = (uint8_t)std::clamp<int64_t>(l.wait_until_us - NOW, 0, TTL);
 }
 
 /* waits: as the module does; without, the fault that the search must find. */
@@ -137,7 +137,7 @@
 	lead l = AsLead(h);
 	lead_on_return(&l, NOW);
 	if (!waits)
-		l.clear_us = NOW;
+		l.wait_until_us = NOW;
 	h.era = 1;
 	h.kind = NONE;
 	Keep(h, l);
