--- a/ep/doubt.c
+++ b/ep/doubt.c
@@ -9,36 +9,36 @@
 /* Shortest extension of a running period that dbt_set() makes. */
 static const int64_t avoid_min_extension_us = 500000;
 
-int64_t dbt_on_fault(struct dbt *dbt, int64_t now_us)
+int64_t dbt_on_fault(struct dbt *avoid, int64_t now_us)
 {
 	int64_t for_us = avoid_first_us;
 
-	if (dbt_is_set(dbt, now_us))
+	if (dbt_is_set(avoid, now_us))
 		return 0;
-	for (int i = 0; i < dbt->faults && for_us < avoid_max_us; i++)
+	for (int i = 0; i < avoid->faults && for_us < avoid_max_us; i++)
 		for_us *= 2;
 	for_us = MIN(for_us, avoid_max_us);
-	dbt->faults++;
-	dbt->fault_us = now_us;
-	dbt->until_us = now_us + for_us;
+	avoid->faults++;
+	avoid->fault_us = now_us;
+	avoid->until_us = now_us + for_us;
 	return for_us;
 }
 
-void dbt_on_served(struct dbt *dbt, int64_t sent_us)
+void dbt_on_served(struct dbt *avoid, int64_t sent_us)
 {
-	if (sent_us > dbt->fault_us)
-		dbt->faults = 0;
+	if (sent_us > avoid->fault_us)
+		avoid->faults = 0;
 }
 
-bool dbt_set(struct dbt *dbt, int64_t for_us, int64_t now_us)
+bool dbt_set(struct dbt *avoid, int64_t for_us, int64_t now_us)
 {
-	if (dbt->until_us + avoid_min_extension_us >= now_us + for_us)
+	if (avoid->until_us + avoid_min_extension_us >= now_us + for_us)
 		return false;
-	dbt->until_us = now_us + for_us;
+	avoid->until_us = now_us + for_us;
 	return true;
 }
 
-bool dbt_is_set(const struct dbt *dbt, int64_t now_us)
+bool dbt_is_set(const struct dbt *avoid, int64_t now_us)
 {
-	return dbt->until_us > now_us;
+	return avoid->until_us > now_us;
 }
--- a/ep/doubt.h
+++ b/ep/doubt.h
@@ -24,19 +24,19 @@
 };
 
 /* The endpoint was reported at fault. Returns the length of the new period, or 0 if one runs. */
-int64_t dbt_on_fault(struct dbt *dbt, int64_t now_us);
+int64_t dbt_on_fault(struct dbt *avoid, int64_t now_us);
 
 /* The endpoint served a request that was sent to it at sent_us. */
-void dbt_on_served(struct dbt *dbt, int64_t sent_us);
+void dbt_on_served(struct dbt *avoid, int64_t sent_us);
 
 /*
  * Avoids the endpoint until now_us + for_us, for a reason other than a fault. Returns false, and
  * changes nothing, if this would not extend the present period by more than half a second.
  */
-bool dbt_set(struct dbt *dbt, int64_t for_us, int64_t now_us);
+bool dbt_set(struct dbt *avoid, int64_t for_us, int64_t now_us);
 
 /* Whether the endpoint is avoided now. */
-bool dbt_is_set(const struct dbt *dbt, int64_t now_us);
+bool dbt_is_set(const struct dbt *avoid, int64_t now_us);
 
 G_END_DECLS
 
--- a/ep/doubt_test.cc
+++ b/ep/doubt_test.cc
@@ -9,11 +9,11 @@
 
 /*
  * Symptom: one in ten requests was refused although most endpoints were idle.
- * Sequence: an endpoint dies behind a cut while its entry stays in the store for 14 s; engines name
- * it at fault to each request that passes through it. Cause: it was tried anew every 0.7 s by every
- * host, and sending the rejected requests again spent the budget of repeats.
+ * Sequence: an endpoint dies behind a network partition while its entry stays in the store for 14
+ * s; engines report it at fault for each request that passes through it. Cause: every host retried
+ * it every 0.7 s, and sending the rejected requests again used up the retry budget.
  */
-TEST(DoubtTest, ADeadEndpointIsTriedLessAndLessOften)
+TEST(AvoidTest, ADeadEndpointIsTriedLessAndLessOften)
 {
 	dbt d{};
 	int tries = 0;
@@ -26,8 +26,8 @@
 	EXPECT_EQ(tries, 6); /* at 0, 0.7, 2.1, 4.9, 8.9 and 12.9 s */
 }
 
-/* Requests that were under way together are one finding. */
-TEST(DoubtTest, WhatIsKnownAlreadyIsNotCounted)
+/* Several requests in flight may report the same fault. */
+TEST(AvoidTest, AFaultDuringAPeriodIsNotCounted)
 {
 	dbt d{};
 	EXPECT_EQ(dbt_on_fault(&d, 0), 700 * MS);
@@ -36,8 +36,8 @@
 	EXPECT_EQ(dbt_on_fault(&d, 700 * MS), 1400 * MS);
 }
 
-/* One whose memory is full now and then serves in between; it is never passed over for long. */
-TEST(DoubtTest, WhatServesInBetweenStartsAnew)
+/* An endpoint whose memory is full at times serves in between, and is never avoided for long. */
+TEST(AvoidTest, AServedRequestResetsTheLength)
 {
 	dbt d{};
 	for (int64_t t = 0; t < 20000 * MS; t += 1000 * MS) {
@@ -46,8 +46,8 @@
 	}
 }
 
-/* What was sent before it failed says nothing about it now. */
-TEST(DoubtTest, WhatWasSentBeforeDoesNotCount)
+/* A request that was sent before the fault doesn't show that the endpoint works again. */
+TEST(AvoidTest, ARequestSentBeforeTheFaultDoesNotResetTheLength)
 {
 	dbt d{};
 	dbt_on_fault(&d, 1000 * MS);
@@ -55,11 +55,11 @@
 	EXPECT_EQ(dbt_on_fault(&d, 2000 * MS), 1400 * MS);
 }
 
-TEST(DoubtTest, OtherReasonsLengthenOnly)
+TEST(AvoidTest, OtherReasonsOnlyExtendThePeriod)
 {
 	dbt d{};
 	EXPECT_TRUE(dbt_set(&d, 1000 * MS, 0));
-	EXPECT_FALSE(dbt_set(&d, 700 * MS, 100 * MS)) << "little news";
+	EXPECT_FALSE(dbt_set(&d, 700 * MS, 100 * MS)) << "less than the shortest extension";
 	EXPECT_TRUE(dbt_set(&d, 2000 * MS, 100 * MS));
 	EXPECT_TRUE(dbt_is_set(&d, 2000 * MS));
 	EXPECT_FALSE(dbt_is_set(&d, 2100 * MS));
--- a/ep/ep.c
+++ b/ep/ep.c
@@ -410,11 +410,11 @@
 	return MAX(list->listed_us, list->store_back_us) + EP_REREGISTER_US;
 }
 
-void ep_on_era(struct ep_list *list, int64_t era, bool returned, int64_t now_us)
+void ep_on_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us)
 {
 	list->era = era;
 	list->store_has_eras = true;
-	if (!returned)
+	if (!restored)
 		return;
 	list->store_failing = false;
 	list->store_back_us = now_us;
--- a/ep/ep.h
+++ b/ep/ep.h
@@ -73,7 +73,7 @@
 struct ep_tombstone {
 	int64_t place;	   /* place of the removal in the store's log; 0 if it only leaves */
 	int64_t born_ms;   /* Unix time of the incarnation's start, in milliseconds */
-	int64_t heartbeat; /* highest heartbeat number known of the incarnation */
+	int64_t heartbeat; /* latest known heartbeat number of the incarnation; 0 if none */
 	int64_t at_us;	   /* time at which this tombstone was created */
 };
 
@@ -97,6 +97,8 @@
 
 /* Returns a new set of the listed incarnations. The strings belong to the list. */
 GHashTable *ep_incarnations(const struct ep_list *list);
+
+/* Frees the content of the list. */
 void ep_list_finish(struct ep_list *list);
 
 /* What a record changed in the list. */
@@ -118,17 +120,18 @@
 
 /*
  * Begin and end a complete listing. In between, ep_on_record() is called for each entry; entries
- * that the listing lacks are removed at its end. end: place of the first record after the listing.
+ * that the listing lacks are removed, or kept as lapsed, at its end. end: place of the first record
+ * after the listing.
  */
 void ep_on_listing(struct ep_list *list);
 void ep_on_listed(struct ep_list *list, int64_t end, int64_t now_us);
 
 /*
- * Sets the store's era. returned: the store has just been restored from a copy. Entries that the
+ * Sets the store's era. restored: the store has just been restored from a copy. Entries that the
  * copy lacks are then treated as after an outage, and an entry that it contains counts as a change
  * only if the endpoint's counters are higher than the known ones.
  */
-void ep_on_era(struct ep_list *list, int64_t era, bool returned, int64_t now_us);
+void ep_on_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us);
 
 /* A call to the store failed. Entries that expire from now on may belong to running endpoints. */
 void ep_on_away(struct ep_list *list);
@@ -138,14 +141,13 @@
 
 /*
  * Adds one entry that a host of this system knew before an outage of the store. The entry is added
- * as lapsed if the list lacks the endpoint, living endpoints may still be missing, and nothing
+ * as lapsed if the list lacks the endpoint, running endpoints may still be missing, and nothing
  * newer is known of the endpoint or of its address. Takes ownership of rec. Returns whether it was
  * added.
  */
 bool ep_on_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us);
 
-/* Whether the store is unreachable, or came back so recently that running endpoints may be missing.
- */
+/* Whether running endpoints may be missing: the store is unreachable or only just came back. */
 bool ep_is_returning(const struct ep_list *list, int64_t now_us);
 
 /* Number of entries that are missing in the store but still kept. */
--- a/ep/ep_era_test.cc
+++ b/ep/ep_era_test.cc
@@ -11,7 +11,7 @@
 
 const int64_t SEC = 1000000;
 
-/* What an endpoint says, as a record of the log; without heartbeat it is the removal. */
+/* A record of the log as an endpoint writes it; heartbeat 0 makes it the entry's removal. */
 struct Entry {
 	std::string id;
 	int64_t born = 0;
@@ -32,24 +32,24 @@
 	return rec;
 }
 
-class View
+class HostView
 {
       public:
-	View()
+	HostView()
 	{
 		ep_list_init(&list);
 		ep_on_era(&list, 1, false, 0);
 	}
-	~View()
+	~HostView()
 	{
 		ep_list_finish(&list);
 	}
-	bool Take(int64_t place, const Entry &e, int64_t now)
+	bool Process(int64_t place, const Entry &e, int64_t now)
 	{
 		return ep_on_record(&list, place, e.id.c_str(),
 				    e.heartbeat > 0 ? MakeRec(e) : nullptr, now);
 	}
-	/* "id:heartbeat/layers", those that are leaving in brackets. */
+	/* The list as "id:heartbeat/layers" for each entry; draining endpoints are in brackets. */
 	std::string Shown() const
 	{
 		std::string shown;
@@ -67,20 +67,22 @@
 };
 
 /*
- * Symptom: right after the store came back from a copy, hosts sent to endpoints that had gone, used
- * layers that had been given up, or did not use an endpoint that had just registered.
- * Sequence: a host has read up to offset 20; the store lists a copy in era 2, and new records
- * follow at offsets that the host had read in era 1. Cause: offsets alone ordered the records.
+ * Symptom: right after the store was restored from a copy, hosts sent requests to endpoints that
+ * had ended, used layers that were no longer held, or didn't use an endpoint that had just
+ * registered. Sequence: a host has read up to offset 20; the store lists its copy in era 2, and new
+ * records follow at offsets that the host had read in era 1. Cause: records were ordered by their
+ * offsets alone.
  */
-TEST(EpEraTest, WhatTheCopySaysIsComparedWithWhatIsKnown)
+TEST(EpEraTest, ARestoredListingDoesNotReplaceNewerRecords)
 {
 	const struct {
 		const char *what;
-		Entry before; /* read at place (1, 20) */
-		bool removed; /* and at (1, 21) */
-		Entry copy;   /* listed at (2, 5); no heartbeat: missing */
-		Entry then;   /* read at (2, 9); no heartbeat: none */
-		const char *at_once, *after;
+		Entry before;	     /* record at era 1, offset 20 */
+		bool removed;	     /* whether a removal follows at era 1, offset 21 */
+		Entry copy;	     /* listed at era 2, offset 5; heartbeat 0: not listed */
+		Entry then;	     /* record at era 2, offset 9; heartbeat 0: no record */
+		const char *at_once; /* expected list right after the listing */
+		const char *after;   /* expected list at the end */
 	} cases[] = {
 		{"the copy is older",
 		 {"e1", 7, 9, 4},
@@ -89,46 +91,64 @@
 		 {},
 		 "e1:9/4",
 		 "e1:9/4"},
-		{"the next heartbeat is news",
+		{"the next heartbeat is accepted",
 		 {"e1", 7, 9, 4},
 		 false,
 		 {"e1", 7, 3, 8},
 		 {"e1", 7, 10, 2},
 		 "e1:9/4",
 		 "e1:10/2"},
-		{"an old one is written again",
+		{"an old heartbeat is written again",
 		 {"e1", 7, 9, 4},
 		 false,
 		 {},
 		 {"e1", 7, 8, 8},
 		 "e1:9/4",
 		 "e1:9/4"},
-		{"missing, and never back", {"e1", 7, 9, 4}, false, {}, {}, "e1:9/4", ""},
-		{"missing, and back",
+		{"missing, and not registered again", {"e1", 7, 9, 4}, false, {}, {}, "e1:9/4", ""},
+		{"missing, and registered again",
 		 {"e1", 7, 9, 4},
 		 false,
 		 {},
 		 {"e1", 7, 10, 4},
 		 "e1:9/4",
 		 "e1:10/4"},
-		{"removed, in the copy", {"e1", 7, 9, 4}, true, {"e1", 7, 9, 4}, {}, "", ""},
-		{"removed, written again", {"e1", 7, 9, 4}, true, {}, {"e1", 7, 8, 4}, "", ""},
-		{"removed, registers anew",
+		{"removed, but listed in the copy",
+		 {"e1", 7, 9, 4},
+		 true,
+		 {"e1", 7, 9, 4},
+		 {},
+		 "",
+		 ""},
+		{"removed, but an old record is written again",
+		 {"e1", 7, 9, 4},
+		 true,
+		 {},
+		 {"e1", 7, 8, 4},
+		 "",
+		 ""},
+		{"removed, and registered again",
 		 {"e1", 7, 9, 4},
 		 true,
 		 {"e1", 7, 9, 4},
 		 {"e1", 7, 10, 4},
 		 "",
 		 "e1:10/4"},
-		{"removed, starts again", {"e1", 7, 9, 4}, true, {}, {"e1", 8, 1, 0}, "", "e1:1/0"},
-		{"leaving, in the copy not yet",
+		{"removed, and started again",
+		 {"e1", 7, 9, 4},
+		 true,
+		 {},
+		 {"e1", 8, 1, 0},
+		 "",
+		 "e1:1/0"},
+		{"draining, but ready in the copy",
 		 {"e1", 7, 9, 4, true},
 		 false,
 		 {"e1", 7, 8, 4},
 		 {},
 		 "(e1:9/4)",
 		 "(e1:9/4)"},
-		{"new, at an offset that was read",
+		{"a new endpoint at an offset that was read in era 1",
 		 {"e1", 7, 9, 4},
 		 false,
 		 {"e1", 7, 9, 4},
@@ -137,56 +157,57 @@
 		 "e1:9/4e2:1/0"},
 	};
 	for (const auto &c : cases) {
-		View v;
-		v.Take(era_place(1, 20), c.before, 0);
+		HostView v;
+		v.Process(era_place(1, 20), c.before, 0);
 		if (c.removed)
-			v.Take(era_place(1, 21), Entry{c.before.id}, 0);
+			v.Process(era_place(1, 21), Entry{c.before.id}, 0);
 		ep_on_era(&v.list, 2, true, 10 * SEC);
 		ep_on_listing(&v.list);
 		if (c.copy.heartbeat > 0)
-			v.Take(era_place(2, 5), c.copy, 10 * SEC);
+			v.Process(era_place(2, 5), c.copy, 10 * SEC);
 		ep_on_listed(&v.list, era_place(2, 6), 10 * SEC);
 		EXPECT_EQ(v.Shown(), c.at_once) << c.what;
 		if (c.then.heartbeat > 0)
-			v.Take(era_place(2, 9), c.then, 11 * SEC);
+			v.Process(era_place(2, 9), c.then, 11 * SEC);
 		ep_on_time(&v.list, 13 * SEC);
 		EXPECT_EQ(v.Shown(), c.after) << c.what;
 	}
 }
 
-/* A host that has not heard of the return feeds one that has. */
-TEST(EpEraTest, AnOlderErasRecordIsNotTaken)
+/* A host that doesn't know of a restore yet may send records to one that does. */
+TEST(EpEraTest, ARecordOfAnEarlierEraIsIgnored)
 {
-	View v;
+	HostView v;
 	ep_on_era(&v.list, 2, true, 10 * SEC);
-	EXPECT_FALSE(v.Take(era_place(1, 900), {"e1", 7, 9, 4}, 10 * SEC));
+	EXPECT_FALSE(v.Process(era_place(1, 900), {"e1", 7, 9, 4}, 10 * SEC));
 	EXPECT_EQ(v.Shown(), "");
-	EXPECT_TRUE(v.Take(era_place(2, 3), {"e1", 7, 10, 4}, 10 * SEC));
-	EXPECT_FALSE(v.Take(era_place(1, 901), Entry{"e1"}, 11 * SEC));
+	EXPECT_TRUE(v.Process(era_place(2, 3), {"e1", 7, 10, 4}, 10 * SEC));
+	EXPECT_FALSE(v.Process(era_place(1, 901), Entry{"e1"}, 11 * SEC));
 	EXPECT_EQ(v.Shown(), "e1:10/4");
 }
 
-/* An endpoint that moved to the address of another one: the copy has the other one there. */
-TEST(EpEraTest, AnAddressStaysWithItsLastHolder)
+/* The copy may list an endpoint at an address that another one has since taken over. */
+TEST(EpEraTest, AnAddressStaysWithItsLatestOwner)
 {
-	View v;
+	HostView v;
 	Entry old_one{"e1", 7, 9, 4};
 	Entry new_one{"f1", 8, 2, 4};
-	v.Take(era_place(1, 20), old_one, 0);
-	v.Take(era_place(1, 21), new_one, 0);
+	v.Process(era_place(1, 20), old_one, 0);
+	v.Process(era_place(1, 21), new_one, 0);
 	EXPECT_EQ(v.Shown(), "f1:2/4");
 	ep_on_era(&v.list, 2, true, 10 * SEC);
 	ep_on_listing(&v.list);
-	v.Take(era_place(2, 5), old_one, 10 * SEC);
+	v.Process(era_place(2, 5), old_one, 10 * SEC);
 	ep_on_listed(&v.list, era_place(2, 6), 10 * SEC);
 	EXPECT_EQ(v.Shown(), "f1:2/4");
 }
 
 /*
- * A store that tells no era never comes back from a copy; an endpoint whose counts start anew there
- * is one that has started again, or another writer's count was wrong.
+ * A store without eras is never restored from a copy. If an endpoint's heartbeat counter falls
+ * there, the endpoint has restarted, or the counter of another writer was wrong; the record is
+ * accepted.
  */
-TEST(EpEraTest, WithoutErasOnlyPlacesCount)
+TEST(EpEraTest, WithoutErasOnlyPlacesOrderRecords)
 {
 	ep_list list;
 	ep_list_init(&list);
@@ -197,16 +218,19 @@
 	ep_list_finish(&list);
 }
 
-/*
- * A model of the store and of a host's view of it: endpoints send heartbeats, change their layers,
- * leave, end and start again; the store goes back and its writers write again; the host reads on,
- * lists, or hears a record late by way of another host, all in an order that the seed gives.
- */
+/* A record of the modelled store's log. */
 struct Record {
 	int64_t place;
 	Entry entry;
 };
 
+/*
+ * A model of the store and of one host's list. Endpoints send heartbeats, change their layers,
+ * leave, end and start again; the store is restored from a copy and lost records are written again;
+ * the host reads records, reads a listing, or receives a late record from another host. The seed
+ * determines the order of these events.
+ */
+
 class Model
 {
       public:
@@ -214,7 +238,7 @@
 	{
 	}
 
-	int Pick(int n)
+	int Random(int n)
 	{
 		return (int)(rng_() % (unsigned)n);
 	}
@@ -222,20 +246,20 @@
 	void Write(const Entry &e)
 	{
 		log_.push_back({era_place(era_, (int64_t)log_.size()), e});
-		all_.push_back(log_.back());
+		all_records_.push_back(log_.back());
 	}
 
-	void Beat(Entry &e)
+	void SendHeartbeat(Entry &e)
 	{
 		if (e.heartbeat == 0)
 			return;
 		e.heartbeat++;
-		if (Pick(4) == 0)
-			e.layers = Pick(80);
+		if (Random(4) == 0)
+			e.layers = Random(80);
 		Write(e);
 	}
 
-	/* It ends; its entry goes, and it may start again at once or later. */
+	/* Ends the endpoint and removes its entry; the endpoint may start again later. */
 	void End(Entry &e)
 	{
 		if (e.heartbeat == 0)
@@ -252,23 +276,23 @@
 		Write(e);
 	}
 
-	/* The store comes back from a copy; what was lost is written again, some of it now. */
-	void Return()
+	/* Restores the store from a copy that lacks up to 40 records; half are written again. */
+	void Restore()
 	{
 		size_t kept =
-			log_.size() - (size_t)Pick((int)std::min<size_t>(log_.size(), 40) + 1);
+			log_.size() - (size_t)Random((int)std::min<size_t>(log_.size(), 40) + 1);
 		std::vector<Record> lost(log_.begin() + (long)kept, log_.end());
 		log_.resize(kept);
 		era_++;
 		std::shuffle(lost.begin(), lost.end(), rng_);
 		for (const Record &r : lost) {
-			if (Pick(2) == 0)
+			if (Random(2) == 0)
 				Write(r.entry);
 		}
-		/* The last word of each writer is its newest. */
-		for (Entry &e : ends_) {
+		/* Each writer's last record is its newest one. */
+		for (Entry &e : endpoints_) {
 			if (e.heartbeat > 0)
-				Beat(e);
+				SendHeartbeat(e);
 			else
 				Write(Entry{e.id});
 		}
@@ -276,7 +300,7 @@
 		listed_ = false;
 	}
 
-	std::map<std::string, Record> Newest() const
+	std::map<std::string, Record> NewestRecords() const
 	{
 		std::map<std::string, Record> newest;
 		for (const Record &r : log_) {
@@ -291,12 +315,12 @@
 	void List()
 	{
 		std::vector<Record> items;
-		for (const auto &n : Newest())
+		for (const auto &n : NewestRecords())
 			items.push_back(n.second);
 		std::shuffle(items.begin(), items.end(), rng_);
 		ep_on_listing(&view_.list);
 		for (const Record &r : items)
-			Give(r);
+			Deliver(r);
 		ep_on_listed(&view_.list, era_place(era_, (int64_t)log_.size()), now_);
 		listed_ = true;
 	}
@@ -307,68 +331,69 @@
 			return List();
 		size_t from = (size_t)era_offset(view_.list.next);
 		for (size_t i = from; i < log_.size() && n-- > 0; i++)
-			Give(log_[i]);
+			Deliver(log_[i]);
 	}
 
-	void Give(const Record &r)
+	void Deliver(const Record &r)
 	{
-		view_.Take(r.place, r.entry, now_);
+		view_.Process(r.place, r.entry, now_);
 	}
 
-	/* What the host shows never goes back, whatever it was told. */
+	/* Checks that no endpoint in the host's list goes back to an older record or to ready. */
 	void Check(unsigned seed, int step)
 	{
 		GPtrArray *recs = ep_snapshot(&view_.list);
 		for (guint i = 0; i < recs->len; i++) {
 			const ep_rec *r = (const ep_rec *)recs->pdata[i];
 			std::pair<int64_t, int64_t> is{r->born_ms, r->heartbeat};
-			auto &was = shown_[r->id];
+			auto &was = last_shown_[r->id];
 			EXPECT_GE(is, was) << r->id << " seed " << seed << " step " << step;
 			was = std::max(is, was);
-			auto &left = left_[r->id];
+			auto &drained_before = drained_before_[r->id];
 			if (r->state == EP_DRAINING)
-				left = std::max(left, r->born_ms + 1);
-			EXPECT_FALSE(r->state == EP_READY && r->born_ms < left)
-				<< r->id << " is ready after it has left, seed " << seed;
+				drained_before = std::max(drained_before, r->born_ms + 1);
+			EXPECT_FALSE(r->state == EP_READY && r->born_ms < drained_before)
+				<< r->id << " is ready after it was draining, seed " << seed;
 		}
 		g_ptr_array_unref(recs);
 	}
 
 	void Step()
 	{
-		Entry &e = ends_[(size_t)Pick((int)ends_.size())];
-		now_ += Pick(200) * 1000;
-		switch (Pick(12)) {
+		Entry &e = endpoints_[(size_t)Random((int)endpoints_.size())];
+		now_ += Random(200) * 1000;
+		switch (Random(12)) {
 		case 0:
 			return End(e);
 		case 1:
 			return Start(e);
 		case 2:
 			e.leaving = e.heartbeat > 0;
-			return Beat(e);
+			return SendHeartbeat(e);
 		case 3:
-			if (Pick(6) == 0)
-				Return();
+			if (Random(6) == 0)
+				Restore();
 			return;
 		case 4:
 			return List();
-		case 5: /* late, from a host that is behind; not from before the newest listing */
-			if (!all_.empty() && era_of_place(all_.back().place) == era_)
-				Give(all_[(size_t)Pick((int)all_.size())]);
+		case 5: /* a late record from another host, once this era has records */
+			if (!all_records_.empty() &&
+			    era_of_place(all_records_.back().place) == era_)
+				Deliver(all_records_[(size_t)Random((int)all_records_.size())]);
 			return;
 		case 6:
 		case 7:
-			return Read(Pick(30));
+			return Read(Random(30));
 		default:
-			return Beat(e);
+			return SendHeartbeat(e);
 		}
 	}
 
-	/* All has been written and read, and the time for coming back is over. */
-	void Settle()
+	/* Writes and reads everything outstanding, and waits until lapsed entries are dropped. */
+	void Finish()
 	{
-		for (Entry &e : ends_)
-			Beat(e);
+		for (Entry &e : endpoints_)
+			SendHeartbeat(e);
 		now_ += 10 * SEC;
 		Read((int)log_.size());
 		now_ += 10 * SEC;
@@ -376,19 +401,19 @@
 		ep_on_time(&view_.list, now_);
 	}
 
-	std::string Wanted() const
+	std::string Expected() const
 	{
-		std::string wanted;
-		for (const auto &n : Newest()) {
+		std::string expected;
+		for (const auto &n : NewestRecords()) {
 			const Entry &e = n.second.entry;
 			std::string one = e.id + ":" + std::to_string(e.heartbeat) + "/" +
 					  std::to_string(e.layers);
-			wanted += e.leaving ? "(" + one + ")" : one;
+			expected += e.leaving ? "(" + one + ")" : one;
 		}
-		return wanted;
+		return expected;
 	}
 
-	View view_;
+	HostView view_;
 
       private:
 	std::mt19937 rng_;
@@ -396,13 +421,13 @@
 	int64_t now_ = SEC;
 	bool listed_ = false;
 	std::vector<Record> log_;
-	std::vector<Record> all_; /* with those that were lost */
-	std::vector<Entry> ends_{{"e1", 1}, {"e2", 1}, {"e3", 1}, {"e4", 1}};
-	std::map<std::string, std::pair<int64_t, int64_t>> shown_;
-	std::map<std::string, int64_t> left_;
+	std::vector<Record> all_records_; /* all records ever written, including lost ones */
+	std::vector<Entry> endpoints_{{"e1", 1}, {"e2", 1}, {"e3", 1}, {"e4", 1}};
+	std::map<std::string, std::pair<int64_t, int64_t>> last_shown_;
+	std::map<std::string, int64_t> drained_before_;
 };
 
-TEST(EpEraModelTest, NothingGoesBackAndAllIsWholeInTheEnd)
+TEST(EpEraModelTest, EntriesNeverGoBackAndTheListIsCompleteInTheEnd)
 {
 	for (unsigned seed = 1; seed <= 2000; seed++) {
 		Model m(seed);
@@ -410,8 +435,8 @@
 			m.Step();
 			m.Check(seed, step);
 		}
-		m.Settle();
-		ASSERT_EQ(m.view_.Shown(), m.Wanted()) << "seed " << seed;
+		m.Finish();
+		ASSERT_EQ(m.view_.Shown(), m.Expected()) << "seed " << seed;
 		ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed;
 	}
 }
--- a/ep/ep_test.cc
+++ b/ep/ep_test.cc
@@ -38,7 +38,7 @@
 		ep_on_record(&list_, offset_++, id, nullptr, now);
 	}
 
-	/* Ids in the list, those that are leaving in brackets. */
+	/* Ids in the list in order; those of draining endpoints are in brackets. */
 	std::string Ids()
 	{
 		GPtrArray *recs = ep_snapshot(&list_);
@@ -58,12 +58,12 @@
 };
 
 /*
- * Symptom: after a kill of all hosts in an outage of the store, 1,468 requests were refused though
- * the endpoints lived. Sequence: the entries lapse while the store is away; it comes back; hosts
- * that have just started read an empty list. Cause: what they knew died with them; it is recalled
- * from the store, for the time in which living endpoints register again.
+ * Symptom: after all hosts were killed during an outage of the store, 1,468 requests were refused
+ * although the endpoints were running. Sequence: the entries expire during the outage; the store
+ * comes back; restarted hosts read an empty list. Cause: the killed hosts' lists were lost. They
+ * are now recalled from the store for the time in which running endpoints register again.
  */
-TEST_F(EpTest, WhatWasKnownBeforeAnOutageIsRecalledForAWhile)
+TEST_F(EpTest, EntriesFromBeforeAnOutageAreRecalledForTwoSeconds)
 {
 	const struct {
 		const char *what;
@@ -73,7 +73,7 @@
 	} cases[] = {
 		{"in time", true, 10, 13, "abc", "b"},
 		{"too late", true, 13, 14, "b", "b"},
-		{"the store was not away", false, 10, 13, "b", "b"},
+		{"the store had no outage", false, 10, 13, "b", "b"},
 	};
 	for (const auto &c : cases) {
 		TearDown();
@@ -93,7 +93,7 @@
 	}
 }
 
-TEST_F(EpTest, WhatIsRecalledGivesWayToNews)
+TEST_F(EpTest, ARecalledEntryDoesNotReplaceANewerRecord)
 {
 	offset_ = 100;
 	ep_on_away(&list_);
@@ -102,7 +102,8 @@
 	Remove("r", 10 * SEC);
 	same_addr_ = true;
 	Put("n", 10 * SEC);
-	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("o"), 10 * SEC)) << "its address has another";
+	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("o"), 10 * SEC))
+		<< "another endpoint is at its address";
 	same_addr_ = false;
 	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("l"), 10 * SEC)) << "it is leaving";
 	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("r"), 10 * SEC)) << "it was removed since";
@@ -113,22 +114,22 @@
 	EXPECT_EQ(Ids(), "a(l)n") << "it has registered again";
 }
 
-/* A first listing, and one after an outage, may lack endpoints for two seconds. */
-TEST_F(EpTest, WhenAListIsWhole)
+/* Running endpoints may be missing for two seconds after the first listing and after an outage. */
+TEST_F(EpTest, AListIsCompleteTwoSecondsAfterTheFirstListingOrAnOutage)
 {
-	EXPECT_LT(ep_whole_us(&list_), 2 * SEC) << "nothing was read";
+	EXPECT_LT(ep_whole_us(&list_), 2 * SEC) << "there was no listing";
 	ep_on_listing(&list_);
 	ep_on_listed(&list_, 0, 10 * SEC);
 	EXPECT_EQ(ep_whole_us(&list_), 12 * SEC);
 	ep_on_listing(&list_);
 	ep_on_listed(&list_, 0, 20 * SEC);
-	EXPECT_EQ(ep_whole_us(&list_), 12 * SEC) << "the store was well all the while";
+	EXPECT_EQ(ep_whole_us(&list_), 12 * SEC) << "the store had no outage";
 	ep_on_away(&list_);
 	ep_on_reached(&list_, 30 * SEC);
 	EXPECT_EQ(ep_whole_us(&list_), 32 * SEC);
 }
 
-TEST_F(EpTest, FollowsRecords)
+TEST_F(EpTest, RecordsAddChangeAndRemoveEntries)
 {
 	Put("a", SEC);
 	Put("b", SEC);
@@ -140,7 +141,7 @@
 	EXPECT_EQ(list_.next, offset_);
 }
 
-TEST_F(EpTest, OlderRecordChangesNothing)
+TEST_F(EpTest, AnOlderRecordIsIgnored)
 {
 	ep_on_record(&list_, 7, "a", Rec("a", EP_READY), SEC);
 	ep_on_record(&list_, 3, "a", nullptr, SEC);
@@ -149,20 +150,19 @@
 
 /*
  * Symptom: a request reached an endpoint after it had left.
- * Sequence: the endpoint says it is leaving; the store forgets its history, and its listing, read
- * from a copy that is behind, shows the endpoint as ready.
- * Cause: leaving was taken back.
+ * Sequence: the endpoint registers as draining; the store loses its history, and its listing, read
+ * from an outdated copy, shows the endpoint as ready.
+ * Cause: the state changed back from draining to ready.
  */
-TEST_F(EpTest, LeavingIsNeverTakenBack)
+TEST_F(EpTest, ADrainingEndpointDoesNotBecomeReadyAgain)
 {
 	Put("a", SEC, EP_DRAINING);
 	Put("a", 2 * SEC, EP_READY);
 	EXPECT_EQ(Ids(), "(a)");
 }
 
-/* Guards against an entry, whenever it was written, that undoes what an endpoint has said itself.
- */
-TEST_F(EpTest, WhatAnEndpointSaysOfItsLeavingHolds)
+/* Guards against an entry that makes an endpoint ready after it announced that it leaves. */
+TEST_F(EpTest, AnAnnouncedDepartureOverridesEntries)
 {
 	const char *const a = "a@7";
 	born_ = 7;
@@ -173,27 +173,26 @@
 	EXPECT_EQ(Ids(), "(a)b");
 	EXPECT_GT(list_.version, before);
 	EXPECT_TRUE(list_.changed);
-	EXPECT_FALSE(ep_on_leaving(&list_, a, SEC)) << "it is known";
+	EXPECT_FALSE(ep_on_leaving(&list_, a, SEC)) << "it is known already";
 	Put("a", 2 * SEC);
 	EXPECT_EQ(Ids(), "(a)b") << "a heartbeat";
 	ep_on_listing(&list_);
 	Put("a", 3 * SEC);
 	Put("b", 3 * SEC);
 	ep_on_listed(&list_, offset_, 3 * SEC);
-	EXPECT_EQ(Ids(), "(a)b") << "the list was read anew";
+	EXPECT_EQ(Ids(), "(a)b") << "the list was read again";
 	Remove("a", 4 * SEC);
 	Put("a", 4 * SEC);
-	EXPECT_EQ(Ids(), "(a)b") << "an entry written anew";
+	EXPECT_EQ(Ids(), "(a)b") << "the entry was written again";
 	born_ = 8;
 	Put("a", 5 * SEC);
-	EXPECT_EQ(Ids(), "ab") << "its next start";
-	EXPECT_FALSE(ep_on_leaving(&list_, "a@6", SEC)) << "of a start before";
+	EXPECT_EQ(Ids(), "ab") << "the next incarnation";
+	EXPECT_FALSE(ep_on_leaving(&list_, "a@6", SEC)) << "an earlier incarnation";
 	EXPECT_EQ(Ids(), "ab");
 }
 
-/* Guards against an endpoint that another host knows to leave, and that is used once it is listed.
- */
-TEST_F(EpTest, LeavingMayBeHeardBeforeTheEntry)
+/* Guards against use of an endpoint whose departure was announced before its entry was read. */
+TEST_F(EpTest, ADepartureMayBeAnnouncedBeforeTheEntryIsRead)
 {
 	born_ = 7;
 	EXPECT_TRUE(ep_on_leaving(&list_, "a@7", SEC));
@@ -205,10 +204,10 @@
 }
 
 /*
- * Symptom: one host sent requests to an endpoint that was gone, for good.
- * Sequence: a host hears of records from the store and from another host; the removal of an entry
- * comes by one way, and after it an older record of the entry by the other. Cause: the older record
- * put the entry back.
+ * Symptom: one host kept sending requests to an endpoint that had ended.
+ * Sequence: a host receives records from the store and from another host; the removal of an entry
+ * arrives from one of them, and then an older record of the entry from the other. Cause: the older
+ * record restored the entry.
  */
 TEST_F(EpTest, AnOlderRecordDoesNotUndoARemoval)
 {
@@ -222,9 +221,9 @@
 }
 
 /*
- * Symptom: the same, with an entry whose removal never came.
- * Sequence: an endpoint crashes and starts anew at its address, under a new id.
- * Cause: both entries stood for the address.
+ * Symptom: one host kept sending requests to an endpoint that had ended and was never removed.
+ * Sequence: an endpoint crashes and starts again at the same address with a new id.
+ * Cause: the list kept both entries for the address.
  */
 TEST_F(EpTest, ANewEndpointAtAnAddressReplacesTheOldOne)
 {
@@ -238,7 +237,7 @@
 	EXPECT_EQ(Ids(), "bc") << "the older entry does not come back";
 }
 
-TEST_F(EpTest, ListingRemovesWhatItDoesNotName)
+TEST_F(EpTest, AListingRemovesEntriesThatItLacks)
 {
 	Put("a", SEC);
 	Put("b", SEC);
@@ -250,11 +249,11 @@
 }
 
 /*
- * Symptom: all endpoints were gone for a second or two after an outage of the store.
- * Sequence: heartbeats are not taken during the outage, the entries expire, the store returns.
- * Cause: expiry during an outage was taken for the endpoints' end.
+ * Symptom: the list was empty for one to two seconds after an outage of the store.
+ * Sequence: the store accepts no heartbeats during the outage, so entries expire; it comes back.
+ * Cause: an expiry during an outage was handled like the end of the endpoint.
  */
-TEST_F(EpTest, EntriesThatLapsedInAnOutageAreKeptUntilTheyCouldComeBack)
+TEST_F(EpTest, EntriesThatExpiredInAnOutageAreKeptForTwoSeconds)
 {
 	Put("a", SEC);
 	Put("b", SEC);
@@ -272,11 +271,11 @@
 
 /*
  * Symptom: a request reached an endpoint 2.4 s after it had left.
- * Sequence: the store turns this host away, then serves it again; 3 s later an endpoint leaves
- * without a word, so its entry is removed.
- * Cause: for 6 s after any failure, removed entries were kept for 2 s more each.
+ * Sequence: the store refuses a call of this host, then serves it again; 3 s later an endpoint
+ * leaves without announcing it, so its entry is removed. Cause: for 6 s after any failure, each
+ * removed entry was kept for another 2 s.
  */
-TEST_F(EpTest, RemovalLongAfterTheReturnCountsAtOnce)
+TEST_F(EpTest, ARemovalLongAfterAnOutageAppliesAtOnce)
 {
 	Put("a", SEC);
 	ep_on_away(&list_);
@@ -285,7 +284,7 @@
 	EXPECT_EQ(Ids(), "");
 }
 
-TEST_F(EpTest, LeavingEndpointIsGoneAtOnceAlsoAfterAnOutage)
+TEST_F(EpTest, ADrainingEndpointIsRemovedAtOnceAlsoAfterAnOutage)
 {
 	Put("a", SEC, EP_DRAINING);
 	ep_on_away(&list_);
@@ -295,11 +294,11 @@
 }
 
 /*
- * Symptom: requests went through layers that nobody held, or an endpoint was passed over for good.
- * Sequence: an endpoint crashes, or leaves, and starts again under the id that it had.
- * Cause: what the list knew of the id was taken to hold for its new incarnation, too.
+ * Symptom: requests were sent for layers that no endpoint held, or an endpoint was never used
+ * again. Sequence: an endpoint crashes or leaves, and starts again with the same id. Cause: the
+ * list applied what it knew of the id to the new incarnation.
  */
-TEST_F(EpTest, AnEndpointThatStartsAgainIsAnotherOne)
+TEST_F(EpTest, ARestartedEndpointIsANewIncarnation)
 {
 	born_ = 100;
 	Put("a", 0);
@@ -314,20 +313,20 @@
 	g_ptr_array_unref(recs);
 	born_ = 100;
 	Put("a", 2 * SEC, EP_DRAINING);
-	EXPECT_EQ(Ids(), "ab") << "a heartbeat of before the restart, written late";
+	EXPECT_EQ(Ids(), "ab") << "a late heartbeat from before the restart";
 	Remove("a", 3 * SEC);
 	Put("a", 4 * SEC);
-	EXPECT_EQ(Ids(), "b") << "the same, after the new one has gone, too";
+	EXPECT_EQ(Ids(), "b") << "such a heartbeat after the new incarnation was removed";
 	born_ = 200;
 	Put("a", 5 * SEC);
-	EXPECT_EQ(Ids(), "ab") << "an entry that lapsed is back";
+	EXPECT_EQ(Ids(), "ab") << "an expired entry is written again";
 	born_ = 300;
 	Put("b", 6 * SEC, EP_DRAINING);
 	Put("b", 7 * SEC);
-	EXPECT_EQ(Ids(), "a(b)") << "leaving is not taken back within an incarnation";
+	EXPECT_EQ(Ids(), "a(b)") << "draining is final within an incarnation";
 }
 
-/* An outage of the store keeps a lapsed entry, but not against its own new incarnation. */
+/* An entry that is kept as lapsed in an outage is replaced by the endpoint's new incarnation. */
 TEST_F(EpTest, ARestartInAnOutageReplacesTheLapsedEntry)
 {
 	born_ = 100;
@@ -346,11 +345,11 @@
 }
 
 /*
- * Symptom: the memory of a host grew for as long as it ran.
- * Sequence: endpoints are replaced, hundreds a day. Cause: what is remembered of those that are
- * gone was never dropped.
+ * Symptom: the memory use of a host grew for as long as it ran.
+ * Sequence: hundreds of endpoints a day are replaced. Cause: tombstones and address owners of ended
+ * endpoints were never dropped.
  */
-TEST_F(EpTest, WhatIsRememberedOfTheGoneIsBounded)
+TEST_F(EpTest, TheNumberOfTombstonesIsBounded)
 {
 	int64_t now = SEC;
 	for (int i = 0; i < 20000; i++) {
@@ -361,7 +360,7 @@
 		rec->addr = g_strdup((id + ":80").c_str());
 		rec->state = i % 2 ? EP_DRAINING : EP_READY;
 		ep_on_record(&list_, 2 * i, id.c_str(), rec, now);
-		if (i != 7) /* it stays, and stays known as leaving */
+		if (i != 7) /* it stays listed, so its departure is kept */
 			ep_on_record(&list_, 2 * i + 1, id.c_str(), nullptr, now);
 		now += SEC;
 		ep_on_time(&list_, now);
--- a/ep/failing.h
+++ b/ep/failing.h
@@ -21,13 +21,13 @@
 };
 
 enum {
-	/* An endpoint with a penalty gets a trial request after it was passed over so many times.
-	 */
-	PENALTY_TRIAL_EVERY = 10
+	PENALTY_TRIAL_EVERY = 10 /* choices of other endpoints until a trial request is sent */
 };
 
-/* A request to the endpoint failed, or was served. */
+/* A request to the endpoint failed. */
 void flg_on_failed(struct flg *flg, int64_t now_us);
+
+/* The endpoint served a request. */
 void flg_on_served(struct flg *flg, int64_t now_us);
 
 /* The penalty, as a decayed number of failures; 0 if there is none. */
--- a/ep/failing_test.cc
+++ b/ep/failing_test.cc
@@ -9,10 +9,11 @@
 const int64_t SEC = 1000 * MS;
 
 /*
- * Requests that a well endpoint gets of so many, where the one that costs least gets each: two
- * others are alike, and it has failed so often.
+ * Simulates per_s requests a second to three equal endpoints, of which the one of the lowest cost
+ * gets each request. One has failed several times at first and fails later with probability fails.
+ * Returns how many requests it gets between from_us and to_us.
  */
-int Gets(int failures, int per_s, double fails, int64_t from_us, int64_t to_us)
+int CountRequests(int failures, int per_s, double fails, int64_t from_us, int64_t to_us)
 {
 	flg failing{};
 	int got = 0;
@@ -35,29 +36,29 @@
 	return got;
 }
 
-/* Guards against an endpoint that rejected one request, is well, and gets nothing for long. */
-TEST(FailingTest, OneThatIsWellAgainGetsItsPart)
+/* Guards against a working endpoint that gets no requests for long after a few failures. */
+TEST(PenaltyTest, ARecoveredEndpointGetsItsShare)
 {
 	const struct {
 		int failures, per_s, after_s;
 	} cases[] = {{1, 10, 4}, {3, 10, 8}, {1, 100, 1}, {1, 1, 9}, {3, 1, 17}, {10, 100, 3}};
 	for (const auto &c : cases) {
 		int64_t from = c.after_s * SEC, to = from + 30 * SEC;
-		EXPECT_GE(Gets(c.failures, c.per_s, 0, from, to), 30 * c.per_s / 3 - 1)
+		EXPECT_GE(CountRequests(c.failures, c.per_s, 0, from, to), 30 * c.per_s / 3 - 1)
 			<< c.failures << " failures, " << c.per_s << " a second";
 	}
 }
 
-/* One that fails half of its requests, or all, still gets few. */
-TEST(FailingTest, OneThatGoesOnFailingGetsFew)
+/* Guards against many requests to an endpoint that fails half or all of them. */
+TEST(PenaltyTest, AFailingEndpointGetsFewRequests)
 {
-	EXPECT_LE(Gets(1, 100, 0.5, 0, 60 * SEC), 6000 / 6);
-	EXPECT_LE(Gets(1, 100, 1, 0, 60 * SEC), 6000 / PENALTY_TRIAL_EVERY);
-	EXPECT_LE(Gets(1, 10, 0.5, 0, 60 * SEC), 600 / 6);
+	EXPECT_LE(CountRequests(1, 100, 0.5, 0, 60 * SEC), 6000 / 6);
+	EXPECT_LE(CountRequests(1, 100, 1, 0, 60 * SEC), 6000 / PENALTY_TRIAL_EVERY);
+	EXPECT_LE(CountRequests(1, 10, 0.5, 0, 60 * SEC), 600 / 6);
 }
 
-/* Failures fade to nothing, and count together while they are recent. */
-TEST(FailingTest, TheyFadeToNothing)
+/* Penalties of several failures add up and decay to zero. */
+TEST(PenaltyTest, ThePenaltyDecaysToZero)
 {
 	flg failing{};
 	flg_on_failed(&failing, 0);
--- a/ep/rest_test.cc
+++ b/ep/rest_test.cc
@@ -8,14 +8,13 @@
 const int64_t MS = 1000;
 const int64_t SEC = 1000 * MS;
 
-/* Guards against requests to an endpoint that has asked for rest, and against one unused after it.
- */
-TEST(RestTest, NothingIsSentUntilTheEndAndOneRequestGoesFirst)
+/* Guards against requests to a resting endpoint, and against one that stays unused afterwards. */
+TEST(RestTest, NoRequestIsSentDuringTheRestAndOneTrialAfterIt)
 {
 	const struct {
 		int64_t for_us;
 		double spread;
-		int64_t open_us; /* the first moment at which a request may be sent */
+		int64_t open_us; /* earliest time of a request, counted from the answer */
 	} cases[] = {
 		{3 * SEC, 0, 3 * SEC},
 		{3 * SEC, 0.5, 3 * SEC + RST_SPREAD_US / 2},
@@ -35,8 +34,8 @@
 	}
 }
 
-/* Guards against an endpoint that is held back for long by a trial that nobody answers. */
-TEST(RestTest, ATrialThatIsNotAnsweredHoldsTheOthersUpForAMoment)
+/* Guards against a trial request without an answer that blocks other requests for long. */
+TEST(RestTest, AnUnansweredTrialDelaysOtherRequestsForALimitedTime)
 {
 	rst rest{};
 	rst_on_asked(&rest, SEC, 0, 0);
@@ -48,12 +47,12 @@
 	EXPECT_LE(RST_SPREAD_US + REST_TRIAL_US, SEC);
 }
 
-/* The trial was taken: the endpoint is used like the others. */
-TEST(RestTest, ATrialThatIsTakenEndsIt)
+/* Once the endpoint has accepted the trial request, it is used like the others. */
+TEST(RestTest, AnAcceptedTrialEndsTheRest)
 {
 	rst rest{};
 	rst_on_asked(&rest, SEC, 0, 0);
-	EXPECT_FALSE(rst_on_taken(&rest, 500 * MS)) << "an older request's answer";
+	EXPECT_FALSE(rst_on_taken(&rest, 500 * MS)) << "the answer to an older request";
 	rst_on_sent(&rest, SEC);
 	EXPECT_TRUE(rst_on_taken(&rest, SEC + 5 * MS));
 	for (int i = 0; i < 3; i++) {
@@ -62,12 +61,14 @@
 	}
 }
 
-/* Guards against a shorter rest that ends a longer one; each answer is a promise of its own. */
-TEST(RestTest, TheLatestEndHolds)
+/* Guards against a shorter rest that ends a longer one: each answer is binding by itself. */
+TEST(RestTest, TheLatestEndApplies)
 {
 	const struct {
-		int64_t first_us, second_us, at_us; /* of the second answer */
-		int64_t until_us;
+		int64_t first_us;  /* rest that the first answer asks for */
+		int64_t second_us; /* rest that the second answer asks for */
+		int64_t at_us;	   /* time of the second answer */
+		int64_t until_us;  /* expected end of the rest */
 	} cases[] = {
 		{3 * SEC, SEC, SEC, 3 * SEC},	  {3 * SEC, 2 * SEC, SEC, 3 * SEC},
 		{3 * SEC, 3 * SEC, SEC, 4 * SEC}, {3 * SEC, 10 * SEC, SEC, 11 * SEC},
@@ -77,13 +78,13 @@
 		rst rest{};
 		EXPECT_TRUE(rst_on_asked(&rest, c.first_us, 0, 0));
 		EXPECT_FALSE(rst_on_asked(&rest, c.second_us, c.at_us, 0))
-			<< "the same rest goes on";
+			<< "the same rest continues";
 		EXPECT_EQ(rest.until_us, c.until_us);
 	}
 }
 
-/* Another rest after the trial was rejected is kept as the first one was. */
-TEST(RestTest, ATrialThatIsRejectedBeginsAnotherRest)
+/* An endpoint may reject the trial request and ask for another rest, which is obeyed as well. */
+TEST(RestTest, ARejectedTrialBeginsAnotherRest)
 {
 	rst rest{};
 	rst_on_asked(&rest, 3 * SEC, 0, 0);
@@ -93,8 +94,8 @@
 	EXPECT_TRUE(rst_is_open(&rest, 6 * SEC + MS));
 }
 
-/* Guards against reports and checks that make up more than the two requests that are allowed. */
-TEST(RestTest, OneCallInARest)
+/* Guards against more than one call for a report or a health check during a rest. */
+TEST(RestTest, OneReportCallIsAllowedDuringARest)
 {
 	rst rest{};
 	EXPECT_TRUE(rst_may_call(&rest, 0));
@@ -103,7 +104,7 @@
 	EXPECT_TRUE(rst_may_call(&rest, SEC));
 	EXPECT_FALSE(rst_may_call(&rest, SEC));
 	rst_on_asked(&rest, 3 * SEC, 2 * SEC, 0);
-	EXPECT_FALSE(rst_may_call(&rest, 4 * SEC)) << "the same rest goes on";
+	EXPECT_FALSE(rst_may_call(&rest, 4 * SEC)) << "the same rest continues";
 	EXPECT_TRUE(rst_may_call(&rest, 5 * SEC));
 	rst_on_asked(&rest, SEC, 6 * SEC, 0);
 	EXPECT_TRUE(rst_may_call(&rest, 6 * SEC));
--- a/era/era.c
+++ b/era/era.c
@@ -7,14 +7,14 @@
 	return era << bits | (number & ((INT64_C(1) << bits) - 1));
 }
 
-static int64_t era_upper_bits(int64_t joined, int bits)
+static int64_t era_upper_bits(int64_t packed, int bits)
 {
-	return joined < 0 ? ERA_NONE : joined >> bits;
+	return packed < 0 ? ERA_NONE : packed >> bits;
 }
 
-static int64_t era_lower_bits(int64_t joined, int bits)
+static int64_t era_lower_bits(int64_t packed, int bits)
 {
-	return joined < 0 ? ERA_NONE : joined & ((INT64_C(1) << bits) - 1);
+	return packed < 0 ? ERA_NONE : packed & ((INT64_C(1) << bits) - 1);
 }
 
 int64_t era_place(int64_t era, int64_t offset)
--- a/era/era_test.cc
+++ b/era/era_test.cc
@@ -26,8 +26,8 @@
 	EXPECT_LT(era_fence(ERA_MAX, UINT32_MAX), INT64_C(1) << 53);
 }
 
-/* A store without eras: places are its offsets, as hosts of earlier versions have them. */
-TEST(EraTest, WithoutAnEraAPlaceIsTheOffset)
+/* With a store without eras, places equal offsets, as hosts of earlier versions use them. */
+TEST(EraTest, InEraZeroAPlaceEqualsTheOffset)
 {
 	EXPECT_EQ(era_place(0, 4711), 4711);
 	EXPECT_EQ(era_fence(0, 12), 12);
@@ -36,28 +36,28 @@
 	EXPECT_EQ(era_generation(ERA_NONE), ERA_NONE);
 }
 
-TEST(EraTest, WhatAnAnswerTells)
+TEST(EraTest, AReportedEraIsComparedWithTheLatestKnownOne)
 {
 	const struct {
 		const char *what;
 		bool known;
 		int64_t now, told;
-		era_news news;
+		era_news expected;
 		int64_t after;
 	} cases[] = {
-		{"nothing", true, 3, ERA_NONE, ERA_UNCHANGED, 3},
-		{"nothing, ever", false, 0, ERA_NONE, ERA_UNCHANGED, 0},
-		{"the first one", false, 0, 5, ERA_FIRST, 5},
-		{"the first one is 0", false, 0, 0, ERA_FIRST, 0},
-		{"the same", true, 3, 3, ERA_UNCHANGED, 3},
-		{"one return", true, 3, 4, ERA_RETURN, 4},
-		{"several", true, 3, 9, ERA_RETURN, 9},
-		{"an answer that was under way", true, 3, 2, ERA_PAST, 3},
-		{"more than can be", true, 3, ERA_MAX + 1, ERA_UNCHANGED, 3},
+		{"no era", true, 3, ERA_NONE, ERA_UNCHANGED, 3},
+		{"no era so far", false, 0, ERA_NONE, ERA_UNCHANGED, 0},
+		{"the first era", false, 0, 5, ERA_FIRST, 5},
+		{"the first era is 0", false, 0, 0, ERA_FIRST, 0},
+		{"the same era", true, 3, 3, ERA_UNCHANGED, 3},
+		{"one restore", true, 3, 4, ERA_RETURN, 4},
+		{"several restores", true, 3, 9, ERA_RETURN, 9},
+		{"a delayed answer", true, 3, 2, ERA_PAST, 3},
+		{"more than the largest era", true, 3, ERA_MAX + 1, ERA_UNCHANGED, 3},
 	};
 	for (const auto &c : cases) {
 		era e{c.now, c.known};
-		EXPECT_EQ(era_hear(&e, c.told), c.news) << c.what;
+		EXPECT_EQ(era_hear(&e, c.told), c.expected) << c.what;
 		EXPECT_EQ(e.now, c.after) << c.what;
 	}
 }
--- a/lead/lead_era_test.cc
+++ b/lead/lead_era_test.cc
@@ -13,7 +13,8 @@
 
 constexpr int64_t FIRST = 1;
 
-lead Leading(int64_t ttl, int64_t joined)
+/* A host that sent its join at time joined and got the lease in the first era. */
+lead MakeLeader(int64_t ttl, int64_t joined)
 {
 	lead l;
 	lead_init(&l, ttl);
@@ -23,22 +24,22 @@
 }
 
 /*
- * Symptom: no engine was ordered again after the store had come back from a copy.
- * Sequence: hosts know of generation 7, the copy goes on from generation 5. Cause: only a greater
- * generation was believed. The fencing number has to rise, too: engines have seen the older one.
+ * Symptom: no host sent orders any more after the store was restored from a copy.
+ * Sequence: hosts know generation 7, the copy continues at generation 5. Cause: hosts accepted only
+ * a higher generation. The fencing number has to rise as well, as engines have seen the old one.
  */
-TEST(LeadEraTest, ALowerGenerationOfALaterEraLeads)
+TEST(LeadEraTest, ALowerGenerationOfALaterEraIsAccepted)
 {
-	lead l = Leading(4, 10);
+	lead l = MakeLeader(4, 10);
 	lead_on_return(&l, 11);
-	EXPECT_FALSE(lead_may_order(&l, 11)) << "before it has joined anew";
+	EXPECT_FALSE(lead_may_order(&l, 11)) << "before it has joined again";
 	lead_on_join(&l, 11);
 	lead_on_joined(&l, era_fence(FIRST + 1, 5), true);
 	EXPECT_TRUE(lead_may_order(&l, 12)) << "it held the lease itself";
 	EXPECT_GT(l.fence, era_fence(FIRST, 7));
 }
 
-TEST(LeadEraTest, WhoDidNotLeadWaitsForOlderLeasesToBeOver)
+TEST(LeadEraTest, AHostThatDidNotLeadWaitsUntilOlderLeasesHaveExpired)
 {
 	lead l;
 	lead_init(&l, 4);
@@ -51,10 +52,10 @@
 	}
 }
 
-/* What a host heard late of the older era neither ends its lead nor gives it back. */
-TEST(LeadEraTest, AnOlderErasNumberIsNoNews)
+/* Late reports of fencing numbers from an earlier era don't affect the leader. */
+TEST(LeadEraTest, AFencingNumberOfAnEarlierEraHasNoEffect)
 {
-	lead l = Leading(4, 10);
+	lead l = MakeLeader(4, 10);
 	lead_on_return(&l, 11);
 	lead_on_join(&l, 11);
 	lead_on_joined(&l, era_fence(FIRST + 1, 5), true);
@@ -64,14 +65,15 @@
 }
 
 /*
- * Every course of events of three hosts and a store that comes back from a copy, once: at each tick
- * each host may be suspended or run, its join may be sent, be lost, reach the store now or ticks
- * later, its answer may be late; a host may hear of the return from another one, or not. The copy
- * may name any host as the holder, whose time begins anew. Times are kept as ages.
+ * An exhaustive search over all states of three hosts and a store that is restored from a copy
+ * once. In each tick each host may run or be suspended; its join may be sent, be lost, or reach the
+ * store in this tick or a later one; the answer may be late; another host may report the restore or
+ * not. In the copy any host may hold the lease, and its time to live starts again. Times are stored
+ * as ages in ticks.
  */
 constexpr int HOSTS = 3;
-constexpr int TTL = 3;
-constexpr int OLD = TTL + 1; /* ages from which on nothing changes any more */
+constexpr int TTL = 3;		 /* time to live of a lease, in ticks */
+constexpr int AGE_MAX = TTL + 1; /* largest age that is told apart, in ticks */
 constexpr int NOBODY = HOSTS;
 constexpr int64_t NOW = 1000;
 
@@ -82,57 +84,59 @@
 };
 
 struct Host {
-	uint8_t era;
-	uint8_t age;   /* of the join that gave it the lead; OLD: it does not lead */
-	uint8_t clear; /* ticks for which it still waits */
-	uint8_t kind;  /* of the message under way */
-	uint8_t sent;  /* age of that join */
-	uint8_t told;  /* era that the answer tells */
+	uint8_t era;	  /* 0 before the host knows of the restore, 1 afterwards */
+	uint8_t age;	  /* ticks since the join that gave it the lease; AGE_MAX if it has none */
+	uint8_t wait;	  /* ticks for which it must not send orders yet */
+	uint8_t kind;	  /* enum Kind of the message that is on its way */
+	uint8_t join_age; /* ticks since that join, or the answered one, was sent */
+	uint8_t answer_era; /* era of the store in the answer */
 };
 
 struct World {
 	std::array<Host, HOSTS> hosts;
-	uint8_t holder;
-	uint8_t heard; /* since a join of the holder reached the store */
-	uint8_t era;   /* of the store */
+	uint8_t holder;	  /* index of the host that holds the lease, or NOBODY */
+	uint8_t join_age; /* ticks since a join of the holder reached the store */
+	uint8_t era;	  /* era of the store: 0 before the restore, 1 afterwards */
 
-	/* Hosts are alike, so worlds that differ only in their order are one. */
+	/* Hosts are interchangeable: worlds that differ only in their order have the same key. */
 	uint64_t Key() const
 	{
 		std::array<uint64_t, HOSTS> one;
 		for (size_t i = 0; i < HOSTS; i++) {
 			const Host &h = hosts[i];
-			one[i] = h.era | (uint64_t)h.age << 1 | (uint64_t)h.clear << 4 |
-				 (uint64_t)h.kind << 7 | (uint64_t)h.sent << 9 |
-				 (uint64_t)h.told << 12 | (uint64_t)(holder == i) << 13;
+			one[i] = h.era | (uint64_t)h.age << 1 | (uint64_t)h.wait << 4 |
+				 (uint64_t)h.kind << 7 | (uint64_t)h.join_age << 9 |
+				 (uint64_t)h.answer_era << 12 | (uint64_t)(holder == i) << 13;
 		}
 		std::sort(one.begin(), one.end());
-		return one[0] | one[1] << 14 | one[2] << 28 | (uint64_t)heard << 42 |
+		return one[0] | one[1] << 14 | one[2] << 28 | (uint64_t)join_age << 42 |
 		       (uint64_t)era << 45;
 	}
 };
 
+/* Converts a host's state in the model to the state of the module at time NOW. */
 lead AsLead(const Host &h)
 {
 	lead l;
 	lead_init(&l, TTL);
-	if (h.age < OLD) {
+	if (h.age < AGE_MAX) {
 		lead_on_join(&l, NOW - h.age);
 		lead_on_joined(&l, era_fence(h.era, 1), true);
 	}
-	l.wait_until_us = NOW + h.clear;
+	l.wait_until_us = NOW + h.wait;
 	return l;
 }
 
-void Keep(Host &h, const lead &l)
+/* Stores the module's state in the model. */
+void StoreLead(Host &h, const lead &l)
 {
-	int64_t age = l.leads ? NOW - l.joined_us : OLD;
-	h.age = (uint8_t)std::min<int64_t>(age, OLD);
-	h.clear = (uint8_t)std::clamp<int64_t>(l.wait_until_us - NOW, 0, TTL);
+	int64_t age = l.leads ? NOW - l.joined_us : AGE_MAX;
+	h.age = (uint8_t)std::min<int64_t>(age, AGE_MAX);
+	h.wait = (uint8_t)std::clamp<int64_t>(l.wait_until_us - NOW, 0, TTL);
 }
 
-/* waits: as the module does; without, the fault that the search must find. */
-void HearOfReturn(Host &h, bool waits)
+/* The host learns of the restore. waits: false skips the wait, as a fault to be found. */
+void LearnOfRestore(Host &h, bool waits)
 {
 	lead l = AsLead(h);
 	lead_on_return(&l, NOW);
@@ -140,100 +144,105 @@
 		l.wait_until_us = NOW;
 	h.era = 1;
 	h.kind = NONE;
-	Keep(h, l);
+	StoreLead(h, l);
 }
 
-void Expire(World &w)
+void ExpireLease(World &w)
 {
-	if (w.heard > TTL)
+	if (w.join_age > TTL)
 		w.holder = NOBODY;
 }
 
-void Arrive(World &w, size_t i)
+/* Delivers a host's join to the store and creates the answer. */
+void DeliverJoin(World &w, size_t i)
 {
 	Host &h = w.hosts[i];
 	if (w.holder == NOBODY)
 		w.holder = (uint8_t)i;
 	if (w.holder == i)
-		w.heard = 0;
-	/* The answer that it does not lead changes nothing here: it is as if none came. */
+		w.join_age = 0;
+	/* An answer without the lease has no effect in the model, so none is sent. */
 	h.kind = w.holder == i || h.era < w.era ? ANSWER : NONE;
-	h.told = w.era;
+	h.answer_era = w.era;
 }
 
-void Deliver(World &w, size_t i, bool waits)
+/* Delivers the store's answer to a host. */
+void DeliverAnswer(World &w, size_t i, bool waits)
 {
 	Host &h = w.hosts[i];
-	if (h.told > h.era) {
-		HearOfReturn(h, waits);
+	if (h.answer_era > h.era) {
+		LearnOfRestore(h, waits);
 		return;
 	}
 	h.kind = NONE;
-	if (h.told < h.era)
+	if (h.answer_era < h.era)
 		return;
 	lead l = AsLead(h);
-	lead_on_join(&l, NOW - h.sent);
+	lead_on_join(&l, NOW - h.join_age);
 	lead_on_joined(&l, era_fence(h.era, 1), true);
-	Keep(h, l);
+	StoreLead(h, l);
 }
 
-/* What may happen with a host at a moment; in a tick any number of that, or nothing. */
-std::vector<World> Step(const World &w, size_t i, bool waits)
+/* Returns the states that a host's next event may lead to. Any number of events fit in a tick. */
+std::vector<World> NextWorlds(const World &w, size_t i, bool waits)
 {
 	std::vector<World> all;
 	const Host &h = w.hosts[i];
 	if (h.era < w.era) {
-		World told = w;
-		HearOfReturn(told.hosts[i], waits);
-		all.push_back(told);
+		World informed = w;
+		LearnOfRestore(informed.hosts[i], waits);
+		all.push_back(informed);
 	}
 	World next = w;
 	if (h.kind == NONE) {
 		next.hosts[i].kind = JOIN;
-		next.hosts[i].sent = 0;
+		next.hosts[i].join_age = 0;
 		all.push_back(next);
 		return all;
 	}
 	next.hosts[i].kind = NONE;
-	all.push_back(next); /* lost */
+	all.push_back(next); /* the message is lost */
 	next = w;
 	if (h.kind == JOIN)
-		Arrive(next, i);
+		DeliverJoin(next, i);
 	else
-		Deliver(next, i, waits);
+		DeliverAnswer(next, i, waits);
 	all.push_back(next);
 	return all;
 }
 
-void Age(World &w)
+/* Advances the time by one tick. */
+void AdvanceTime(World &w)
 {
 	for (size_t i = 0; i < HOSTS; i++) {
 		Host &h = w.hosts[i];
-		h.age = (uint8_t)std::min(h.age + 1, OLD);
+		h.age = (uint8_t)std::min(h.age + 1, AGE_MAX);
 		if (h.age >= TTL)
-			h.age = OLD; /* its lease is over */
-		h.clear = (uint8_t)std::max(h.clear - 1, 0);
-		/* What is under way for longer than a lease makes nobody lead. */
-		if (h.kind != NONE && ++h.sent >= TTL)
+			h.age = AGE_MAX; /* the lease has expired */
+		h.wait = (uint8_t)std::max(h.wait - 1, 0);
+		/* A message older than the lease can't give the lease, so it is dropped. */
+		if (h.kind != NONE && ++h.join_age >= TTL)
 			h.kind = NONE;
 		if (h.kind == NONE)
-			h.sent = h.told = 0;
+			h.join_age = h.answer_era = 0;
 	}
-	w.heard = (uint8_t)std::min(w.heard + 1, OLD);
-	Expire(w);
+	w.join_age = (uint8_t)std::min(w.join_age + 1, AGE_MAX);
+	ExpireLease(w);
 }
 
 struct Found {
-	size_t states = 0, both = 0, ordering[2] = {0, 0};
+	size_t states = 0;
+	size_t several = 0;	/* number of states in which two or more hosts may send orders */
+	size_t one[2] = {0, 0}; /* number of hosts that may, over all states, by the host's era */
 };
 
-/* The fault that is put in on purpose need not be counted: the first two hosts are enough. */
+/* Without waits the search ends at the first state in which two hosts may send orders. */
 Found Search(bool waits)
 {
 	World first{};
 	for (Host &h : first.hosts)
-		h.age = OLD;
-	first.heard = OLD;
+		h.age = AGE_MAX;
+	first.join_age = AGE_MAX;
 	first.holder = NOBODY;
 	std::unordered_set<uint64_t> seen{first.Key()};
 	std::deque<World> open{first};
@@ -242,7 +251,7 @@
 		if (seen.insert(w.Key()).second)
 			open.push_back(w);
 	};
-	while (!open.empty() && (waits || found.both == 0)) {
+	while (!open.empty() && (waits || found.several == 0)) {
 		World w = open.front();
 		open.pop_front();
 		found.states++;
@@ -251,45 +260,46 @@
 			lead l = AsLead(h);
 			bool orders = lead_may_order(&l, NOW);
 			may += orders;
-			found.ordering[h.era] += orders;
+			found.one[h.era] += orders;
 		}
-		found.both += may > 1;
+		found.several += may > 1;
 		for (uint8_t holder = 0; w.era == 0 && holder <= NOBODY; holder++) {
-			World back = w;
-			back.era = 1;
-			back.holder = holder;
-			back.heard = holder == NOBODY ? OLD : 0;
-			add(back);
+			World restored = w;
+			restored.era = 1;
+			restored.holder = holder;
+			restored.join_age = holder == NOBODY ? AGE_MAX : 0;
+			add(restored);
 		}
 		for (size_t i = 0; i < HOSTS; i++) {
-			for (const World &next : Step(w, i, waits))
+			for (const World &next : NextWorlds(w, i, waits))
 				add(next);
 		}
-		Age(w);
+		AdvanceTime(w);
 		add(w);
 	}
 	return found;
 }
 
-TEST(LeadEraModelTest, NeverDoTwoHostsOrderBesideAReturnOfTheStore)
+TEST(LeadEraModelTest, TwoHostsNeverSendOrdersAtOnceWhenTheStoreIsRestored)
 {
 	Found found = Search(true);
 	printf("lease over a return: %zu states, one host may order in %zu before and %zu after it, "
 	       "two in %zu\n",
-	       found.states, found.ordering[0], found.ordering[1], found.both);
-	EXPECT_GT(found.ordering[0], 100u);
-	EXPECT_GT(found.ordering[1], 100u);
-	EXPECT_EQ(found.both, 0u);
+	       found.states, found.one[0], found.one[1], found.several);
+	EXPECT_GT(found.one[0], 100u);
+	EXPECT_GT(found.one[1], 100u);
+	EXPECT_EQ(found.several, 0u);
 }
 
 /*
- * Symptom: two hosts ordered engines at once. Sequence: the leader is suspended, the store comes
- * back from a copy that gives the lead to another host, which orders; the first one wakes within
- * its lease. Cause: a lease from before the return was taken to be over. The search must find that.
+ * Symptom: two hosts sent orders to engines at once. Sequence: the leader is suspended; the store
+ * is restored from a copy in which another host gets the lease and sends orders; the first one
+ * resumes within its lease. Cause: a lease from before the restore was assumed to have expired. The
+ * search must find this.
  */
-TEST(LeadEraModelTest, TheSearchSeesALeadThatDoesNotWait)
+TEST(LeadEraModelTest, TheSearchFindsTheFaultOfALeaderThatDoesNotWait)
 {
-	EXPECT_GT(Search(false).both, 0u);
+	EXPECT_GT(Search(false).several, 0u);
 }
 
 } // namespace
--- a/lead/lead_test.cc
+++ b/lead/lead_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-TEST(LeadTest, TheLeaseLapsesCountedFromWhenTheJoinWasSent)
+TEST(LeadTest, TheLeaseTimeCountsFromWhenTheJoinWasSent)
 {
 	lead l;
 	lead_init(&l, 4);
@@ -23,9 +23,9 @@
 }
 
 /*
- * Symptom: a host gave orders with a fencing number under which another one led.
- * Sequence: it leads under 7, and hears of 8 from the host that feeds it before its own next join.
- * Cause: the newest number and the lease were taken for one thing.
+ * Symptom: a host sent orders with a fencing number that was assigned to another leader.
+ * Sequence: it leads with number 7, and another host reports number 8 before its own next join.
+ * Cause: the highest known number was used together with the lease of a lower one.
  */
 TEST(LeadTest, ANewerGenerationEndsTheLease)
 {
@@ -41,11 +41,11 @@
 }
 
 /*
- * Symptom: a host that had been fenced off went on ordering with the same number.
- * Sequence: an engine refuses its order, since it has seen a higher number.
- * Cause: the refusal concerned one order only.
+ * Symptom: a host whose order was refused kept sending orders with the same fencing number.
+ * Sequence: an engine refuses the order, since it has seen a higher number.
+ * Cause: the refusal affected only that order.
  */
-TEST(LeadTest, OneThatWasFencedOffStopsUntilItHasAHigherNumber)
+TEST(LeadTest, ARefusedHostSendsNoOrdersUntilItHasAHigherNumber)
 {
 	lead l;
 	lead_init(&l, 4);
@@ -60,7 +60,7 @@
 	EXPECT_TRUE(lead_may_order(&l, 12));
 }
 
-TEST(LeadTest, WhoLeavesDoesNotOrder)
+TEST(LeadTest, AHostThatLeftTheGroupSendsNoOrders)
 {
 	lead l;
 	lead_init(&l, 4);
@@ -71,36 +71,36 @@
 }
 
 /*
- * Every course of events of two hosts and the store, as a search over all states: at each tick each
- * host may be suspended or run, its join may be sent or not, be lost on the way, reach the store
- * now or ticks later, and its answer may be lost or late. The store gives the lease to the other
- * host once the holder has been silent for its time to live. Times are kept as ages, so the states
- * are finitely many.
+ * An exhaustive search over all states of two hosts and the store. In each tick each host may run
+ * or be suspended; it may send a join or not; the join may be lost, or reach the store in this tick
+ * or a later one; the answer may be lost or late. The store gives the lease to the other host once
+ * no join of the holder has arrived for the time to live. Times are stored as ages in ticks, so
+ * that the number of states is finite.
  */
-constexpr int TTL = 6;
-constexpr int OLD = TTL + 2; /* ages from which on nothing changes any more */
-constexpr int SLOW = 2;	     /* ticks that a message may take */
+constexpr int TTL = 6;		  /* time to live of a lease, in ticks */
+constexpr int AGE_MAX = TTL + 2;  /* largest age that is told apart, in ticks */
+constexpr int JOIN_TICKS_MAX = 2; /* longest time that a join is on its way, in ticks */
 
 struct Message {
-	bool there;   /* it is on its way */
-	bool answer;  /* from the store back; else a join to it */
-	int taken;    /* ticks under way, in this direction */
-	int age;      /* since the join was sent */
-	bool leads;   /* of an answer */
-	bool current; /* of an answer: its generation is the store's still */
+	bool in_transit; /* whether there is a message */
+	bool answer;	 /* true for the store's answer, false for a join */
+	int ticks;	 /* time for which the message has been on its way, in ticks */
+	int age;	 /* time since the join was sent, in ticks */
+	bool leads;	 /* whether the answer gives the lease to the host */
+	bool current;	 /* whether the answer's generation is still the store's */
 };
 
 struct HostState {
-	bool leads;
-	bool current; /* its generation is the store's */
-	int age;      /* since the join was sent whose answer it has */
+	bool leads;   /* whether the last answer gave the lease to the host */
+	bool current; /* whether the host's generation is still the store's */
+	int age;      /* time since the last answered join was sent, in ticks */
 	Message message;
 };
 
 struct World {
 	std::array<HostState, 2> hosts;
-	std::array<int, 2> heard; /* ticks since a join of the host reached the store */
-	int holder;		  /* -1: nobody */
+	std::array<int, 2> join_age; /* ticks since a join of the host reached the store */
+	int holder;		     /* index of the host that holds the lease; -1 if none */
 
 	std::vector<int> Key() const
 	{
@@ -109,16 +109,16 @@
 			const HostState &h = hosts[(size_t)i];
 			const Message &m = h.message;
 			key.insert(key.end(),
-				   {h.leads, h.current, h.age, heard[(size_t)i], m.there});
-			if (m.there)
+				   {h.leads, h.current, h.age, join_age[(size_t)i], m.in_transit});
+			if (m.in_transit)
 				key.insert(key.end(),
-					   {m.answer, m.taken, m.age, m.leads, m.current});
+					   {m.answer, m.ticks, m.age, m.leads, m.current});
 		}
 		return key;
 	}
 };
 
-/* The host's own state, as the module has it, at a time that makes its ages come out. */
+/* Converts a host's state in the model to the state of the module at time now. */
 lead AsLead(const HostState &h, int64_t now)
 {
 	lead l;
@@ -128,18 +128,18 @@
 	return l;
 }
 
-void Expire(World &w)
+void ExpireLease(World &w)
 {
-	if (w.holder >= 0 && w.heard[(size_t)w.holder] > TTL)
+	if (w.holder >= 0 && w.join_age[(size_t)w.holder] > TTL)
 		w.holder = -1;
 }
 
-/* A join reaches the store. */
-void Arrive(World &w, size_t host)
+/* Delivers a host's join to the store and creates the answer. */
+void DeliverJoin(World &w, size_t host)
 {
 	Message &m = w.hosts[host].message;
-	w.heard[host] = 0;
-	Expire(w);
+	w.join_age[host] = 0;
+	ExpireLease(w);
 	if (w.holder < 0) {
 		w.holder = (int)host;
 		for (HostState &h : w.hosts) {
@@ -148,13 +148,13 @@
 		}
 	}
 	m.answer = true;
-	m.taken = 0;
+	m.ticks = 0;
 	m.leads = w.holder == (int)host;
 	m.current = true;
 }
 
-/* from_answer: the fault of counting the lease from when the answer came. */
-void Deliver(World &w, size_t host, bool from_answer)
+/* Delivers an answer. from_answer: count the lease from the answer, as a fault to be found. */
+void DeliverAnswer(World &w, size_t host, bool from_answer)
 {
 	HostState &h = w.hosts[host];
 	int64_t now = 1000;
@@ -167,12 +167,12 @@
 	h.message = Message{};
 }
 
-/* All that may happen with one host in a tick. */
-std::vector<World> Steps(const World &w, size_t host, bool from_answer)
+/* Returns all states that one host may reach in a tick. */
+std::vector<World> NextWorlds(const World &w, size_t host, bool from_answer)
 {
-	std::vector<World> all{w}; /* it is suspended, or nothing happens */
+	std::vector<World> all{w}; /* the host is suspended, or nothing happens */
 	const Message &m = w.hosts[host].message;
-	if (!m.there) {
+	if (!m.in_transit) {
 		World sent = w;
 		sent.hosts[host].message = Message{true, false, 0, 0, false, false};
 		all.push_back(sent);
@@ -183,42 +183,43 @@
 	all.push_back(lost);
 	World there = w;
 	if (m.answer)
-		Deliver(there, host, from_answer);
+		DeliverAnswer(there, host, from_answer);
 	else
-		Arrive(there, host);
+		DeliverJoin(there, host);
 	all.push_back(there);
 	return all;
 }
 
-bool Age(World &w)
+/* Advances the time by one tick. Returns false if a join would be on its way for too long. */
+bool AdvanceTime(World &w)
 {
 	for (size_t i = 0; i < 2; i++) {
 		HostState &h = w.hosts[i];
-		h.age = std::min(h.age + 1, OLD);
-		w.heard[i] = std::min(w.heard[i] + 1, OLD);
-		if (!h.message.there)
+		h.age = std::min(h.age + 1, AGE_MAX);
+		w.join_age[i] = std::min(w.join_age[i] + 1, AGE_MAX);
+		if (!h.message.in_transit)
 			continue;
-		h.message.age = std::min(h.message.age + 1, OLD);
-		if (++h.message.taken > SLOW && !h.message.answer)
-			return false; /* joins are not under way for longer */
-		h.message.taken = std::min(h.message.taken, SLOW + 1);
+		h.message.age = std::min(h.message.age + 1, AGE_MAX);
+		if (++h.message.ticks > JOIN_TICKS_MAX && !h.message.answer)
+			return false;
+		h.message.ticks = std::min(h.message.ticks, JOIN_TICKS_MAX + 1);
 	}
-	Expire(w);
+	ExpireLease(w);
 	return true;
 }
 
 struct Found {
 	size_t states = 0;
-	size_t both = 0;     /* states in which both may order */
-	size_t ordering = 0; /* in which one may */
+	size_t both = 0; /* number of states in which both hosts may send orders */
+	size_t one = 0;	 /* number of states in which exactly one host may */
 };
 
 Found Search(bool from_answer)
 {
 	World first{};
 	for (size_t i = 0; i < 2; i++) {
-		first.hosts[i].age = OLD;
-		first.heard[i] = OLD;
+		first.hosts[i].age = AGE_MAX;
+		first.join_age[i] = AGE_MAX;
 	}
 	first.holder = -1;
 	std::set<std::vector<int>> seen{first.Key()};
@@ -228,16 +229,16 @@
 		World w = open.front();
 		open.pop_front();
 		found.states++;
-		int may = 0;
+		int may_order = 0;
 		for (const HostState &h : w.hosts) {
 			lead l = AsLead(h, 1000);
-			may += lead_may_order(&l, 1000);
+			may_order += lead_may_order(&l, 1000);
 		}
-		found.both += may == 2;
-		found.ordering += may == 1;
-		for (const World &a : Steps(w, 0, from_answer)) {
-			for (World b : Steps(a, 1, from_answer)) {
-				if (Age(b) && seen.insert(b.Key()).second)
+		found.both += may_order == 2;
+		found.one += may_order == 1;
+		for (const World &a : NextWorlds(w, 0, from_answer)) {
+			for (World b : NextWorlds(a, 1, from_answer)) {
+				if (AdvanceTime(b) && seen.insert(b.Key()).second)
 					open.push_back(b);
 			}
 		}
@@ -245,21 +246,22 @@
 	return found;
 }
 
-TEST(LeadModelTest, NeverDoTwoHostsHoldTheLease)
+TEST(LeadModelTest, TwoHostsNeverSendOrdersAtOnce)
 {
 	Found found = Search(false);
 	printf("lease: %zu states, one host may order in %zu, both in %zu\n", found.states,
-	       found.ordering, found.both);
-	EXPECT_GT(found.ordering, 100u);
+	       found.one, found.both);
+	EXPECT_GT(found.one, 100u);
 	EXPECT_EQ(found.both, 0u);
 }
 
 /*
- * Symptom: two hosts ordered engines at once. Sequence: a join is answered, the host is suspended
- * before it reads the answer, the store gives the lease to another host, the first one wakes.
- * Cause: the lease was counted from when the answer was read. The search must find that.
+ * Symptom: two hosts sent orders to engines at once. Sequence: a join is answered, the host is
+ * suspended before it reads the answer, the store gives the lease to another host, and the first
+ * one resumes. Cause: the lease was counted from when the answer was read. The search must find
+ * this.
  */
-TEST(LeadModelTest, TheSearchSeesALeaseThatIsCountedFromTheAnswer)
+TEST(LeadModelTest, TheSearchFindsTheFaultOfALeaseCountedFromTheAnswer)
 {
 	EXPECT_GT(Search(true).both, 0u);
 }
