--- a/fwd/fwd.c
+++ b/fwd/fwd.c
@@ -3,26 +3,31 @@
 #include <string.h>
 
 enum {
-	FWD_SENDS_MAX = 5,	  /* of one request; rejections come back within a few ms each */
-	FWD_KEEP_MAX = 256 << 10, /* answers up to this size are kept until they are whole */
+	/* Maximum number of attempts for one request; a rejection takes a few ms each. */
+	FWD_ATTEMPTS_MAX = 5,
+	/* Size up to which an answer is buffered until it is complete. */
+	FWD_BUFFER_MAX_BYTES = 256 << 10,
 	FWD_STATUS_BAD_GATEWAY = 502,
 	FWD_STATUS_UNAVAILABLE = 503,
 	FWD_STATUS_TIMEOUT = 504,
-	FWD_LEAST_LEFT_US = 20000, /* with less time left another attempt can't answer */
+	/* Time before the deadline, in microseconds, below which no further attempt is sent. */
+	FWD_MIN_TIME_LEFT_US = 20000,
 	/*
-	 * Before a stream that nobody takes is sent again; doubles. Memory that is full becomes
-	 * free as other streams end, several a second at each engine; callers leave after 2 s.
+	 * Delay in microseconds before a stream that no endpoint accepts is sent again; it doubles
+	 * with each further wait. Full engine memory is released as other streams end, several a
+	 * second at each engine; callers disconnect after 2 s.
 	 */
-	FWD_WAIT_US = 200000,
-	FWD_WAIT_DOUBLINGS = 2,
+	FWD_RESEND_DELAY_US = 200000,
+	/* Number of times that this delay doubles. */
+	FWD_RESEND_DOUBLINGS_MAX = 2,
 	/*
-	 * Between looks for an endpoint in a list that is not whole: it is filled within some two
-	 * seconds, and a look among 600 endpoints costs 0.1 ms.
+	 * Interval in microseconds at which a waiting request looks for an endpoint. An incomplete
+	 * list is filled within about two seconds, and a look among 600 endpoints takes 0.1 ms.
 	 */
-	FWD_LISTING_US = 50000
+	FWD_LOOKUP_INTERVAL_US = 50000
 };
 
-static const char *const fwd_cause_names[FWD_CAUSES] = {
+static const char *const fwd_cause_names[FWD_CAUSE_COUNT] = {
 	[FWD_OK] = "ok",
 	[FWD_NO_ENDPOINT] = "no_endpoint",
 	[FWD_REJECTED] = "rejected",
@@ -39,18 +44,18 @@
 };
 
 static void fwd_end(struct fwd *fwd, enum fwd_cause cause);
-static void fwd_arm(struct fwd *fwd);
+static void fwd_set_timer(struct fwd *fwd);
 static void fwd_send(struct fwd *fwd, int64_t now_us);
 static void fwd_attempt_failed(struct fwd *fwd, bool ran, int64_t now_us);
-static void fwd_close(struct fwd *fwd);
-static void fwd_close_as(struct fwd *fwd, enum fwd_cause cause);
-static void fwd_on_nobody(struct fwd *fwd, int err, int64_t now_us);
-static void fwd_wait_or_close(struct fwd *fwd, int64_t now_us);
+static void fwd_end_unanswered(struct fwd *fwd);
+static void fwd_end_with_cause(struct fwd *fwd, enum fwd_cause cause);
+static void fwd_on_no_endpoint(struct fwd *fwd, int err, int64_t now_us);
+static void fwd_wait_or_end(struct fwd *fwd, int64_t now_us);
 static void fwd_on_event(void *ctx, const char *data, size_t len);
 
 const char *fwd_cause_name(enum fwd_cause cause)
 {
-	return cause < FWD_CAUSES ? fwd_cause_names[cause] : "unknown";
+	return cause < FWD_CAUSE_COUNT ? fwd_cause_names[cause] : "unknown";
 }
 
 void fwd_init(struct fwd *fwd, const struct fwd_rules *rules, const struct fwd_ops *ops, void *ctx)
@@ -75,18 +80,21 @@
 	fwd->ops->ended(fwd->ctx, cause);
 }
 
-static void fwd_arm(struct fwd *fwd)
+static void fwd_set_timer(struct fwd *fwd)
 {
 	int64_t due = fwd->rules.deadline_us;
 	int64_t silence = fwd->parts > 0 ? fwd->rules.gap_us : fwd->rules.first_us;
 
-	/* It may have ended in a callback; its owner has other uses for the timer then. */
+	/*
+	 * The request may have ended in a callback. Its owner then uses the timer for another
+	 * purpose, so it must not be set here.
+	 */
 	if (fwd->state == FWD_ENDED)
 		return;
 	if (silence > 0 && (fwd->state == FWD_SENT || fwd->state == FWD_ANSWERING))
-		due = MIN(due, fwd->heard_us + silence);
+		due = MIN(due, fwd->last_received_us + silence);
 	if (fwd->state == FWD_WAITING)
-		due = MIN(due, fwd->again_us);
+		due = MIN(due, fwd->resend_us);
 	fwd->ops->set_timer(fwd->ctx, due);
 }
 
@@ -100,30 +108,33 @@
 	int err;
 
 	fwd->state = FWD_SENT;
-	fwd->events = false;
-	fwd->spilled = false;
-	fwd->heard_us = now_us;
+	fwd->is_event_stream = false;
+	fwd->passthrough = false;
+	fwd->last_received_us = now_us;
 	memset(&fwd->head, 0, sizeof(fwd->head));
 	g_string_truncate(fwd->body, 0);
 	sse_drop(&fwd->sse);
 	err = fwd->ops->send(fwd->ctx, fwd->sends, fwd->parts > 0 ? fwd->sse.last_id : NULL);
 	if (err == FWD_ECRASHES) {
-		fwd_close_as(fwd, FWD_CRASHES);
+		fwd_end_with_cause(fwd, FWD_CRASHES);
 		return;
 	}
 	if (err < 0) {
 		if (fwd->sends == 0)
-			fwd_on_nobody(fwd, err, now_us);
+			fwd_on_no_endpoint(fwd, err, now_us);
 		else
-			fwd_wait_or_close(fwd, now_us);
+			fwd_wait_or_end(fwd, now_us);
 		return;
 	}
 	fwd->sends++;
-	fwd_arm(fwd);
+	fwd_set_timer(fwd);
 }
 
-/* No attempt is left: the caller is told what is true of the request. */
-static void fwd_close(struct fwd *fwd)
+/*
+ * Ends the request without a regular answer. The error answer states whether the request may have
+ * run; an answer that has begun is aborted.
+ */
+static void fwd_end_unanswered(struct fwd *fwd)
 {
 	bool not_run = fwd->runs == 0;
 	int status = fwd->failure == FWD_SILENT || fwd->failure == FWD_DEADLINE
@@ -137,53 +148,53 @@
 	fwd_end(fwd, fwd->failure);
 }
 
-static void fwd_close_as(struct fwd *fwd, enum fwd_cause cause)
+static void fwd_end_with_cause(struct fwd *fwd, enum fwd_cause cause)
 {
 	fwd->failure = cause;
-	fwd_close(fwd);
+	fwd_end_unanswered(fwd);
 }
 
 /*
- * Whether the request may run once more. A stream that the caller has a part of goes on from there;
- * it needs the id of the last event for that.
+ * Returns whether the request may run once more after the given number of runs. A stream of which
+ * the caller has received a part is resumed, which requires the id of the last event.
  */
-static bool fwd_may_run(const struct fwd *fwd, int runs, int64_t now_us)
+static bool fwd_may_run_again(const struct fwd *fwd, int runs, int64_t now_us)
 {
 	if (runs >= fwd->rules.runs_max || (runs > 0 && !fwd->rules.may_repeat))
 		return false;
 	if (fwd->begun && (fwd->parts == 0 || !fwd->sse.has_id))
 		return false;
-	return now_us + FWD_LEAST_LEFT_US < fwd->rules.deadline_us;
+	return now_us + FWD_MIN_TIME_LEFT_US < fwd->rules.deadline_us;
 }
 
-static bool fwd_may_send(const struct fwd *fwd, int runs, int64_t now_us)
+static bool fwd_may_send_again(const struct fwd *fwd, int runs, int64_t now_us)
 {
-	return fwd->sends < FWD_SENDS_MAX && fwd_may_run(fwd, runs, now_us);
+	return fwd->sends < FWD_ATTEMPTS_MAX && fwd_may_run_again(fwd, runs, now_us);
 }
 
 /*
- * What goes wrong without waiting: engines' memory is full for a moment, all of them reject a
- * stream within some ms, and its caller sees it cut with most of its time left. Waiting keeps the
- * caller's connection, and each try costs one short call that engines reject without reading the
- * prompt.
+ * Schedules the next attempt of a stream that has begun, or ends the request. Without the wait, a
+ * stream would be aborted with most of its time left if all engines rejected it within a few ms
+ * because their memory was full for a moment. Waiting keeps the caller's connection, and each
+ * attempt costs one short call that engines reject without reading the prompt.
  */
-static void fwd_wait_or_close(struct fwd *fwd, int64_t now_us)
+static void fwd_wait_or_end(struct fwd *fwd, int64_t now_us)
 {
-	int64_t wait_us = (int64_t)FWD_WAIT_US << MIN(fwd->waits, FWD_WAIT_DOUBLINGS);
+	int64_t wait_us = (int64_t)FWD_RESEND_DELAY_US << MIN(fwd->waits, FWD_RESEND_DOUBLINGS_MAX);
 
-	if (fwd->parts == 0 || !fwd_may_run(fwd, fwd->runs, now_us + wait_us)) {
-		fwd_close(fwd);
+	if (fwd->parts == 0 || !fwd_may_run_again(fwd, fwd->runs, now_us + wait_us)) {
+		fwd_end_unanswered(fwd);
 		return;
 	}
 	fwd->state = FWD_WAITING;
 	fwd->waits++;
-	fwd->again_us = now_us + wait_us;
+	fwd->resend_us = now_us + wait_us;
 	fwd->ops->on_wait(fwd->ctx);
-	fwd_arm(fwd);
+	fwd_set_timer(fwd);
 }
 
-/* Until when a request that was sent nowhere yet waits for an endpoint. */
-static int64_t fwd_nobody_until(const struct fwd *fwd, int err)
+/* Returns the time until which a request that was not sent yet waits for an endpoint. */
+static int64_t fwd_endpoint_wait_until(const struct fwd *fwd, int err)
 {
 	switch (err) {
 	case FWD_ELIMIT:
@@ -197,7 +208,7 @@
 	}
 }
 
-static enum fwd_cause fwd_cause_of_nobody(int err)
+static enum fwd_cause fwd_cause_of_error(int err)
 {
 	if (err == FWD_ELIMIT || err == FWD_ELIMITED)
 		return FWD_LIMITED;
@@ -205,25 +216,25 @@
 }
 
 /*
- * There is no endpoint for a request that was sent nowhere yet. While the list may lack some that
- * live, or limits may leave room or rests end in a moment, it is looked for again; this costs
- * neither an attempt nor a repeat.
+ * No endpoint exists for a request that was not sent yet. While the list of endpoints may be
+ * incomplete, or a limit or a rest may end shortly, the request waits and looks again. This counts
+ * neither as an attempt nor against the retry budget.
  */
-static void fwd_on_nobody(struct fwd *fwd, int err, int64_t now_us)
+static void fwd_on_no_endpoint(struct fwd *fwd, int err, int64_t now_us)
 {
-	int64_t until_us = fwd_nobody_until(fwd, err);
+	int64_t until_us = fwd_endpoint_wait_until(fwd, err);
 
-	fwd->failure = fwd_cause_of_nobody(err);
+	fwd->failure = fwd_cause_of_error(err);
 	if (now_us >= until_us) {
-		fwd_wait_or_close(fwd, now_us);
+		fwd_wait_or_end(fwd, now_us);
 		return;
 	}
 	fwd->state = FWD_WAITING;
-	fwd->again_us = now_us + FWD_LISTING_US;
+	fwd->resend_us = now_us + FWD_LOOKUP_INTERVAL_US;
 	if (err == FWD_ERESTS)
-		fwd->again_us = MAX(fwd->again_us, fwd->rules.rest_us);
-	fwd->again_us = MIN(fwd->again_us, until_us);
-	fwd_arm(fwd);
+		fwd->resend_us = MAX(fwd->resend_us, fwd->rules.rest_us);
+	fwd->resend_us = MIN(fwd->resend_us, until_us);
+	fwd_set_timer(fwd);
 }
 
 static void fwd_send_again(struct fwd *fwd, int64_t now_us)
@@ -233,9 +244,9 @@
 	if (err == FWD_EBUDGET)
 		fwd->failure = FWD_BUDGET;
 	if (err == FWD_ECRASHES)
-		fwd_close_as(fwd, FWD_CRASHES);
+		fwd_end_with_cause(fwd, FWD_CRASHES);
 	else if (err < 0)
-		fwd_wait_or_close(fwd, now_us);
+		fwd_wait_or_end(fwd, now_us);
 	else
 		fwd_send(fwd, now_us);
 }
@@ -244,15 +255,15 @@
 {
 	if (ran)
 		fwd->runs++;
-	if (!fwd_may_send(fwd, fwd->runs, now_us)) {
-		fwd_wait_or_close(fwd, now_us);
+	if (!fwd_may_send_again(fwd, fwd->runs, now_us)) {
+		fwd_wait_or_end(fwd, now_us);
 		return;
 	}
 	fwd_send_again(fwd, now_us);
 }
 
-/* Whether the answer is one that this request may be given. */
-static bool fwd_is_proper(const struct fwd_head *head)
+/* Returns whether the answer may be passed to the caller. */
+static bool fwd_is_deliverable(const struct fwd_head *head)
 {
 	return head->ours && !head->encoded && head->sealed;
 }
@@ -260,16 +271,16 @@
 bool fwd_on_head(struct fwd *fwd, const struct fwd_head *head, int64_t now_us)
 {
 	fwd->head = *head;
-	fwd->heard_us = now_us;
+	fwd->last_received_us = now_us;
 	if (!head->ours) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return false;
 	}
-	if (fwd->rules.streaming && head->status / 100 == 2 && fwd_is_proper(head))
-		fwd->events = true;
+	if (fwd->rules.streaming && head->status / 100 == 2 && fwd_is_deliverable(head))
+		fwd->is_event_stream = true;
 	fwd->state = FWD_ANSWERING;
-	fwd_arm(fwd);
+	fwd_set_timer(fwd);
 	return true;
 }
 
@@ -286,13 +297,16 @@
 	fwd->ops->answer_data(fwd->ctx, data, len);
 }
 
-/* An answer too large to keep is handed on as it comes; it can't be replaced after that. */
-static void fwd_spill(struct fwd *fwd)
+/*
+ * Starts to pass on an answer that is too large for the buffer as it arrives. After that it can't
+ * be replaced by the answer of another attempt.
+ */
+static void fwd_start_passthrough(struct fwd *fwd)
 {
 	if (fwd->begun)
 		return;
 	fwd->begun = true;
-	fwd->spilled = true;
+	fwd->passthrough = true;
 	fwd->ops->answer_begin(fwd->ctx);
 	fwd->ops->answer_data(fwd->ctx, fwd->body->str, fwd->body->len);
 	g_string_truncate(fwd->body, 0);
@@ -300,49 +314,53 @@
 
 void fwd_on_data(struct fwd *fwd, const char *data, size_t len, int64_t now_us)
 {
-	uint64_t before = fwd->parts;
+	uint64_t parts_before = fwd->parts;
 
-	if (fwd->events) {
+	if (fwd->is_event_stream) {
 		if (sse_feed(&fwd->sse, data, len, fwd_on_event, fwd) < 0) {
 			fwd->failure = FWD_BROKEN;
 			fwd->ops->cancel(fwd->ctx);
 			fwd_attempt_failed(fwd, true, now_us);
 			return;
 		}
-		if (fwd->parts > before)
-			fwd->heard_us = now_us;
-		fwd_arm(fwd);
+		if (fwd->parts > parts_before)
+			fwd->last_received_us = now_us;
+		fwd_set_timer(fwd);
 		return;
 	}
-	fwd->heard_us = now_us;
-	if (fwd->spilled) {
+	fwd->last_received_us = now_us;
+	if (fwd->passthrough) {
 		fwd->ops->answer_data(fwd->ctx, data, len);
 		return;
 	}
-	if (!fwd_is_proper(&fwd->head))
-		return; /* it will not be handed on */
+	if (!fwd_is_deliverable(&fwd->head))
+		return; /* Answers that aren't passed on aren't buffered. */
 	g_string_append_len(fwd->body, data, (gssize)len);
-	if (fwd->body->len > FWD_KEEP_MAX)
-		fwd_spill(fwd);
+	if (fwd->body->len > FWD_BUFFER_MAX_BYTES)
+		fwd_start_passthrough(fwd);
 }
 
-/* A failure that the endpoint itself reports, whole: handed on unless it may run elsewhere. */
+/*
+ * The endpoint sent a complete answer with an error status. It is passed to the caller unless the
+ * request is sent to another endpoint.
+ */
 static void fwd_on_failure_answer(struct fwd *fwd, int64_t now_us)
 {
-	bool again = fwd->head.status >= 500 && fwd->rules.may_repeat;
+	bool may_rerun = fwd->head.status >= 500 && fwd->rules.may_repeat;
 
 	fwd->failure = FWD_FAILED;
 	fwd->runs++;
-	if (again && fwd_may_send(fwd, fwd->runs, now_us) && fwd->ops->take_repeat(fwd->ctx) == 0) {
+	if (may_rerun && fwd_may_send_again(fwd, fwd->runs, now_us) &&
+	    fwd->ops->take_repeat(fwd->ctx) == 0) {
 		fwd_send(fwd, now_us);
 		return;
 	}
-	if (fwd->spilled) {
+	if (fwd->passthrough) {
 		fwd->ops->answer_end(fwd->ctx);
 	} else if (fwd->begun) {
 		fwd->ops->answer_abort(fwd->ctx);
-	} else if (!fwd_is_proper(&fwd->head)) {
-		fwd_close(fwd);
+	} else if (!fwd_is_deliverable(&fwd->head)) {
+		fwd_end_unanswered(fwd);
 		return;
 	} else {
 		fwd->ops->answer_whole(fwd->ctx, fwd->body->str, fwd->body->len);
@@ -350,14 +368,16 @@
 	fwd_end(fwd, FWD_FAILED);
 }
 
-static void fwd_on_whole(struct fwd *fwd, int64_t now_us)
+/* The endpoint sent a complete answer with status 2xx. */
+static void fwd_on_success_answer(struct fwd *fwd, int64_t now_us)
 {
-	if (!fwd_is_proper(&fwd->head)) {
+	if (!fwd_is_deliverable(&fwd->head)) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return;
 	}
-	if (fwd->begun != (fwd->events || fwd->spilled) || sse_pending(&fwd->sse) > 0) {
+	if (fwd->begun != (fwd->is_event_stream || fwd->passthrough) ||
+	    sse_pending(&fwd->sse) > 0) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return;
@@ -371,7 +391,7 @@
 
 void fwd_on_done(struct fwd *fwd, bool whole, bool sent, int64_t now_us)
 {
-	bool headed = fwd->state == FWD_ANSWERING;
+	bool has_head = fwd->state == FWD_ANSWERING;
 
 	if (fwd->state == FWD_ENDED)
 		return;
@@ -380,18 +400,18 @@
 		fwd_attempt_failed(fwd, false, now_us);
 		return;
 	}
-	if (headed && fwd->head.not_run) {
+	if (has_head && fwd->head.not_run) {
 		fwd->failure = FWD_REJECTED;
 		fwd_attempt_failed(fwd, false, now_us);
 		return;
 	}
-	if (!whole || !headed) {
+	if (!whole || !has_head) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return;
 	}
 	if (fwd->head.status / 100 == 2)
-		fwd_on_whole(fwd, now_us);
+		fwd_on_success_answer(fwd, now_us);
 	else
 		fwd_on_failure_answer(fwd, now_us);
 }
@@ -400,25 +420,25 @@
 {
 	if (fwd->state == FWD_ENDED)
 		return;
-	fwd->heard_us = now_us;
-	fwd_arm(fwd);
+	fwd->last_received_us = now_us;
+	fwd_set_timer(fwd);
 }
 
 bool fwd_may_give_up(const struct fwd *fwd, int64_t now_us)
 {
-	return fwd_may_send(fwd, fwd->runs + 1, now_us);
+	return fwd_may_send_again(fwd, fwd->runs + 1, now_us);
 }
 
 /*
- * An attempt that may still bring something is only given up for one that can be made: to cancel it
- * first and then find the budget spent would cut a stream that was merely slow.
+ * The retry budget is charged before the attempt is cancelled. In the opposite order, a stream that
+ * is only slow would be aborted when the budget is exhausted.
  */
 void fwd_give_up_attempt(struct fwd *fwd, int64_t now_us)
 {
 	if (fwd->state != FWD_SENT && fwd->state != FWD_ANSWERING)
 		return;
 	if (!fwd_may_give_up(fwd, now_us) || fwd->ops->take_repeat(fwd->ctx) < 0) {
-		fwd_arm(fwd);
+		fwd_set_timer(fwd);
 		return;
 	}
 	fwd->failure = FWD_SILENT;
@@ -427,19 +447,19 @@
 	fwd_send(fwd, now_us);
 }
 
-/* Nothing more is to be done; what is known of the request's run goes to the caller. */
-static void fwd_stop(struct fwd *fwd, enum fwd_cause cause)
+/* Cancels the current attempt, which may have run, and ends the request. */
+static void fwd_cancel_and_end(struct fwd *fwd, enum fwd_cause cause)
 {
 	fwd->ops->cancel(fwd->ctx);
 	if (fwd->state == FWD_SENT || fwd->state == FWD_ANSWERING)
 		fwd->runs++;
-	fwd_close_as(fwd, cause);
+	fwd_end_with_cause(fwd, cause);
 }
 
 void fwd_on_quarantine(struct fwd *fwd)
 {
 	if (fwd->state != FWD_ENDED)
-		fwd_stop(fwd, FWD_CRASHES);
+		fwd_cancel_and_end(fwd, FWD_CRASHES);
 }
 
 void fwd_on_caller_gone(struct fwd *fwd)
@@ -458,23 +478,23 @@
 	if (fwd->state == FWD_ENDED)
 		return;
 	if (now_us >= fwd->rules.deadline_us) {
-		fwd_stop(fwd, FWD_DEADLINE);
+		fwd_cancel_and_end(fwd, FWD_DEADLINE);
 		return;
 	}
 	if (fwd->state == FWD_WAITING) {
-		if (now_us >= fwd->again_us)
+		if (now_us >= fwd->resend_us)
 			fwd_send_again(fwd, now_us);
 		else
-			fwd_arm(fwd);
+			fwd_set_timer(fwd);
 		return;
 	}
-	if (silence <= 0 || now_us < fwd->heard_us + silence) {
-		fwd_arm(fwd);
+	if (silence <= 0 || now_us < fwd->last_received_us + silence) {
+		fwd_set_timer(fwd);
 		return;
 	}
-	fwd->heard_us = now_us;
+	fwd->last_received_us = now_us;
 	if (fwd->ops->on_silent(fwd->ctx))
-		fwd_arm(fwd);
+		fwd_set_timer(fwd);
 	else
 		fwd_give_up_attempt(fwd, now_us);
 }
--- a/fwd/fwd.h
+++ b/fwd/fwd.h
@@ -10,116 +10,167 @@
 G_BEGIN_DECLS
 
 /*
- * The life of one request on its way to an endpoint and of its answer back: what may be sent again,
- * what the caller is told, and when. Pure: events and the time go in, actions come out through
- * callbacks; every request ends by exactly one of answer_whole(), answer_end(), answer_abort() and
+ * State machine that forwards one request to endpoints and returns the answer to the caller. It
+ * decides when the request is sent again and when and how it ends. It does no I/O: the owner passes
+ * in events and the current time, and the state machine acts through the callbacks in struct
+ * fwd_ops. Every request ends with exactly one of answer_whole(), answer_end(), answer_abort() and
  * refuse().
  *
  *   waiting --send--> sent --head--> answering --end--> ended
  *      ^                |                |
  *      +-- not run, or may run again ----+
  *
- * It waits between two sendings only as a stream that its caller has a part of and that nobody
- * takes at present, and before the first one only while endpoints that live may be missing in the
- * list; anybody else is refused at once.
+ * Between two attempts, only a stream waits whose caller has received a part and that no endpoint
+ * accepts at present. Before the first attempt, a request waits only while the list of endpoints
+ * may be incomplete, or while a limit or a rest may end in time. Every other request without an
+ * endpoint is refused immediately.
  */
+
+/* Error codes of the callbacks send() and take_repeat(). */
 enum fwd_err {
-	FWD_ENOENDPOINT = -900, /* no usable endpoint at present */
-	FWD_EBUDGET = -901,	/* the budget of repeats is spent */
-	FWD_ECRASHES = -902, /* endpoints ended while they ran it; it is sent to no more of them */
-	FWD_ELIMIT = -903,   /* endpoints take no more now; one may take it in a moment */
-	FWD_ELIMITED = -904, /* the same, and too many wait for that moment */
-	FWD_ERESTS = -905    /* all endpoints for it want nothing of this host now */
+	/* No usable endpoint exists at present. */
+	FWD_ENOENDPOINT = -900,
+	/* The retry budget is exhausted. */
+	FWD_EBUDGET = -901,
+	/* Endpoints crashed while they ran this request; it must not be sent to another one. */
+	FWD_ECRASHES = -902,
+	/* The limits of all endpoints are reached; one may accept the request shortly. */
+	FWD_ELIMIT = -903,
+	/* As FWD_ELIMIT, but too many requests wait already, so this one must not wait. */
+	FWD_ELIMITED = -904,
+	/* All endpoints for the request asked this host to send nothing for some time (a rest). */
+	FWD_ERESTS = -905
 };
 
-/* Why a request ended as it did; also the text in the log. */
+/* Reason why a request ended. fwd_cause_name() returns the text for the log. */
 enum fwd_cause {
+	/* An endpoint answered with status 2xx. */
 	FWD_OK,
-	FWD_NO_ENDPOINT, /* nobody to send it to */
-	FWD_REJECTED,	 /* endpoints said that they did not run it */
-	FWD_UNREACHED,	 /* no connection to an endpoint came about */
-	FWD_BROKEN,	 /* the answer broke off or was not an answer to this request */
-	FWD_SILENT,	 /* the endpoint sent nothing for too long */
-	FWD_DEADLINE,	 /* the caller's or the route's time is over */
+	/* No usable endpoint existed. */
+	FWD_NO_ENDPOINT,
+	/* Endpoints stated that they did not run the request. */
+	FWD_REJECTED,
+	/* No connection to an endpoint could be established. */
+	FWD_UNREACHED,
+	/* The answer was incomplete, malformed or not an answer to this request. */
+	FWD_BROKEN,
+	/* The endpoint sent nothing for longer than the allowed silence. */
+	FWD_SILENT,
+	/* The deadline of the caller or of the route passed. */
+	FWD_DEADLINE,
+	/* The caller disconnected. */
 	FWD_CALLER_GONE,
-	FWD_BUDGET,  /* it might have been sent again, but for the budget */
-	FWD_FAILED,  /* the endpoint's own failure was handed on */
-	FWD_CRASHES, /* it is in quarantine: endpoints ended while they ran it */
-	FWD_LIMITED, /* all endpoints for it have named limits, which leave no room */
-	FWD_RESTING, /* all endpoints for it want nothing of this host now */
-	FWD_CAUSES
+	/* The request could have been sent again, but the retry budget was exhausted. */
+	FWD_BUDGET,
+	/* An endpoint answered with an error status, which was passed to the caller. */
+	FWD_FAILED,
+	/* The request is in quarantine because endpoints crashed while they ran it. */
+	FWD_CRASHES,
+	/* The limits of all endpoints were reached. */
+	FWD_LIMITED,
+	/* All endpoints for the request asked this host to send nothing for some time. */
+	FWD_RESTING,
+	/* Number of causes. */
+	FWD_CAUSE_COUNT
 };
 
 const char *fwd_cause_name(enum fwd_cause cause);
 
+/* Rules for one request. All times are in microseconds. */
 struct fwd_rules {
-	bool may_repeat; /* may run more than once */
+	/* Whether the request may run more than once. */
+	bool may_repeat;
+	/* Whether a successful answer is a stream of events. */
 	bool streaming;
-	int runs_max;	     /* endpoints that may run it */
-	int64_t deadline_us; /* of the caller and of the route, whichever is first */
-	int64_t first_us;    /* silence allowed before the first byte or event */
-	int64_t gap_us;	     /* silence allowed between events */
-	int64_t listing_us;  /* until then it waits where there is no endpoint for it */
-	int64_t limit_us;    /* until then it waits where limits or rests leave none for it */
-	int64_t rest_us;     /* after FWD_ERESTS: when one of them is to be had */
+	/* Maximum number of endpoints that may run the request. */
+	int runs_max;
+	/* Time at which the request ends: the earlier deadline of the caller and the route. */
+	int64_t deadline_us;
+	/* Silence allowed before the first event or byte of the answer; 0 if unlimited. */
+	int64_t first_us;
+	/* Silence allowed between two events; 0 if unlimited. */
+	int64_t gap_us;
+	/* Time until which the request waits if no endpoint for it is listed. */
+	int64_t listing_us;
+	/* Time until which the request waits if limits or rests exclude all endpoints. */
+	int64_t limit_us;
+	/* Time at which the first endpoint may be used again; valid after FWD_ERESTS. */
+	int64_t rest_us;
 };
 
-/* What the head of an endpoint's answer says. */
+/* Properties of the status line and the headers of an endpoint's answer. */
 struct fwd_head {
+	/* HTTP status code. */
 	int status;
-	bool not_run; /* the endpoint states that it did not run the request */
-	bool sealed;  /* bears the endpoint's proof */
-	bool ours;    /* bears the id of this request */
-	bool encoded; /* the body is not the endpoint's own */
+	/* Whether the endpoint states that it did not run the request. */
+	bool not_run;
+	/* Whether the answer bears the endpoint's seal, which proves its origin. */
+	bool sealed;
+	/* Whether the answer bears the id of this request. */
+	bool ours;
+	/* Whether the body has a content encoding and so isn't the original body. */
+	bool encoded;
 };
 
 struct fwd_ops {
 	/*
-	 * Chooses endpoints and sends the request; resume_after is the id of the last event that
-	 * the caller has, or NULL. Returns 0 or a negative FWD_E.
+	 * Chooses endpoints and sends the request. attempt is the number of attempts sent before;
+	 * resume_after is the id of the last event that the caller has received, or NULL. Returns 0
+	 * or a negative FWD_E code.
 	 */
 	int (*send)(void *ctx, int attempt, const char *resume_after);
 
-	/* Takes one more sending from the budget. Returns 0 or a negative FWD_E. */
+	/* Charges one more attempt to the retry budget. Returns 0 or a negative FWD_E code. */
 	int (*take_repeat)(void *ctx);
 
-	/* Ends the attempt under way, without on_done. */
+	/* Cancels the current attempt; fwd_on_done() must not be called for it. */
 	void (*cancel)(void *ctx);
 
-	/* Nobody takes the request now; it is sent again later, also to those that rejected it. */
+	/*
+	 * No endpoint accepts the request at present. It will be sent again later; endpoints that
+	 * rejected it may then be chosen again.
+	 */
 	void (*on_wait)(void *ctx);
 
 	/*
-	 * The attempt under way is silent. Returns true when it is to be kept, so that silence is
-	 * allowed once more; else it is given up, if the request may be sent again.
+	 * The endpoint has been silent for the allowed time. If this returns true, the attempt
+	 * continues and the allowed silence starts again. Otherwise the attempt is abandoned if the
+	 * request may be sent again.
 	 */
 	bool (*on_silent)(void *ctx);
 
-	/* The whole answer of the endpoint, unchanged. */
+	/* Sends the complete body of the endpoint's answer to the caller, unchanged. */
 	void (*answer_whole)(void *ctx, const char *body, size_t len);
 
-	/* The endpoint's answer in parts. */
+	/* Send the endpoint's answer to the caller in parts. */
 	void (*answer_begin)(void *ctx);
 	void (*answer_data)(void *ctx, const char *data, size_t len);
 	void (*answer_end)(void *ctx);
 
-	/* Breaks an answer off so that it can't look complete. */
+	/* Aborts the answer in a way that the caller can't mistake for its regular end. */
 	void (*answer_abort)(void *ctx);
 
-	/* An answer of our own; not_run: the request has not run and never will. */
+	/*
+	 * Sends an error answer of this host to the caller. not_run states that the request has not
+	 * run and will not run.
+	 */
 	void (*refuse)(void *ctx, int status, bool not_run);
 
-	/* Asks for fwd_on_time() at due_us; replaces what was asked before. */
+	/* Schedules a call of fwd_on_time() at due_us; replaces the previous schedule. */
 	void (*set_timer)(void *ctx, int64_t due_us);
 
-	/* The request has ended; nothing is called after this. */
+	/* The request has ended. No callback is called after this one. */
 	void (*ended)(void *ctx, enum fwd_cause cause);
 };
 
 enum fwd_state {
+	/* No attempt is in progress; the request is sent at resend_us. */
 	FWD_WAITING,
+	/* An attempt was sent; the head of its answer has not arrived. */
 	FWD_SENT,
+	/* The head of the answer has arrived. */
 	FWD_ANSWERING,
+	/* The request has ended. */
 	FWD_ENDED
 };
 
@@ -128,50 +179,78 @@
 	const struct fwd_ops *ops;
 	void *ctx;
 	enum fwd_state state;
+	/* Head of the current attempt's answer. */
 	struct fwd_head head;
+	/* Parser for a stream of events. */
 	struct sse sse;
-	GString *body; /* of an answer that is kept until it is whole */
-	int sends;     /* attempts that were sent */
-	int runs;      /* of these, those that may have run */
-	bool begun;    /* the caller has the head of an answer */
-	bool events;   /* the answer under way is a stream of events */
-	bool spilled;  /* the answer under way was too large to keep and is handed on as it comes */
-	uint64_t parts;		/* events handed on */
-	int64_t heard_us;	/* when the endpoint was last heard of */
-	int64_t again_us;	/* in FWD_WAITING: when it is sent, or sent again */
-	int waits;		/* in a row without anything handed on in between */
-	enum fwd_cause failure; /* of the last attempt */
+	/* Body of an answer that is buffered until it is complete. */
+	GString *body;
+	/* Number of attempts that were sent. */
+	int sends;
+	/* Number of these attempts in which an endpoint may have run the request. */
+	int runs;
+	/* Whether the caller has received the head of an answer. */
+	bool begun;
+	/* Whether the current answer is a stream of events. */
+	bool is_event_stream;
+	/* Whether the current answer exceeded the buffer and is passed on as it arrives. */
+	bool passthrough;
+	/* Number of events passed to the caller, over all attempts. */
+	uint64_t parts;
+	/* Time of the last progress of the attempt, in microseconds; the silence starts here. */
+	int64_t last_received_us;
+	/* In FWD_WAITING: time at which the request is sent, in microseconds. */
+	int64_t resend_us;
+	/* Number of waits since the last event was passed to the caller. */
+	int waits;
+	/* Failure of the last attempt. */
+	enum fwd_cause failure;
 };
 
 void fwd_init(struct fwd *fwd, const struct fwd_rules *rules, const struct fwd_ops *ops, void *ctx);
 void fwd_finish(struct fwd *fwd);
 
-/* Sends the request for the first time. resume_after: id that the caller itself goes on from. */
+/* Sends the request for the first time. */
 void fwd_start(struct fwd *fwd, int64_t now_us);
 
-/* Events of the attempt under way. on_head returns false if the attempt is to be given up. */
+/*
+ * The head of the current attempt's answer arrived. Returns false if the answer belongs to another
+ * request; the caller of this function must then drop the attempt.
+ */
 bool fwd_on_head(struct fwd *fwd, const struct fwd_head *head, int64_t now_us);
+
+/* A part of the current answer's body arrived. */
 void fwd_on_data(struct fwd *fwd, const char *data, size_t len, int64_t now_us);
 
-/* The attempt has ended; whole: its answer is complete; sent: the endpoint may have got it. */
+/*
+ * The current attempt ended. whole states that its answer is complete, sent that the endpoint may
+ * have received the request.
+ */
 void fwd_on_done(struct fwd *fwd, bool whole, bool sent, int64_t now_us);
 
-/* Whether the request could be sent again if the attempt under way, which may run, is given up. */
+/*
+ * Returns whether the request could be sent again if the current attempt, which may run, is
+ * abandoned.
+ */
 bool fwd_may_give_up(const struct fwd *fwd, int64_t now_us);
 
-/* Something else was heard of the attempt: silence counts from now. */
+/* Restarts the allowed silence, after a sign of progress other than data of the answer. */
 void fwd_on_sign(struct fwd *fwd, int64_t now_us);
 
-/* Gives the attempt under way up and sends again, if that is possible; else the attempt goes on. */
+/* Abandons the current attempt and sends the request again, if possible; else does nothing. */
 void fwd_give_up_attempt(struct fwd *fwd, int64_t now_us);
 
 /*
- * The request is in quarantine from now on: an attempt that waits somewhere would end the endpoint
- * when it begins, so it is ended, and its caller told what is true of it.
+ * Ends the request because it was put in quarantine. An attempt that is still queued would crash
+ * its endpoint once it starts, so it is cancelled. The answer states whether the request may have
+ * run.
  */
 void fwd_on_quarantine(struct fwd *fwd);
 
+/* The caller disconnected. */
 void fwd_on_caller_gone(struct fwd *fwd);
+
+/* The timer set by set_timer() expired. */
 void fwd_on_time(struct fwd *fwd, int64_t now_us);
 
 G_END_DECLS
--- a/fwd/fwd_test.cc
+++ b/fwd/fwd_test.cc
@@ -10,7 +10,10 @@
 
 const int64_t MS = 1000;
 
-/* Plays a request against scripted endpoints and writes down what it does, a word an action. */
+/*
+ * Runs a request against scripted endpoints. Each callback appends one word to actions_;
+ * Actions() returns these words and clears them.
+ */
 class FwdTest : public ::testing::Test
 {
       protected:
@@ -27,12 +30,12 @@
 		rules.limit_us = limit_us_;
 		rules.rest_us = rest_us_;
 		fwd_init(&fwd_, &rules, &ops_, this);
-		live_ = true;
+		started_ = true;
 		fwd_start(&fwd_, now_);
 	}
 	void TearDown() override
 	{
-		if (live_)
+		if (started_)
 			fwd_finish(&fwd_);
 	}
 	void Head(int status, bool sealed = true, bool ours = true, bool not_run = false,
@@ -54,68 +57,69 @@
 		now_ += us;
 		fwd_on_time(&fwd_, now_);
 	}
-	std::string Did()
+	std::string Actions()
 	{
 		std::string all;
-		for (const auto &d : did_)
-			all += (all.empty() ? "" : " ") + d;
-		did_.clear();
+		for (const auto &action : actions_)
+			all += (all.empty() ? "" : " ") + action;
+		actions_.clear();
 		return all;
 	}
-	static FwdTest *Of(void *ctx)
+	static FwdTest *Self(void *ctx)
 	{
 		return (FwdTest *)ctx;
 	}
-	static void Say(void *ctx, const std::string &what)
+	static void Record(void *ctx, const std::string &what)
 	{
-		Of(ctx)->did_.push_back(what);
+		Self(ctx)->actions_.push_back(what);
 	}
 
 	const fwd_ops ops_ = {
 		[](void *ctx, int, const char *resume_after) {
-			if (Of(ctx)->send_error_ == 0)
-				Say(ctx,
-				    resume_after ? std::string("send@") + resume_after : "send");
-			return Of(ctx)->send_error_;
+			if (Self(ctx)->send_error_ == 0)
+				Record(ctx,
+				       resume_after ? std::string("send@") + resume_after : "send");
+			return Self(ctx)->send_error_;
 		},
-		[](void *ctx) { return Of(ctx)->repeat_error_; },
-		[](void *ctx) { Say(ctx, "cancel"); },
-		[](void *ctx) { Say(ctx, "wait"); },
+		[](void *ctx) { return Self(ctx)->repeat_error_; },
+		[](void *ctx) { Record(ctx, "cancel"); },
+		[](void *ctx) { Record(ctx, "wait"); },
 		[](void *ctx) {
-			Say(ctx, "silent");
-			if (Of(ctx)->end_silent_)
-				fwd_on_quarantine(&Of(ctx)->fwd_);
-			return Of(ctx)->keep_silent_;
+			Record(ctx, "silent");
+			if (Self(ctx)->quarantine_on_silence_)
+				fwd_on_quarantine(&Self(ctx)->fwd_);
+			return Self(ctx)->keep_attempt_;
 		},
 		[](void *ctx, const char *body, size_t len) {
-			Say(ctx, "whole:" + std::string(body, len));
+			Record(ctx, "whole:" + std::string(body, len));
 		},
-		[](void *ctx) { Say(ctx, "begin"); },
+		[](void *ctx) { Record(ctx, "begin"); },
 		[](void *ctx, const char *data, size_t len) {
-			Say(ctx, "data" + std::to_string(len));
-			Of(ctx)->got_ += std::string(data, len);
+			Record(ctx, "data" + std::to_string(len));
+			Self(ctx)->received_ += std::string(data, len);
 		},
-		[](void *ctx) { Say(ctx, "end"); },
-		[](void *ctx) { Say(ctx, "abort"); },
+		[](void *ctx) { Record(ctx, "end"); },
+		[](void *ctx) { Record(ctx, "abort"); },
 		[](void *ctx, int status, bool not_run) {
-			Say(ctx, "refuse" + std::to_string(status) + (not_run ? "!" : "?"));
+			Record(ctx, "refuse" + std::to_string(status) + (not_run ? "!" : "?"));
 		},
-		[](void *ctx, int64_t) { Of(ctx)->timers_++; },
-		[](void *ctx, fwd_cause cause) { Say(ctx, fwd_cause_name(cause)); },
+		[](void *ctx, int64_t) { Self(ctx)->timers_++; },
+		[](void *ctx, fwd_cause cause) { Record(ctx, fwd_cause_name(cause)); },
 	};
 	fwd fwd_;
-	bool live_ = false;
+	bool started_ = false;
 	int64_t now_ = 1000 * MS;
 	int send_error_ = 0;
 	int repeat_error_ = 0;
 	int64_t listing_us_ = 0;
 	int64_t limit_us_ = 0;
 	int64_t rest_us_ = 0;
-	bool keep_silent_ = false;
-	bool end_silent_ = false; /* the request ends while it is asked what to do about silence */
+	bool keep_attempt_ = false;
+	/* Whether on_silent() puts the request in quarantine, which ends it. */
+	bool quarantine_on_silence_ = false;
 	int timers_ = 0;
-	std::vector<std::string> did_;
-	std::string got_;
+	std::vector<std::string> actions_;
+	std::string received_;
 };
 
 TEST_F(FwdTest, AnswerIsHandedOnWhole)
@@ -125,7 +129,7 @@
 	Data("ab");
 	Data("c");
 	Done(true);
-	EXPECT_EQ(Did(), "send whole:abc ok");
+	EXPECT_EQ(Actions(), "send whole:abc ok");
 }
 
 TEST_F(FwdTest, EventsAreHandedOnAsTheyCome)
@@ -135,27 +139,26 @@
 	Data("id: 1\nda");
 	Data("ta: x\n\nid: 2\n\n");
 	Done(true);
-	EXPECT_EQ(Did(), "send begin data15 data7 end ok");
+	EXPECT_EQ(Actions(), "send begin data15 data7 end ok");
 }
 
 /*
- * Symptom: a request that may run once ran twice.
- * Sequence: it is sent, the connection breaks before the answer.
- * Cause: no answer was taken for "not run".
+ * Guards against a second run of a request that may run only once. The connection breaks after the
+ * request was sent and before the answer; a missing answer must not count as "not run".
  */
 TEST_F(FwdTest, WhatMayHaveRunIsNotSentAgain)
 {
 	Start(false, false);
 	Done(false);
-	EXPECT_EQ(Did(), "send refuse502? broken");
+	EXPECT_EQ(Actions(), "send refuse502? broken");
 }
 
-/* A caller that is told 503 may send again elsewhere; that is right only if nothing ran. */
+/* A caller may send a request again after 503, so 503 is correct only if the request never ran. */
 TEST_F(FwdTest, NotRunIsSaidOnlyWhereItIsCertain)
 {
 	const struct {
 		bool sent, headed, not_run;
-		const char *did;
+		const char *actions;
 	} cases[] = {
 		{false, false, false, "send refuse503! unreached"},
 		{true, false, false, "send refuse502? broken"},
@@ -168,13 +171,14 @@
 		if (c.headed)
 			Head(503, false, true, c.not_run);
 		Done(false, c.sent);
-		std::string did = Did();
+		std::string actions = Actions();
 		if (c.not_run || !c.sent)
-			EXPECT_TRUE(did == c.did || did == "send refuse503! budget") << did;
+			EXPECT_TRUE(actions == c.actions || actions == "send refuse503! budget")
+				<< actions;
 		else
-			EXPECT_EQ(did, c.did);
+			EXPECT_EQ(actions, c.actions);
 		fwd_finish(&fwd_);
-		live_ = false;
+		started_ = false;
 	}
 }
 
@@ -186,7 +190,7 @@
 	Head(200);
 	Data("x");
 	Done(true);
-	EXPECT_EQ(Did(), "send send whole:x ok");
+	EXPECT_EQ(Actions(), "send send whole:x ok");
 }
 
 TEST_F(FwdTest, AnIdempotentRequestRunsAgainAfterAFailure)
@@ -198,7 +202,7 @@
 	Head(200);
 	Data("x");
 	Done(true);
-	EXPECT_EQ(Did(), "send send whole:x ok");
+	EXPECT_EQ(Actions(), "send send whole:x ok");
 }
 
 TEST_F(FwdTest, TheLastFailureIsHandedOnUnchanged)
@@ -209,7 +213,7 @@
 	Head(500);
 	Data("oops");
 	Done(true);
-	EXPECT_EQ(Did(), "send send whole:oops endpoint_failed");
+	EXPECT_EQ(Actions(), "send send whole:oops endpoint_failed");
 }
 
 TEST_F(FwdTest, ANonIdempotentFailureIsHandedOnAtOnce)
@@ -218,19 +222,18 @@
 	Head(500);
 	Data("oops");
 	Done(true);
-	EXPECT_EQ(Did(), "send whole:oops endpoint_failed");
+	EXPECT_EQ(Actions(), "send whole:oops endpoint_failed");
 }
 
 /*
- * Symptom: a caller got the answer of another request.
- * Sequence: an endpoint sends a second answer late; the next request's answer is read from it.
- * Cause: the id in the answer was not looked at.
+ * Guards against passing the answer of another request to the caller. An endpoint sends a second
+ * answer late, which is read as the answer to the next request; the request id must be compared.
  */
 TEST_F(FwdTest, AnAnswerToAnotherRequestIsNeverHandedOn)
 {
 	Start(false, false);
 	Head(200, true, false);
-	EXPECT_EQ(Did(), "send refuse502? broken");
+	EXPECT_EQ(Actions(), "send refuse502? broken");
 }
 
 TEST_F(FwdTest, AnAnswerWithoutProofOrWithAnEncodingIsNotHandedOn)
@@ -239,19 +242,18 @@
 	Head(200, false);
 	Data("x");
 	Done(true);
-	EXPECT_EQ(Did(), "send refuse502? broken");
+	EXPECT_EQ(Actions(), "send refuse502? broken");
 	fwd_finish(&fwd_);
 	Start(false, false);
 	Head(200, true, true, false, true);
 	Data("x");
 	Done(true);
-	EXPECT_EQ(Did(), "send refuse502? broken");
+	EXPECT_EQ(Actions(), "send refuse502? broken");
 }
 
 /*
- * Symptom: a stream had a piece twice, or half of one.
- * Sequence: the endpoint breaks off in the middle of event 2.
- * Cause: the half event had been handed on.
+ * Guards against a duplicate or partial event in a stream. The first endpoint's answer ends in the
+ * middle of event 2; a partial event must not be passed to the caller.
  */
 TEST_F(FwdTest, AStreamGoesOnElsewhereFromTheLastWholeEvent)
 {
@@ -262,15 +264,14 @@
 	Head(200);
 	Data("id: 2\ndata: b\n\n");
 	Done(true);
-	EXPECT_EQ(Did(), "send begin data15 send@1 data15 end ok");
-	EXPECT_EQ(got_, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+	EXPECT_EQ(Actions(), "send begin data15 send@1 data15 end ok");
+	EXPECT_EQ(received_, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
 /*
- * Symptom: "{}" stood between two events of a stream.
- * Sequence: a stream goes on elsewhere; the next endpoint says that it did not run it, with a body;
- * a third one goes on.
- * Cause: whatever came after the first event was handed on, of whatever answer.
+ * Guards against the body "{}" of a rejection between two events of a stream. A stream is resumed:
+ * the second endpoint rejects it with a body, the third one continues it. Data after the first
+ * event must be passed on only from a successful answer.
  */
 TEST_F(FwdTest, TheBodyOfARejectionDoesNotGetIntoAStream)
 {
@@ -284,8 +285,8 @@
 	Head(200);
 	Data("id: 2\n\n");
 	Done(true);
-	EXPECT_EQ(got_, "id: 1\n\nid: 2\n\n");
-	EXPECT_EQ(Did(), "send begin data7 send@1 send@1 data7 end ok");
+	EXPECT_EQ(received_, "id: 1\n\nid: 2\n\n");
+	EXPECT_EQ(Actions(), "send begin data7 send@1 send@1 data7 end ok");
 }
 
 TEST_F(FwdTest, ALargeAnswerIsHandedOnBeforeItIsWhole)
@@ -297,14 +298,14 @@
 	Data(part);
 	Data("end");
 	Done(true);
-	EXPECT_EQ(Did(), "send begin data409600 data3 end ok");
+	EXPECT_EQ(Actions(), "send begin data409600 data3 end ok");
 	fwd_finish(&fwd_);
 	Start(false, false);
 	Head(200);
 	Data(part);
 	Data(part);
 	Done(false);
-	EXPECT_EQ(Did(), "send begin data409600 abort broken");
+	EXPECT_EQ(Actions(), "send begin data409600 abort broken");
 }
 
 TEST_F(FwdTest, AStreamThatMayNotBeResumedIsCut)
@@ -313,7 +314,7 @@
 	Head(200);
 	Data("id: 1\n\n");
 	Done(false);
-	EXPECT_EQ(Did(), "send begin data7 abort broken");
+	EXPECT_EQ(Actions(), "send begin data7 abort broken");
 }
 
 TEST_F(FwdTest, AStreamThatEndsInsideAnEventIsNotComplete)
@@ -322,7 +323,7 @@
 	Head(200);
 	Data("id: 1\n\nid: 2\n");
 	Done(true);
-	EXPECT_EQ(Did(), "send begin data7 abort broken");
+	EXPECT_EQ(Actions(), "send begin data7 abort broken");
 }
 
 TEST_F(FwdTest, RunsAreCounted)
@@ -334,13 +335,13 @@
 	Head(200);
 	Data("id: 2\n\n");
 	Done(false);
-	EXPECT_EQ(Did(), "send begin data7 send@1 data7 abort broken");
+	EXPECT_EQ(Actions(), "send begin data7 send@1 data7 abort broken");
 }
 
 /*
- * Symptom: the budget of repeats was spent while requests that could be served were refused.
- * Sequence: engines reject requests; nobody is left to send them to but engines that are dead.
- * Cause: they were sent there, rejected again, and each time counted as a repeat.
+ * Guards against exhausting the retry budget on dead engines, which causes refusals of requests
+ * that could be served. Engines reject a request and only dead engines remain; it must not be sent
+ * to them, because each rejection would count as a retry.
  */
 TEST_F(FwdTest, ARejectedRequestEndsWhereNobodyIsLeft)
 {
@@ -348,7 +349,7 @@
 	repeat_error_ = FWD_ENOENDPOINT;
 	Head(503, false, true, true);
 	Done(true);
-	EXPECT_EQ(Did(), "send refuse503! rejected");
+	EXPECT_EQ(Actions(), "send refuse503! rejected");
 }
 
 TEST_F(FwdTest, TheBudgetIsAskedBeforeASecondSending)
@@ -356,13 +357,13 @@
 	Start(true, false);
 	repeat_error_ = FWD_EBUDGET;
 	Done(false);
-	EXPECT_EQ(Did(), "send refuse502? budget");
+	EXPECT_EQ(Actions(), "send refuse502? budget");
 }
 
 /*
- * Symptom: beside a change of the configuration, streams were cut that were merely slow.
- * Sequence: a pipeline is silent for a moment, the budget of repeats is spent.
- * Cause: the attempt was cancelled first, and the budget asked afterwards.
+ * Guards against aborting slow streams during a configuration change. A pipeline is silent for a
+ * moment while the retry budget is exhausted; the budget must be checked before the attempt is
+ * cancelled.
  */
 TEST_F(FwdTest, ASilentAttemptIsKeptUnlessAnotherCanBeMade)
 {
@@ -373,7 +374,7 @@
 	Wait(150 * MS);
 	Data("id: 2\n\n");
 	Done(true);
-	EXPECT_EQ(Did(), "send begin data7 silent data7 end ok");
+	EXPECT_EQ(Actions(), "send begin data7 silent data7 end ok");
 }
 
 TEST_F(FwdTest, ASilentAttemptIsGivenUpForAnother)
@@ -382,16 +383,16 @@
 	Head(200);
 	Data("id: 1\n\n");
 	Wait(150 * MS);
-	EXPECT_EQ(Did(), "send begin data7 silent cancel send@1");
+	EXPECT_EQ(Actions(), "send begin data7 silent cancel send@1");
 }
 
 TEST_F(FwdTest, ASilentAttemptThatIsBeingRepairedIsKept)
 {
-	keep_silent_ = true;
+	keep_attempt_ = true;
 	Start(true, true);
 	Wait(350 * MS);
 	Wait(350 * MS);
-	EXPECT_EQ(Did(), "send silent silent");
+	EXPECT_EQ(Actions(), "send silent silent");
 }
 
 TEST_F(FwdTest, ANonIdempotentRequestIsNeverGivenUpForSilence)
@@ -401,22 +402,22 @@
 	Head(200);
 	Data("x");
 	Done(true);
-	EXPECT_EQ(Did(), "send silent whole:x ok");
+	EXPECT_EQ(Actions(), "send silent whole:x ok");
 }
 
-/* After the deadline the caller is told at once; what was sent may have run. */
+/* At the deadline the caller receives an error; a request that was sent may have run. */
 TEST_F(FwdTest, Deadline)
 {
 	Start(true, false, 1);
 	Wait(20000 * MS);
-	EXPECT_EQ(Did(), "send cancel refuse504? deadline");
+	EXPECT_EQ(Actions(), "send cancel refuse504? deadline");
 }
 
 TEST_F(FwdTest, NobodyToSendTo)
 {
 	send_error_ = FWD_ENOENDPOINT;
 	Start(true, false);
-	EXPECT_EQ(Did(), "refuse503! no_endpoint");
+	EXPECT_EQ(Actions(), "refuse503! no_endpoint");
 }
 
 TEST_F(FwdTest, ACallerThatLeavesEndsTheAttempt)
@@ -424,13 +425,13 @@
 	Start(true, true);
 	Head(200);
 	fwd_on_caller_gone(&fwd_);
-	EXPECT_EQ(Did(), "send cancel abort caller_gone");
+	EXPECT_EQ(Actions(), "send cancel abort caller_gone");
 	Done(false);
 	Wait(20000 * MS);
-	EXPECT_EQ(Did(), "");
+	EXPECT_EQ(Actions(), "");
 }
 
-/* Any order of events ends a request exactly once, and nothing is done after that. */
+/* For any order of events, a request ends exactly once and no callback is called after its end. */
 TEST_F(FwdTest, EveryRequestEndsOnce)
 {
 	unsigned int seed = 1;
@@ -441,7 +442,7 @@
 	for (int round = 0; round < 3000; round++) {
 		int ends = 0;
 		repeat_error_ = draw(2) ? 0 : FWD_EBUDGET;
-		keep_silent_ = draw(2);
+		keep_attempt_ = draw(2);
 		Start(draw(2), draw(2), 1 + (int)draw(3));
 		for (int i = 0; i < 40; i++) {
 			bool waiting = fwd_.state == FWD_SENT;
@@ -467,22 +468,22 @@
 			}
 		}
 		Wait(30000 * MS);
-		for (const auto &d : did_) {
-			for (int c = 0; c < FWD_CAUSES; c++)
-				ends += d == fwd_cause_name((fwd_cause)c);
+		for (const auto &action : actions_) {
+			for (int c = 0; c < FWD_CAUSE_COUNT; c++)
+				ends += action == fwd_cause_name((fwd_cause)c);
 		}
-		EXPECT_EQ(ends, 1) << Did();
+		EXPECT_EQ(ends, 1) << Actions();
 		EXPECT_EQ(fwd_.state, FWD_ENDED);
-		did_.clear();
+		actions_.clear();
 		fwd_finish(&fwd_);
-		live_ = false;
+		started_ = false;
 	}
 }
 
 /*
- * Symptom: streams were cut with most of their time left, ten beside one change of configuration.
- * Sequence: engines' memory is full; a stream that its caller has a part of loses its engine and is
- * rejected by all others within some ms. Cause: nobody left to send to ended the request at once.
+ * Guards against aborting streams with most of their time left, as seen ten times during one
+ * configuration change. Engine memory is full; a stream that has begun loses its engine and all
+ * others reject it within a few ms. Without an endpoint, such a stream must wait instead of ending.
  */
 TEST_F(FwdTest, AStreamThatNobodyTakesWaitsAndGoesOn)
 {
@@ -508,22 +509,24 @@
 			Done(true);
 		}
 		EXPECT_EQ(fwd_.state, FWD_WAITING) << c.name;
-		EXPECT_EQ(Did().find("abort"), std::string::npos) << c.name;
+		EXPECT_EQ(Actions().find("abort"), std::string::npos) << c.name;
 		send_error_ = repeat_error_ = 0;
-		Wait(fwd_.again_us - now_ - 1);
-		EXPECT_EQ(Did(), "") << c.name << ": too soon";
+		Wait(fwd_.resend_us - now_ - 1);
+		EXPECT_EQ(Actions(), "") << c.name << ": too soon";
 		Wait(1);
-		EXPECT_EQ(Did(), "send@1") << c.name;
+		EXPECT_EQ(Actions(), "send@1") << c.name;
 		Head(200);
 		Data("id: 2\n\n");
 		Done(true);
-		EXPECT_EQ(Did(), "data7 end ok") << c.name;
+		EXPECT_EQ(Actions(), "data7 end ok") << c.name;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* What may not run again, or has no time left, ends at once, and so does what has brought nothing.
+/*
+ * A request ends immediately if it may not run again, has no time left or has sent nothing to its
+ * caller.
  */
 TEST_F(FwdTest, OnlyAStreamThatMayGoOnWaits)
 {
@@ -532,7 +535,7 @@
 		int runs_max;
 		const char *data;
 		int64_t left_us;
-		const char *did;
+		const char *actions;
 	} cases[] = {
 		{"it has run as often as it may", 1, "id: 1\n\n", 9000 * MS, "abort broken"},
 		{"its events bear no ids", 2, "data: x\n\n", 9000 * MS, "abort broken"},
@@ -545,61 +548,62 @@
 		Head(200);
 		Data(c.data);
 		now_ = 10000 * MS - c.left_us;
-		Did();
+		Actions();
 		repeat_error_ = FWD_ENOENDPOINT;
 		Done(false);
-		EXPECT_EQ(Did(), c.did) << c.name;
+		EXPECT_EQ(Actions(), c.actions) << c.name;
 		repeat_error_ = 0;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
 /*
- * Symptom: 2,208 requests of a day refused for want of an endpoint, most of them after their one
- * retry. Sequence: the store is away and the endpoints' entries lapse; all hosts are killed and
- * start; the store comes back; the hosts read a list that is empty for up to two seconds. Cause: a
- * list that is not whole yet was taken for one that is.
+ * Guards against refusals because of an incomplete list of endpoints: 2,208 requests in one day,
+ * most of them after their only retry. The store is unavailable and the entries of endpoints
+ * expire; all hosts are killed and restart; the store returns, and its list is empty for up to two
+ * seconds. An incomplete list must not be treated as complete.
  */
 TEST_F(FwdTest, WhileTheListIsNotWholeARequestWaitsForAnEndpoint)
 {
 	const struct {
 		const char *name;
-		int64_t comes_us, whole_us;
-		const char *did;
+		int64_t available_us, complete_us;
+		const char *actions;
 	} cases[] = {
 		{"one comes", 300 * MS, 1500 * MS, "send"},
 		{"none comes until it is whole", 9000 * MS, 1500 * MS, "refuse503! no_endpoint"},
 		{"the list is whole", 300 * MS, 0, "refuse503! no_endpoint"},
 	};
 	for (const auto &c : cases) {
-		int looks = 0;
+		int lookups = 0;
 		now_ = 1000 * MS;
-		listing_us_ = now_ + c.whole_us;
+		listing_us_ = now_ + c.complete_us;
 		send_error_ = FWD_ENOENDPOINT;
-		repeat_error_ = FWD_EBUDGET; /* none is taken */
+		repeat_error_ = FWD_EBUDGET; /* A wait must not charge the budget. */
 		Start(false, false);
-		while (fwd_.state == FWD_WAITING && looks++ < 100) {
-			if (now_ >= 1000 * MS + c.comes_us)
+		while (fwd_.state == FWD_WAITING && lookups++ < 100) {
+			if (now_ >= 1000 * MS + c.available_us)
 				send_error_ = 0;
-			Wait(fwd_.again_us - now_);
+			Wait(fwd_.resend_us - now_);
 		}
-		EXPECT_EQ(Did(), c.did) << c.name;
+		EXPECT_EQ(Actions(), c.actions) << c.name;
 		EXPECT_LE(now_, listing_us_) << c.name;
-		EXPECT_LE(looks, 40) << c.name;
+		EXPECT_LE(lookups, 40) << c.name;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* Where limits leave no room a request waits for a moment, unless too many wait already. */
+/* A request waits briefly for an endpoint below its limit, unless too many requests wait already.
+ */
 TEST_F(FwdTest, ARequestWithoutRoomForItWaitsOrIsRefusedAtOnce)
 {
 	const struct {
 		const char *name;
 		int err;
-		int64_t comes_us, limit_us;
-		const char *did;
+		int64_t available_us, limit_us;
+		const char *actions;
 	} cases[] = {
 		{"one comes", FWD_ELIMIT, 100 * MS, 300 * MS, "send"},
 		{"none comes", FWD_ELIMIT, 9000 * MS, 300 * MS, "refuse503! limited"},
@@ -611,30 +615,30 @@
 		listing_us_ = 0;
 		limit_us_ = now_ + c.limit_us;
 		send_error_ = c.err;
-		repeat_error_ = FWD_EBUDGET; /* none is taken */
+		repeat_error_ = FWD_EBUDGET; /* A wait must not charge the budget. */
 		Start(false, false);
 		EXPECT_EQ(fwd_.state == FWD_WAITING, c.err == FWD_ELIMIT && c.limit_us > 0)
 			<< c.name;
-		for (int looks = 0; fwd_.state == FWD_WAITING && looks < 100; looks++) {
-			if (now_ >= 1000 * MS + c.comes_us)
+		for (int lookups = 0; fwd_.state == FWD_WAITING && lookups < 100; lookups++) {
+			if (now_ >= 1000 * MS + c.available_us)
 				send_error_ = 0;
-			Wait(fwd_.again_us - now_);
+			Wait(fwd_.resend_us - now_);
 		}
-		EXPECT_EQ(Did(), c.did) << c.name;
+		EXPECT_EQ(Actions(), c.actions) << c.name;
 		EXPECT_LE(now_, limit_us_) << c.name;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* Guards against a request that waits for a rest whose end is known to come too late for it. */
+/* Guards against a request that waits although the rest is known to end too late for it. */
 TEST_F(FwdTest, ARequestWaitsForARestThatEndsInTimeOrIsRefusedAtOnce)
 {
 	const struct {
 		const char *name;
 		int64_t ends_us, limit_us;
-		const char *did;
-		int64_t at_us; /* when it ends, or is sent */
+		const char *actions;
+		int64_t at_us; /* Time after the start at which the request ends or is sent. */
 	} cases[] = {
 		{"it ends in time", 120 * MS, 300 * MS, "send", 120 * MS},
 		{"it ends at once", 5 * MS, 300 * MS, "send", 50 * MS},
@@ -651,19 +655,19 @@
 		rest_us_ = now_ + c.ends_us;
 		send_error_ = FWD_ERESTS;
 		Start(false, false);
-		for (int looks = 0; fwd_.state == FWD_WAITING && looks < 100; looks++) {
+		for (int lookups = 0; fwd_.state == FWD_WAITING && lookups < 100; lookups++) {
 			if (!follows)
 				send_error_ = 0;
-			Wait(fwd_.again_us - now_);
+			Wait(fwd_.resend_us - now_);
 		}
-		EXPECT_EQ(Did(), c.did) << c.name;
+		EXPECT_EQ(Actions(), c.actions) << c.name;
 		EXPECT_EQ(now_, 1000 * MS + c.at_us) << c.name;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* Each try costs an engine a call, so the pauses grow until something is handed on again. */
+/* Each attempt costs an engine a call, so the pauses grow until an event is passed on again. */
 TEST_F(FwdTest, PausesGrowAndTheDeadlineEndsThem)
 {
 	std::vector<int64_t> pauses;
@@ -673,27 +677,27 @@
 	repeat_error_ = FWD_ENOENDPOINT;
 	Done(false);
 	while (fwd_.state == FWD_WAITING && pauses.size() < 100) {
-		pauses.push_back(fwd_.again_us - now_);
-		Wait(fwd_.again_us - now_);
+		pauses.push_back(fwd_.resend_us - now_);
+		Wait(fwd_.resend_us - now_);
 	}
 	ASSERT_GE(pauses.size(), 5u);
 	EXPECT_EQ(pauses[1], 2 * pauses[0]);
 	EXPECT_EQ(pauses[4], pauses[3]) << "bounded";
 	EXPECT_LT(pauses.size(), 20u);
-	EXPECT_NE(Did().find("abort"), std::string::npos);
+	EXPECT_NE(Actions().find("abort"), std::string::npos);
 }
 
 /*
- * Symptom: a request that had ended three endpoints ended a fourth, where it was already waiting.
- * Sequence: it waits at an engine, or to be sent again, when another host tells of the third.
- * Cause: only requests that came later were refused.
+ * Guards against a request that crashed three endpoints and then crashes a fourth one, where it is
+ * already queued. Another host reports the third crash while the request is queued at an engine or
+ * waits to be sent again; quarantine must apply to current requests, not only to later ones.
  */
 TEST_F(FwdTest, QuarantineEndsWhatIsUnderWay)
 {
 	const struct {
 		const char *what;
 		bool headed, parts;
-		const char *did;
+		const char *actions;
 	} cases[] = {
 		{"it was sent", false, false, "cancel refuse502? crashes_endpoints"},
 		{"it had begun", true, false, "cancel refuse502? crashes_endpoints"},
@@ -706,30 +710,30 @@
 			Head(200);
 		if (c.parts)
 			Data("id: 1\n\n");
-		Did();
+		Actions();
 		fwd_on_quarantine(&fwd_);
-		EXPECT_EQ(Did(), c.did) << c.what;
+		EXPECT_EQ(Actions(), c.actions) << c.what;
 		fwd_on_quarantine(&fwd_);
-		EXPECT_EQ(Did(), "") << c.what;
+		EXPECT_EQ(Actions(), "") << c.what;
 		fwd_finish(&fwd_);
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* What has reached nobody has not run, and is said so. */
+/* A request that reached no endpoint has not run, and the error answer states that. */
 TEST_F(FwdTest, QuarantineOfWhatWaitsForAnEndpoint)
 {
 	send_error_ = FWD_ENOENDPOINT;
 	listing_us_ = now_ + 1000 * MS;
 	Start(true, true);
-	EXPECT_EQ(Did(), "");
+	EXPECT_EQ(Actions(), "");
 	fwd_on_quarantine(&fwd_);
-	EXPECT_EQ(Did(), "cancel refuse503! crashes_endpoints");
+	EXPECT_EQ(Actions(), "cancel refuse503! crashes_endpoints");
 }
 
 /*
- * A stream that nobody takes now waits and is sent again; one that has ended endpoints does not,
- * and its caller hears so at once.
+ * A stream that no endpoint accepts waits and is sent again; one that crashed endpoints is ended
+ * immediately instead.
  */
 TEST_F(FwdTest, WhatCrashesEndpointsIsNotSentAgain)
 {
@@ -738,38 +742,38 @@
 		Head(200);
 		if (parts)
 			Data("id: 1\n\n");
-		Did();
+		Actions();
 		repeat_error_ = FWD_ECRASHES;
 		Done(false);
-		EXPECT_EQ(Did(),
+		EXPECT_EQ(Actions(),
 			  parts ? "abort crashes_endpoints" : "refuse502? crashes_endpoints");
 		fwd_finish(&fwd_);
 		repeat_error_ = 0;
 	}
-	live_ = false;
+	started_ = false;
 }
 
-/* Refused between two looks for an endpoint: it was sent to nobody. */
+/* The request is refused while it looks for an endpoint, so it was not sent to any. */
 TEST_F(FwdTest, WhatIsRefusedBeforeItIsSentHasNotRun)
 {
 	send_error_ = FWD_ECRASHES;
 	Start(true, true);
-	EXPECT_EQ(Did(), "refuse503! crashes_endpoints");
+	EXPECT_EQ(Actions(), "refuse503! crashes_endpoints");
 }
 
 /*
- * Symptom: a host that was to stop waited for a request that had ended, to the end of its grace
- * time. Sequence: a request is silent; what is done about that ends it; its timer is set once more.
- * Cause: the timer by which an ended request is freed is the same one.
+ * Guards against a host that waits for an ended request until the end of the grace time when it
+ * stops. on_silent() ends the request, and then its timer is set once more. The same timer is used
+ * to free an ended request, so it must not be set after the end.
  */
 TEST_F(FwdTest, NoTimerIsSetAfterTheEnd)
 {
 	Start(true, true);
-	keep_silent_ = true;
-	end_silent_ = true;
+	keep_attempt_ = true;
+	quarantine_on_silence_ = true;
 	timers_ = 0;
 	Wait(301 * MS);
-	EXPECT_EQ(Did(), "send silent cancel refuse502? crashes_endpoints");
+	EXPECT_EQ(Actions(), "send silent cancel refuse502? crashes_endpoints");
 	EXPECT_EQ(timers_, 0);
 }
 
