--- a/bud/bud.c
+++ b/bud/bud.c
@@ -3,28 +3,33 @@
 #include <string.h>
 
 /*
- * The window that is judged may begin anywhere, so its edges may hold a part of ours more; and
- * hosts may disagree on how many they are.
+ * Part of the budget that is used. The bound applies to windows that begin at any time, so a window
+ * may overlap one slot more than the slots that are counted, and hosts may disagree on the number
+ * of hosts.
  */
-static const double bud_caution = 0.8;
+static const double bud_safety_factor = 0.8;
 
-/* A rate is not taken over less: two requests at once would look like a flood. */
-static const int64_t bud_least_span_us = 1000000;
+/*
+ * Shortest time over which a rate is computed, in microseconds. Over a shorter time, two
+ * simultaneous requests would give a very high rate.
+ */
+static const int64_t bud_rate_span_min_us = 1000000;
 
-static void bud_clear_slot(struct bud *bud, int64_t slot)
+static void bud_reset_slot(struct bud *bud, int64_t slot)
 {
 	bud->requests[slot % BUD_SLOTS] = 0;
 	bud->repeats[slot % BUD_SLOTS] = 0;
 	bud->hosts[slot % BUD_SLOTS] = bud->limits.hosts;
 }
 
-static void bud_advance(struct bud *bud, int64_t now_us)
+/* Makes the slot of now_us the newest one and resets the slots in between. */
+static void bud_advance_slots(struct bud *bud, int64_t now_us)
 {
 	int64_t slot = now_us / MAX(bud->limits.window_us / BUD_SLOTS, 1);
 	int64_t first = MAX(bud->slot, slot - BUD_SLOTS) + 1;
 
 	for (int64_t s = first; s <= slot; s++)
-		bud_clear_slot(bud, s);
+		bud_reset_slot(bud, s);
 	bud->slot = MAX(bud->slot, slot);
 }
 
@@ -33,21 +38,21 @@
 	memset(bud, 0, sizeof(*bud));
 	bud->limits = *limits;
 	for (int i = 0; i < BUD_SLOTS; i++)
-		bud_clear_slot(bud, i);
+		bud_reset_slot(bud, i);
 }
 
 void bud_set_limits(struct bud *bud, const struct bud_limits *limits, int64_t now_us)
 {
 	int *hosts;
 
-	bud_advance(bud, now_us);
+	bud_advance_slots(bud, now_us);
 	bud->limits = *limits;
 	hosts = &bud->hosts[bud->slot % BUD_SLOTS];
 	*hosts = MAX(*hosts, limits->hosts);
 }
 
-/* This host's share of the fixed number. */
-static double bud_share(const struct bud *bud, int64_t now_us)
+/* Returns this host's share of the fixed number of retries. */
+static double bud_fixed_share(const struct bud *bud, int64_t now_us)
 {
 	int hosts = 1;
 
@@ -60,7 +65,7 @@
 
 void bud_on_request(struct bud *bud, int64_t now_us)
 {
-	bud_advance(bud, now_us);
+	bud_advance_slots(bud, now_us);
 	if (bud->first_us == 0)
 		bud->first_us = now_us;
 	bud->requests[bud->slot % BUD_SLOTS]++;
@@ -73,10 +78,10 @@
 
 	if (bud->first_us == 0)
 		return 0;
-	bud_advance(bud, now_us);
+	bud_advance_slots(bud, now_us);
 	for (int i = 0; i < BUD_SLOTS; i++)
 		requests += bud->requests[i];
-	return requests * 1e6 / (double)MAX(span_us, bud_least_span_us);
+	return requests * 1e6 / (double)MAX(span_us, bud_rate_span_min_us);
 }
 
 double bud_left(struct bud *bud, int64_t now_us)
@@ -85,13 +90,13 @@
 	double repeats = 0;
 	double allowed;
 
-	bud_advance(bud, now_us);
+	bud_advance_slots(bud, now_us);
 	for (int i = 0; i < BUD_SLOTS; i++) {
 		requests += bud->requests[i];
 		repeats += bud->repeats[i];
 	}
-	allowed = bud->limits.ratio * requests + bud_share(bud, now_us);
-	return MAX(allowed * bud_caution - repeats, 0);
+	allowed = bud->limits.ratio * requests + bud_fixed_share(bud, now_us);
+	return MAX(allowed * bud_safety_factor - repeats, 0);
 }
 
 bool bud_take(struct bud *bud, int64_t now_us)
--- a/bud/bud.h
+++ b/bud/bud.h
@@ -8,51 +8,65 @@
 G_BEGIN_DECLS
 
 /*
- * Budget of repeats for one service. All hosts together may send, in any window, a part of the
- * requests plus a fixed number again. No host asks another before a repeat: each keeps to the part
- * of its own requests and to an equal share of the fixed number. Pure.
+ * Retry budget of one service. In any time window, all hosts together may send as many retries as a
+ * ratio of the requests plus a fixed number. Hosts don't coordinate retries: each host is limited
+ * to the ratio of its own requests plus an equal share of the fixed number. This module does no
+ * I/O.
  *
- * What a host has spent is in its memory, and a start clears that. If it had its share anew at
- * once, hosts that are killed and start again within a window would together send the fixed number
- * twice, and endpoints that are overloaded just then would get more instead of less. So a host has
- * no share until a window after its start, unless the system itself is new; meanwhile it keeps to
- * the part of its own requests. For the same reason a share is cut by the most hosts of the window,
- * not by those of the moment: hosts that have ended have spent theirs.
+ * The number of retries that a host has sent is kept in memory only and is lost on a restart. With
+ * a full share right after a restart, hosts that are killed and restart within one window would
+ * together send the fixed number twice, while endpoints may be overloaded. Therefore a host has no
+ * share of the fixed number until one window after its start, unless the whole system is new; until
+ * then it is limited to the ratio of its own requests. For the same reason the fixed number is
+ * divided by the highest number of hosts within the window, not by the current number: hosts that
+ * have ended may have used their shares.
  */
 enum {
-	BUD_SLOTS = 20 /* parts into which the window is cut */
+	/* Number of slots into which the window is divided. */
+	BUD_SLOTS = 20
 };
 
 struct bud_limits {
-	double ratio; /* repeats allowed for each request */
-	double fixed; /* more of them, over all hosts */
+	/* Retries allowed for each request. */
+	double ratio;
+	/* Additional retries allowed in each window, over all hosts. */
+	double fixed;
+	/* Length of the window in microseconds. */
 	int64_t window_us;
-	int hosts;	       /* that share the fixed number */
-	int64_t fixed_from_us; /* until then this host has no share of the fixed number */
+	/* Number of hosts that share the fixed number. */
+	int hosts;
+	/* Time from which this host has a share of the fixed number, in microseconds. */
+	int64_t fixed_from_us;
 };
 
 struct bud {
 	struct bud_limits limits;
-	int64_t first_us; /* when the first request came; 0: none has */
-	int64_t slot;	  /* number of the newest part */
+	/* Time of the first request, in microseconds; 0 if none. */
+	int64_t first_us;
+	/* Number of the newest slot: its time divided by the length of a slot. */
+	int64_t slot;
+	/* Number of requests in each slot. */
 	uint32_t requests[BUD_SLOTS];
+	/* Number of retries in each slot. */
 	uint32_t repeats[BUD_SLOTS];
-	int hosts[BUD_SLOTS]; /* by part: the most that shared the fixed number */
+	/* Highest number of hosts that shared the fixed number in each slot. */
+	int hosts[BUD_SLOTS];
 };
 
 void bud_init(struct bud *bud, const struct bud_limits *limits);
 void bud_set_limits(struct bud *bud, const struct bud_limits *limits, int64_t now_us);
 
-/* A first sending of a request. */
+/* Counts the first attempt of a request. */
 void bud_on_request(struct bud *bud, int64_t now_us);
 
-/* Requests a second over the window, or since the first one if that is less. */
+/* Returns the requests per second over the window, or since the first request if that is shorter.
+ */
 double bud_rate(struct bud *bud, int64_t now_us);
 
-/* Repeats that may be taken now. */
+/* Returns the number of retries that may be sent now. */
 double bud_left(struct bud *bud, int64_t now_us);
 
-/* Takes one repeat from the budget. Returns false when it is spent. */
+/* Charges one retry to the budget. Returns false if the budget is exhausted. */
 bool bud_take(struct bud *bud, int64_t now_us);
 
 G_END_DECLS
--- a/bud/bud_test.cc
+++ b/bud/bud_test.cc
@@ -8,16 +8,16 @@
 
 const int64_t SEC = 1000000;
 
-int Take(bud *b, int n, int64_t now)
+int ChargeRetries(bud *b, int n, int64_t now)
 {
-	int taken = 0;
+	int charged = 0;
 	for (int i = 0; i < n; i++)
-		taken += bud_take(b, now);
-	return taken;
+		charged += bud_take(b, now);
+	return charged;
 }
 
-/* A host that has just started; its share of the fixed number holds from then on. */
-void Start(bud *b, int hosts, int64_t fixed_from, double fixed = 198)
+/* Initializes the budget of a host that has a share of the fixed number from fixed_from on. */
+void StartHost(bud *b, int hosts, int64_t fixed_from, double fixed = 198)
 {
 	bud_limits limits = {0.2, fixed, 10 * SEC, hosts, fixed_from};
 	bud_init(b, &limits);
@@ -31,16 +31,16 @@
 	bud_set_limits(b, &limits, now);
 }
 
-/* A second in which every request of the host fails, and each is tried again. */
-int Load(bud *b, int per_s, int second)
+/* Runs one second in which every request fails and is retried; returns the number of retries. */
+int RetryForOneSecond(bud *b, int per_s, int second)
 {
-	int taken = 0;
+	int charged = 0;
 	for (int i = 0; i < per_s; i++) {
 		int64_t now = second * SEC + i * SEC / per_s;
 		bud_on_request(b, now);
-		taken += Take(b, 20, now);
+		charged += ChargeRetries(b, 20, now);
 	}
-	return taken;
+	return charged;
 }
 
 int Sum(const std::vector<int> &repeats, int from)
@@ -55,14 +55,14 @@
 {
 	const struct {
 		double fixed;
-		int hosts, taken;
+		int hosts, charged;
 	} cases[] = {{200, 1, 160}, {200, 7, 22}, {198, 66, 2}, {0, 1, 0}, {10, 0, 8}};
 
 	for (const auto &c : cases) {
 		bud b;
 		bud_limits limits = {0.2, c.fixed, 10 * SEC, c.hosts, 0};
 		bud_init(&b, &limits);
-		EXPECT_EQ(Take(&b, 1000, SEC), c.taken) << c.fixed << "/" << c.hosts;
+		EXPECT_EQ(ChargeRetries(&b, 1000, SEC), c.charged) << c.fixed << "/" << c.hosts;
 	}
 }
 
@@ -73,12 +73,12 @@
 	bud_init(&b, &limits);
 	for (int i = 0; i < 100; i++)
 		bud_on_request(&b, SEC);
-	EXPECT_EQ(Take(&b, 1000, SEC), 16);
-	EXPECT_EQ(Take(&b, 1000, 2 * SEC), 0);
-	EXPECT_EQ(Take(&b, 1000, 12 * SEC), 0);
+	EXPECT_EQ(ChargeRetries(&b, 1000, SEC), 16);
+	EXPECT_EQ(ChargeRetries(&b, 1000, 2 * SEC), 0);
+	EXPECT_EQ(ChargeRetries(&b, 1000, 12 * SEC), 0);
 	for (int i = 0; i < 100; i++)
 		bud_on_request(&b, 12 * SEC);
-	EXPECT_EQ(Take(&b, 1000, 12 * SEC), 16);
+	EXPECT_EQ(ChargeRetries(&b, 1000, 12 * SEC), 16);
 }
 
 TEST(BudTest, Rate)
@@ -94,8 +94,8 @@
 }
 
 /*
- * Load: every request of seven hosts fails for 30 s and each host tries each again.
- * The bound: in any 10 s, over all hosts, a fifth of the requests plus 198.
+ * All requests of seven hosts fail for 30 s and are retried. In any 10 s, all hosts together may
+ * send a fifth of the requests plus 198 retries.
  */
 TEST(BudTest, SevenHostsTogetherKeepToTheBoundInAnyWindow)
 {
@@ -104,14 +104,14 @@
 	bud_limits limits = {0.2, 198, 10 * SEC, hosts, 0};
 	std::vector<int> repeats(seconds, 0);
 
-	for (auto &one : b)
-		bud_init(&one, &limits);
+	for (auto &host_bud : b)
+		bud_init(&host_bud, &limits);
 	for (int s = 0; s < seconds; s++) {
-		for (auto &one : b) {
+		for (auto &host_bud : b) {
 			for (int i = 0; i < per_s; i++) {
 				int64_t now = s * SEC + i * SEC / per_s;
-				bud_on_request(&one, now);
-				repeats[s] += bud_take(&one, now);
+				bud_on_request(&host_bud, now);
+				repeats[s] += bud_take(&host_bud, now);
 			}
 		}
 	}
@@ -124,15 +124,15 @@
 }
 
 /*
- * Symptom: 542 repeats in 10 s where 498 were allowed. Sequence: an engine is lost, all hosts spend
- * their share of the fixed number; power is lost on all hosts; they start again within the window,
- * and all spend it once more. Cause: what a host has spent is in memory, which a start clears.
+ * Guards against exceeding the budget through restarts: 542 retries in 10 s where 498 were allowed.
+ * An engine is lost and all hosts use their shares of the fixed number. All hosts lose power,
+ * restart within the window and use their shares again, because the retries are counted in memory.
  */
 TEST(BudTest, StartsOfAllHostsInsideAWindowKeepToTheBound)
 {
 	const struct {
 		const char *what;
-		int starts[2]; /* seconds at which all hosts start again; 0: never */
+		int starts[2]; /* Seconds at which all hosts restart; 0 if unused. */
 	} cases[] = {{"once", {11, 0}}, {"at the end of a window", {19, 0}}, {"twice", {14, 18}}};
 	const int hosts = 7, per_s = 13, seconds = 40;
 
@@ -143,10 +143,11 @@
 		for (int s = 0; s < seconds; s++) {
 			bool starts = s == c.starts[0] || s == c.starts[1];
 
-			for (auto &one : b) {
+			for (auto &host_bud : b) {
 				if (s == 0 || starts)
-					Start(&one, hosts, s == 0 ? 0 : s * SEC + 10 * SEC);
-				repeats[s] += Load(&one, per_s, s);
+					StartHost(&host_bud, hosts,
+						  s == 0 ? 0 : s * SEC + 10 * SEC);
+				repeats[s] += RetryForOneSecond(&host_bud, per_s, s);
 			}
 		}
 		for (int s = 0; s + 10 <= seconds; s++)
@@ -156,10 +157,10 @@
 }
 
 /*
- * Symptom: more repeats than allowed beside hosts that come or go. Sequence: each host spends its
- * share; a third of them end, or as many come; the share is cut anew for the number of hosts that
- * is left or there now, while the window still holds what was spent under the old one. Cause: the
- * number of hosts of this moment was taken for that of the whole window.
+ * Guards against exceeding the budget when the number of hosts changes. Each host uses its share;
+ * then a third of the hosts end, or as many are added, and the shares are computed again while the
+ * window still contains the retries of the previous shares. The shares must be computed from the
+ * highest number of hosts within the window.
  */
 TEST(BudTest, HostsThatComeAndGoInsideAWindowKeepToTheBound)
 {
@@ -179,9 +180,10 @@
 
 			for (int i = 0; i < now; i++) {
 				if (s == 0 || (s == c.at && i >= c.before))
-					Start(&b[i], now, s == 0 ? 0 : s * SEC + 10 * SEC, fixed);
+					StartHost(&b[i], now, s == 0 ? 0 : s * SEC + 10 * SEC,
+						  fixed);
 				SetHosts(&b[i], now, s * SEC, fixed);
-				repeats[s] += Load(&b[i], per_s, s);
+				repeats[s] += RetryForOneSecond(&b[i], per_s, s);
 			}
 		}
 		for (int s = 0; s + 10 <= seconds; s++)
@@ -194,14 +196,15 @@
 {
 	const struct {
 		int64_t fixed_from, now;
-		int taken;
+		int charged;
 	} cases[] = {{0, 0, 160}, {10, 0, 0}, {10, 9, 0}, {10, 10, 160}};
 
 	for (const auto &c : cases) {
 		bud b;
 		bud_limits limits = {0.2, 200, 10 * SEC, 1, c.fixed_from * SEC};
 		bud_init(&b, &limits);
-		EXPECT_EQ(Take(&b, 1000, c.now * SEC), c.taken) << c.fixed_from << " " << c.now;
+		EXPECT_EQ(ChargeRetries(&b, 1000, c.now * SEC), c.charged)
+			<< c.fixed_from << " " << c.now;
 	}
 }
 
