--- a/share/share.c
+++ b/share/share.c
@@ -2,19 +2,21 @@
 
 #include <math.h>
 
-/* What was used counts half after this time: some times as long as a stream lasts. */
-static const double sh_fade_s = 10;
+/* Half-life of token usage in seconds; a few times the duration of a stream. */
+static const double sh_half_life_s = 10;
 
-/* Tokens below which an account is not active any more. */
-static const double sh_active = 100;
+/* Usage in tokens below which an account doesn't count as active. */
+static const double sh_active_tokens_min = 100;
 
-/* Multiples of an equal part from which an account stands back by one and by two steps. */
-static const double sh_over = 2;
-static const double sh_far_over = 4;
+/* Multiples of an equal share above which the urgency is lowered by one step and by two steps. */
+static const double sh_first_step_multiple = 2;
+static const double sh_second_step_multiple = 4;
 
 enum {
-	SH_STEP = 2, /* of urgency; leaves room for priorities between */
-	SH_PRIORITY_MOST = 2
+	/* Amount by which a step lowers the urgency; priorities lie in between. */
+	SH_URGENCY_STEP = 2,
+	/* Highest number of a priority that is distinguished. */
+	SH_PRIORITY_MAX = 2
 };
 
 void sh_init(struct sh *sh)
@@ -31,17 +33,17 @@
 {
 	double age_s = (double)(now_us - account->used_us) / 1e6;
 
-	return account->used * exp2(-age_s / sh_fade_s);
+	return account->used * exp2(-age_s / sh_half_life_s);
 }
 
-static void sh_fade(struct sh_account *account, int64_t now_us)
+static void sh_apply_decay(struct sh_account *account, int64_t now_us)
 {
 	account->used = sh_used(account, now_us);
 	account->used_us = now_us;
 }
 
-/* An equal part of what all active accounts have used. */
-static double sh_equal_part(struct sh *sh, int64_t now_us)
+/* Returns the total token usage divided by the number of active accounts. */
+static double sh_equal_share(struct sh *sh, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -52,14 +54,14 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct sh_account *account = value;
 
-		sh_fade(account, now_us);
+		sh_apply_decay(account, now_us);
 		used += account->used;
-		active += account->used >= sh_active;
+		active += account->used >= sh_active_tokens_min;
 	}
 	return used / MAX(active, 1);
 }
 
-static struct sh_account *sh_account(struct sh *sh, const char *name, int64_t now_us)
+static struct sh_account *sh_find_or_add_account(struct sh *sh, const char *name, int64_t now_us)
 {
 	struct sh_account *account = g_hash_table_lookup(sh->accounts, name);
 
@@ -73,14 +75,14 @@
 
 int sh_charge(struct sh *sh, const char *name, double tokens, int64_t priority, int64_t now_us)
 {
-	struct sh_account *account = sh_account(sh, name, now_us);
-	double part = sh_equal_part(sh, now_us);
-	int urgency = SH_USUAL - SH_PRIORITY_MOST + (int)CLAMP(priority, 0, SH_PRIORITY_MOST);
+	struct sh_account *account = sh_find_or_add_account(sh, name, now_us);
+	double equal_share = sh_equal_share(sh, now_us);
+	int urgency = SH_USUAL - SH_PRIORITY_MAX + (int)CLAMP(priority, 0, SH_PRIORITY_MAX);
 
 	account->used += tokens;
-	if (account->used > sh_over * part + tokens)
-		urgency += SH_STEP;
-	if (account->used > sh_far_over * part + tokens)
-		urgency += SH_STEP;
+	if (account->used > sh_first_step_multiple * equal_share + tokens)
+		urgency += SH_URGENCY_STEP;
+	if (account->used > sh_second_step_multiple * equal_share + tokens)
+		urgency += SH_URGENCY_STEP;
 	return MIN(urgency, (int)SH_LEAST_URGENT);
 }
--- a/share/share.h
+++ b/share/share.h
@@ -7,37 +7,44 @@
 G_BEGIN_DECLS
 
 /*
- * Fair portions of client accounts: what each has used lately, and how urgent its next request is
- * for engines, which admit the more urgent first when they are full. An account that uses no more
- * than an equal part of what all use keeps its urgency; one that uses several times that stands
- * back, so that a flood of one account delays that account. Nobody is refused for it, and with room
- * for all it has no effect. Pure.
+ * Fair sharing of engines between client accounts. It tracks the recent token usage of each account
+ * and derives the urgency of its next request; engines that are full admit requests by urgency. An
+ * account that uses at most an equal share of the total usage keeps its urgency; an account that
+ * uses several times an equal share gets a lower one, so that a flood of requests delays only the
+ * account that sends it. No request is refused, and urgency has no effect while engines have free
+ * capacity. This module does no I/O.
  */
+
+/* Urgency of a request; a lower number is more urgent. */
 enum {
-	SH_MOST_URGENT = 0,
-	SH_USUAL = 5, /* of a request that states nothing */
+	SH_URGENCY_HIGHEST = 0,
+	/* Urgency of a request that states none. */
+	SH_USUAL = 5,
 	SH_LEAST_URGENT = 9
 };
 
 struct sh_account {
-	double used; /* tokens, fading with time */
+	/* Tokens used up to used_us, with exponential decay. */
+	double used;
+	/* Time to which the decay is applied, in microseconds. */
 	int64_t used_us;
 };
 
 struct sh {
-	GHashTable *accounts; /* name -> struct sh_account */
+	/* Maps the name of an account to its struct sh_account. */
+	GHashTable *accounts;
 };
 
 void sh_init(struct sh *sh);
 void sh_finish(struct sh *sh);
 
 /*
- * Charges the account with a request of that many tokens. Returns its urgency; priority is that of
- * the account or route, 0 the highest.
+ * Charges the tokens of a request to the account. Returns the urgency of the request. priority is
+ * the priority of the account or route; 0 is the highest.
  */
 int sh_charge(struct sh *sh, const char *account, double tokens, int64_t priority, int64_t now_us);
 
-/* What the account has used, faded to now. */
+/* Returns the token usage of the account with the decay applied up to now_us. */
 double sh_used(const struct sh_account *account, int64_t now_us);
 
 G_END_DECLS
--- a/share/share_test.cc
+++ b/share/share_test.cc
@@ -34,8 +34,8 @@
 }
 
 /*
- * Load: ten accounts with two requests a second each; one of them sends thirty times that for 20 s.
- * Wanted: the flood stands back, the others do not, and after it all are equal again.
+ * Ten accounts send two requests a second each; another one sends thirty times that rate for 20 s.
+ * Only the flooding account must get a lower urgency, and it must recover after the flood.
  */
 TEST_F(ShareTest, AFloodOfOneAccountStandsBack)
 {
