--- a/adm/adm.h
+++ b/adm/adm.h
@@ -8,49 +8,63 @@
 G_BEGIN_DECLS
 
 /*
- * Admission of requests to engines that fall behind. Pure.
+ * Admission control for requests to engines that are overloaded. This module does no I/O.
  *
- * After a loss, the requests of that moment wait at the engines that are left. Where these can just
- * keep up with what comes, that queue stays for good: each request gets its first token more than a
- * second late, callers leave, and the work for them is lost. So a request is refused at once if its
- * caller would leave before it begins. Once requests have begun late for seconds, one that would
- * begin late is refused, too: that makes the queue go away. How long it would wait is told by this
- * host's own requests: those that wait for their first token, over those that get it in a second.
+ * After the loss of an engine, requests queue up at the remaining ones. If these have just enough
+ * capacity for the arriving requests, the queue never shrinks: each first token is more than a
+ * second late, callers disconnect, and the work for them is wasted. So a request is refused
+ * immediately if its caller would disconnect before it begins. Once requests have begun late for
+ * some seconds, requests that would begin late are refused as well, which drains the queue. The
+ * expected wait is estimated from this host's own requests: the number that wait for their first
+ * token, divided by the number that receive it per second.
  */
 struct adm {
-	double begun;	    /* requests that got their first token lately, fading */
-	int64_t at_us;	    /* when that was last brought up to date */
-	int64_t good_us;    /* when one last began in time */
-	bool strict;	    /* a queue has stayed; those that would begin late are refused */
-	int64_t refused_us; /* when one last was */
+	/* Number of recent requests that received their first token, with exponential decay. */
+	double begun;
+	/* Time to which the decay is applied, in microseconds. */
+	int64_t decayed_us;
+	/* Time at which a request last began in time, in microseconds. */
+	int64_t last_timely_us;
+	/* Whether requests that would begin late are refused, because a queue has persisted. */
+	bool strict;
+	/* Time of the last refusal, or of the start of strict mode, in microseconds. */
+	int64_t last_refused_us;
 };
 
-/* How long a request may wait for its first token. */
+/* Limits for the time until a request receives its first token, in microseconds. */
 struct adm_limits {
-	int64_t target_us;   /* to be in time */
-	int64_t patience_us; /* then its caller leaves */
+	/* Time up to which the first token counts as timely. */
+	int64_t target_us;
+	/* Time after which the caller disconnects. */
+	int64_t patience_us;
 };
 
-/* This host's requests that wait for their first token. */
+/* Requests of this host that wait for their first token. */
 struct adm_queue {
+	/* Number of these requests. */
 	int waiting;
-	int64_t oldest_us; /* for how long the first of them has waited */
+	/* Time for which the oldest of them has waited, in microseconds. */
+	int64_t oldest_us;
 };
 
 void adm_init(struct adm *adm, int64_t now_us);
 
-/* A request got its first token after that time. */
+/* A request received its first token after it had waited for waited_us. */
 void adm_on_begun(struct adm *adm, const struct adm_limits *limits, int64_t waited_us,
 		  int64_t now_us);
 
 /*
- * Whether the request may go on to an engine. Requests of accounts that use more than their part
- * stand back first: less_urgent is 0 for a usual one, up to 1.
+ * Returns whether the request may be sent to an engine. less_urgent ranges from 0 for a request of
+ * normal urgency to 1 for the least urgent one; requests of accounts that exceed their fair share
+ * are less urgent and are refused first.
  */
 bool adm_admits(struct adm *adm, const struct adm_queue *queue, const struct adm_limits *limits,
 		double less_urgent, int64_t now_us);
 
-/* When the caller of a refused one should come back; chance, 0 to 1, spreads them. */
+/*
+ * Returns the delay in microseconds after which the caller of a refused request should retry.
+ * chance is a random number from 0 to 1 that spreads the retries.
+ */
 int64_t adm_back_us(double chance);
 
 G_END_DECLS
--- a/adm/adm_test.cc
+++ b/adm/adm_test.cc
@@ -13,18 +13,17 @@
 const adm_limits LIMITS = {500 * MS, 2000 * MS};
 
 /*
- * A small world: engines that begin so many requests a second, one after the other, and callers
- * that leave after 2 s without a first token, aim at 0.5 s, and come back once when they are
- * refused.
+ * Simulates engines that begin RATE requests per second, one after the other. Callers expect the
+ * first token within 0.5 s, disconnect after 2 s without it, and retry once after a refusal.
  */
-struct World {
-	explicit World(bool controlled) : controlled_(controlled)
+struct Simulation {
+	explicit Simulation(bool controlled) : controlled_(controlled)
 	{
 		adm_init(&adm_, now_);
 	}
 
-	/* Plays so many seconds at that load, as a part of what the engines can begin. */
-	void Play(double seconds, double load)
+	/* Simulates the given time; load is the request rate as a multiple of the engines' rate. */
+	void Run(double seconds, double load)
 	{
 		int64_t end = now_ + (int64_t)(seconds * 1e6);
 		for (; now_ < end; now_ += MS) {
@@ -34,39 +33,40 @@
 	}
 	void Arrive(double load)
 	{
-		due_ += load * RATE / 1000;
-		for (; due_ >= 1; due_--)
-			Ask(now_, true);
-		for (size_t i = 0; i < back_.size();) {
-			if (back_[i].at > now_) {
+		arrivals_due_ += load * RATE / 1000;
+		for (; arrivals_due_ >= 1; arrivals_due_--)
+			Request(now_, true);
+		for (size_t i = 0; i < retries_.size();) {
+			if (retries_[i].at > now_) {
 				i++;
 				continue;
 			}
-			Ask(back_[i].born, false);
-			back_.erase(back_.begin() + (long)i);
+			Request(retries_[i].arrived, false);
+			retries_.erase(retries_.begin() + (long)i);
 		}
 	}
-	void Ask(int64_t born, bool may_return)
+	void Request(int64_t arrived, bool may_retry)
 	{
-		asked_++;
+		requested_++;
 		adm_queue queue = {(int)queue_.size(),
 				   queue_.empty() ? 0 : now_ - queue_.front().at};
 		if (controlled_ && !adm_admits(&adm_, &queue, &LIMITS, 0, now_)) {
 			refused_++;
-			if (may_return)
-				back_.push_back({now_ + adm_back_us(rnd_unit(&seed_)), born});
+			if (may_retry)
+				retries_.push_back({now_ + adm_back_us(rnd_unit(&seed_)), arrived});
 			return;
 		}
-		queue_.push_back({now_, born});
+		queue_.push_back({now_, arrived});
 	}
 	void Serve()
 	{
 		if (now_ < stalled_until_)
 			return;
-		for (room_ += RATE / 1000; room_ >= 1 && !queue_.empty(); room_--) {
+		for (capacity_ += RATE / 1000; capacity_ >= 1 && !queue_.empty(); capacity_--) {
 			auto r = queue_.front();
 			queue_.pop_front();
-			/* Work for a caller that has left is lost: engines hear of it late. */
+			/* Engines notice a disconnected caller late, so its request takes its turn.
+			 */
 			adm_on_begun(&adm_, &LIMITS, now_ - r.at, now_);
 			if (now_ - r.at > 2000 * MS)
 				continue;
@@ -74,52 +74,52 @@
 			in_time_ += now_ - r.at <= 500 * MS;
 		}
 		if (queue_.empty())
-			room_ = std::min(room_, 1.0);
+			capacity_ = std::min(capacity_, 1.0);
 	}
-	void Count()
+	void ResetCounts()
 	{
-		asked_ = served_ = in_time_ = refused_ = 0;
+		requested_ = served_ = in_time_ = refused_ = 0;
 	}
 
 	struct Waiting {
-		int64_t at, born;
+		int64_t at, arrived;
 	};
-	static constexpr double RATE = 60; /* a second */
+	static constexpr double RATE = 60; /* Requests that the engines begin per second. */
 	bool controlled_;
 	adm adm_{};
 	std::deque<Waiting> queue_;
-	std::vector<Waiting> back_;
+	std::vector<Waiting> retries_;
 	int64_t now_ = 1000 * MS, stalled_until_ = 0;
-	double due_ = 0, room_ = 0;
+	double arrivals_due_ = 0, capacity_ = 0;
 	uint32_t seed_ = 7;
-	int asked_ = 0, served_ = 0, in_time_ = 0, refused_ = 0;
+	int requested_ = 0, served_ = 0, in_time_ = 0, refused_ = 0;
 };
 
 TEST(AdmTest, NobodyIsRefusedWhileEnginesKeepUp)
 {
-	World w(true);
-	w.Play(30, 0.95);
-	EXPECT_EQ(w.refused_, 0);
-	EXPECT_EQ(w.in_time_, w.served_);
+	Simulation managed(true);
+	managed.Run(30, 0.95);
+	EXPECT_EQ(managed.refused_, 0);
+	EXPECT_EQ(managed.in_time_, managed.served_);
 }
 
 /*
- * Symptom: first tokens came 1 to 1.5 s late for 25 s after an endpoint was lost, and half of the
- * callers left, though what was left could serve all of them.
- * Sequence: the loss stalls everything for 1.2 s; load is at 0.97 of what the rest can begin.
- * Cause: the queue of that moment never went away.
+ * Guards against a queue that persists after the loss of an endpoint: for 25 s, first tokens came 1
+ * to 1.5 s late and half of the callers disconnected, although the remaining endpoints could serve
+ * all requests. The loss stalls all requests for 1.2 s, and the load is 0.97 of the remaining
+ * capacity, so the queue of that moment must be drained by refusals.
  */
 TEST(AdmTest, AQueueThatALossLeftBehindGoesAway)
 {
 	int in_time[2];
 	for (int controlled = 0; controlled < 2; controlled++) {
-		World w(controlled);
-		w.Play(5, 0.97);
-		w.stalled_until_ = w.now_ + 1200 * MS;
-		w.Play(6, 0.97);
-		w.Count();
-		w.Play(10, 0.97);
-		in_time[controlled] = w.in_time_ * 100 / w.asked_;
+		Simulation managed(controlled);
+		managed.Run(5, 0.97);
+		managed.stalled_until_ = managed.now_ + 1200 * MS;
+		managed.Run(6, 0.97);
+		managed.ResetCounts();
+		managed.Run(10, 0.97);
+		in_time[controlled] = managed.in_time_ * 100 / managed.requested_;
 		printf("%s: begun in time %d of 100 asked, from 6 s after the loss\n",
 		       controlled ? "refusing a part" : "queue as it is ", in_time[controlled]);
 	}
@@ -127,25 +127,25 @@
 	EXPECT_GT(in_time[1], 85);
 }
 
-/* What is served within the aim does not fall as load rises, and is back soon after a loss. */
+/* The number of timely first tokens must not fall as load rises, and must recover after a loss. */
 TEST(AdmTest, MoreLoadNeverMeansFewerInTime)
 {
 	int before = 0;
 	for (double load : {0.7, 1.0, 1.5, 3.0}) {
-		World w(true), plain(false);
-		for (World *world : {&w, &plain}) {
-			world->Play(10, load);
-			world->stalled_until_ = world->now_ + 1000 * MS;
-			world->Play(4, load);
-			world->Count();
-			world->Play(10, load);
+		Simulation managed(true), plain(false);
+		for (Simulation *sim : {&managed, &plain}) {
+			sim->Run(10, load);
+			sim->stalled_until_ = sim->now_ + 1000 * MS;
+			sim->Run(4, load);
+			sim->ResetCounts();
+			sim->Run(10, load);
 		}
 		printf("load %.1f: begun in time %d, served %d, refused %d of %d; without: %d, %d\n",
-		       load, w.in_time_, w.served_, w.refused_, w.asked_, plain.in_time_,
-		       plain.served_);
-		EXPECT_GE(w.in_time_ * 100, before * 95) << load;
-		EXPECT_GE(w.in_time_, plain.in_time_) << load;
-		before = std::max(before, w.in_time_);
+		       load, managed.in_time_, managed.served_, managed.refused_,
+		       managed.requested_, plain.in_time_, plain.served_);
+		EXPECT_GE(managed.in_time_ * 100, before * 95) << load;
+		EXPECT_GE(managed.in_time_, plain.in_time_) << load;
+		before = std::max(before, managed.in_time_);
 	}
 }
 
@@ -153,8 +153,8 @@
 {
 	const struct {
 		const char *name;
-		double begun;	 /* lately; 14 are some 20 a second */
-		int64_t late_us; /* for how long none has begun in time */
+		double begun;	 /* Recent requests that began; 14 are about 20 a second. */
+		int64_t late_us; /* Time since a request last began in time. */
 		adm_queue queue;
 		double less_urgent;
 		bool admitted;
@@ -183,9 +183,9 @@
 }
 
 /*
- * Symptom: hosts that had just started refused the requests that waited for them.
- * Sequence: all hosts are killed and start; the first requests come all at once.
- * Cause: a host that had not begun any request yet took that for a queue that has stayed.
+ * Guards against refusals right after a start. All hosts are killed and restart, and the first
+ * requests arrive all at once; a host without timely requests since its start must not treat them
+ * as a persistent queue.
  */
 TEST(AdmTest, AStartIsNoQueue)
 {
