--- a/back/back.c
+++ b/back/back.c
@@ -3,73 +3,83 @@
 
 #include <math.h>
 
-/* Requests count half after this time: what was true two seconds ago tells little of the next. */
-static const double bk_fade_s = 1.0;
+/*
+ * Half-life of the request counts, in seconds. Results older than two seconds say little about the
+ * next request.
+ */
+static const double bk_half_life_s = 1.0;
 
-/* Part of the requests that has to be served for a refusal to count as bad luck. */
-static const double bk_good = 0.5;
+/* Part of the recent requests that must be served for the short retry delay to apply. */
+static const double bk_served_ratio_min = 0.5;
 
 /*
- * Soon: an answer that begins 100 ms later is within the 500 ms that users aim at. The other two
- * are the ends of the spread: engines that were lost are replaced within some 4 to 8 s.
+ * Retry delays in microseconds: the short delay, and both ends of the range over which delays are
+ * spread otherwise. An answer that begins 100 ms after the short delay still meets the target of
+ * 500 ms. Lost engines are replaced within about 4 to 8 s.
  */
-static const int64_t bk_soon_us = 300000;
-static const int64_t bk_near_us = 1000000;
-static const int64_t bk_far_us = 6000000;
+static const int64_t bk_short_delay_us = 300000;
+static const int64_t bk_spread_min_us = 1000000;
+static const int64_t bk_spread_max_us = 6000000;
 
-/* Callers heed a time up to a third of what they have left; a little less arrives before that. */
-static const double bk_heeded = 0.3;
+/*
+ * Longest delay as a part of the time that the caller has left. Callers obey a delay of up to a
+ * third of that time; the value leaves a margin.
+ */
+static const double bk_max_delay_ratio = 0.3;
 
 /*
- * Part of a caller's time for which it may wait for a configuration, and the most: callers leave a
- * stream that brings nothing for 2 s. With all hosts and the store down together 0.040 of a
- * minute's requests were refused when all waited 1 s, 0.010 now (three runs); with 2.5 s callers
- * left instead.
+ * Time that a request may wait at this host: the caller's deadline divided by bk_wait_divisor, at
+ * most bk_wait_limit_us, and bk_wait_default_us if the deadline is not stated. Callers disconnect
+ * from a stream that is silent for 2 s, so a limit of 2.5 s loses callers. With all hosts and the
+ * store down together, a limit of 1 s for all requests refused 0.040 of a minute's requests,
+ * these values 0.010.
  */
-static const int64_t bk_park_part = 8;
-static const int64_t bk_park_most_us = 1500000;
-static const int64_t bk_park_unknown_us = 1000000;
+static const int64_t bk_wait_divisor = 8;
+static const int64_t bk_wait_limit_us = 1500000;
+static const int64_t bk_wait_default_us = 1000000;
 
-static void bk_fade(struct bk *bk, int64_t now_us)
+static void bk_apply_decay(struct bk *bk, int64_t now_us)
 {
-	double part = exp2(-(double)(now_us - bk->at_us) / 1e6 / bk_fade_s);
+	double decay = exp2(-(double)(now_us - bk->decayed_us) / 1e6 / bk_half_life_s);
 
-	bk->served *= part;
-	bk->refused *= part;
-	bk->at_us = now_us;
+	bk->served *= decay;
+	bk->refused *= decay;
+	bk->decayed_us = now_us;
 }
 
 void bk_on_served(struct bk *bk, int64_t now_us)
 {
-	bk_fade(bk, now_us);
+	bk_apply_decay(bk, now_us);
 	bk->served++;
 }
 
 void bk_on_refused(struct bk *bk, int64_t now_us)
 {
-	bk_fade(bk, now_us);
+	bk_apply_decay(bk, now_us);
 	bk->refused++;
 }
 
 int64_t bk_heeded_us(int64_t left_us)
 {
-	return (int64_t)((double)left_us * bk_heeded);
+	return (int64_t)((double)left_us * bk_max_delay_ratio);
 }
 
 int64_t bk_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed)
 {
-	int64_t heeded_us = bk_heeded_us(left_us);
-	int64_t far_us = MIN(bk_far_us, heeded_us);
+	int64_t max_delay_us = bk_heeded_us(left_us);
+	int64_t spread_end_us = MIN(bk_spread_max_us, max_delay_us);
 
-	bk_fade(bk, now_us);
-	if (bk->served >= bk_good * (bk->served + bk->refused) || far_us <= bk_near_us)
-		return MIN(bk_soon_us, heeded_us);
-	return bk_near_us + (int64_t)((double)(far_us - bk_near_us) * rnd_unit(seed));
+	bk_apply_decay(bk, now_us);
+	if (bk->served >= bk_served_ratio_min * (bk->served + bk->refused) ||
+	    spread_end_us <= bk_spread_min_us)
+		return MIN(bk_short_delay_us, max_delay_us);
+	return bk_spread_min_us +
+	       (int64_t)((double)(spread_end_us - bk_spread_min_us) * rnd_unit(seed));
 }
 
 int64_t bk_park_us(int64_t deadline_ms)
 {
 	if (deadline_ms < 0)
-		return bk_park_unknown_us;
-	return MIN(deadline_ms * 1000 / bk_park_part, bk_park_most_us);
+		return bk_wait_default_us;
+	return MIN(deadline_ms * 1000 / bk_wait_divisor, bk_wait_limit_us);
 }
--- a/back/back.h
+++ b/back/back.h
@@ -7,32 +7,40 @@
 G_BEGIN_DECLS
 
 /*
- * When a caller that is refused for want of room should come back (Retry-After). Pure.
+ * Delay after which a caller that was refused because endpoints lack capacity should retry
+ * (Retry-After). This module does no I/O.
  *
- * A caller comes back once. Where most requests are served, a refusal is bad luck, and coming back
- * soon may still be in time. Where most are refused, the endpoints have no room, and whoever comes
- * back soon is refused for good; those callers are spread over the next seconds.
+ * A caller retries once. While most requests are served, a refusal is an exception and an early
+ * retry may still succeed in time. While most requests are refused, the endpoints have no capacity,
+ * and an early retry would be refused as well; these retries are spread over the next seconds.
  */
 struct bk {
-	double served;	/* recent ones, fading */
-	double refused; /* the same */
-	int64_t at_us;	/* when these were last brought up to date */
+	/* Number of recently served requests, with exponential decay. */
+	double served;
+	/* Number of recently refused requests, with exponential decay. */
+	double refused;
+	/* Time to which the decay is applied, in microseconds. */
+	int64_t decayed_us;
 };
 
 void bk_on_served(struct bk *bk, int64_t now_us);
 void bk_on_refused(struct bk *bk, int64_t now_us);
 
-/* The longest wait that a caller heeds which has so much time left. */
+/* Returns the longest delay that a caller obeys if its deadline is left_us away. */
 int64_t bk_heeded_us(int64_t left_us);
 
-/* How long to wait, of the time that the caller has left. seed: for spreading. */
+/*
+ * Returns the retry delay for a caller whose deadline is left_us away, in microseconds. seed is the
+ * state of the random number generator that spreads the delays.
+ */
 int64_t bk_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed);
 
 /*
- * How long a request may wait at a host that has no configuration yet, for a caller that waits
- * deadline_ms in all (-1: not stated). A host that starts has it within some 50 ms, or soon after
- * the store is back. Many callers have used up their one retry when all hosts have just gone down,
- * and would come back to another host that starts, too.
+ * Returns the time in microseconds for which a request may wait at a host that can't serve it yet,
+ * such as one without a configuration. deadline_ms is the total time that the caller waits, -1 if
+ * it is not stated. A starting host receives its configuration within about 50 ms, or soon after
+ * the store returns. After a restart of all hosts many callers have already used their only retry,
+ * and a further retry would reach another starting host.
  */
 int64_t bk_park_us(int64_t deadline_ms);
 
--- a/back/back_test.cc
+++ b/back/back_test.cc
@@ -38,7 +38,7 @@
 	EXPECT_LE(most, 6 * SEC);
 }
 
-/* Callers do not heed a time of more than a third of what they have left. */
+/* Callers ignore a retry delay of more than a third of the time that they have left. */
 TEST(BackTest, NeverLaterThanCallersHeed)
 {
 	bk b{};
@@ -50,14 +50,15 @@
 }
 
 /*
- * The load: 85 requests a second; for six seconds there is room for a third of them, as when two
- * engines of a thin range of layers are lost at once. Each caller that is refused comes back once.
+ * Simulates 85 requests a second for 12 s. In the first 6 s there is capacity for a third of them,
+ * as after the loss of two engines that serve layers with few other copies. Each refused caller
+ * retries once. Returns the number of requests that were served.
  */
-int Served(bool adaptive)
+int CountServed(bool spread)
 {
 	struct Visit {
 		int64_t at;
-		bool again;
+		bool is_retry;
 		bool operator<(const Visit &v) const
 		{
 			return at > v.at;
@@ -66,7 +67,7 @@
 	bk b{};
 	uint32_t seed = 7;
 	int served = 0;
-	double room = 0;
+	double capacity = 0;
 	int64_t last = 0;
 	std::priority_queue<Visit> visits;
 	for (int i = 0; i < 85 * 12; i++)
@@ -75,17 +76,17 @@
 		Visit v = visits.top();
 		visits.pop();
 		double per_s = v.at < 6 * SEC ? 28 : 110;
-		room = std::min(room + per_s * (double)(v.at - last) / 1e6, 5.0);
+		capacity = std::min(capacity + per_s * (double)(v.at - last) / 1e6, 5.0);
 		last = v.at;
-		if (room >= 1) {
-			room--;
+		if (capacity >= 1) {
+			capacity--;
 			served++;
 			bk_on_served(&b, v.at);
 			continue;
 		}
 		bk_on_refused(&b, v.at);
-		if (!v.again) {
-			int64_t wait = adaptive ? bk_delay_us(&b, 20 * SEC, v.at, &seed) : 400 * MS;
+		if (!v.is_retry) {
+			int64_t wait = spread ? bk_delay_us(&b, 20 * SEC, v.at, &seed) : 400 * MS;
 			visits.push({v.at + wait, true});
 		}
 	}
@@ -94,17 +95,17 @@
 
 TEST(BackTest, MoreAreServedAfterALossOfRoom)
 {
-	int before = Served(false), now = Served(true);
-	RecordProperty("at_once", before);
-	RecordProperty("spread", now);
-	printf("served of 1,020: coming back after 0.4 s %d, spread %d\n", before, now);
-	EXPECT_GT(now, before + 80);
+	int served_at_once = CountServed(false), served_spread = CountServed(true);
+	RecordProperty("at_once", served_at_once);
+	RecordProperty("spread", served_spread);
+	printf("served of 1,020: retry after 0.4 s %d, spread %d\n", served_at_once, served_spread);
+	EXPECT_GT(served_spread, served_at_once + 80);
 }
 
 /*
- * Symptom: callers with 20 s left were refused 0.3 s before the host had its configuration; others
- * with 1.5 s left were kept for 1 s, and had no time left to come back.
- * Sequence: all hosts start while the store is away. Cause: all waited alike.
+ * Guards against a wait that doesn't depend on the caller's deadline. All hosts start while the
+ * store is unavailable; callers with 20 s left were refused 0.3 s before the host had its
+ * configuration, and callers with 1.5 s left waited 1 s and had no time for a retry.
  */
 TEST(BackTest, HowLongARequestWaitsForAConfiguration)
 {
