--- a/lim/fair.c
+++ b/lim/fair.c
@@ -2,16 +2,19 @@
 
 #include <math.h>
 
-/* What an account has used counts half after this time. */
-static const double lim_use_fade_s = 10;
-
-/* For which an account counts as one that wants a permit. */
-static const int64_t lim_lacked_us = 400000;
-
-struct lim_use {
-	double used;
-	int64_t used_us;
-	int64_t lacked_us; /* when it last lacked a permit; 0: never */
+/* Half-life of the number of permits that an account has used, in seconds. */
+static const double lim_usage_half_life_s = 10;
+
+/* Time in microseconds for which an account counts as short of permits. */
+static const int64_t lim_shortage_valid_us = 400000;
+
+struct lim_usage {
+	/* Number of permits used up to decayed_us, with exponential decay. */
+	double permits_used;
+	/* Time to which the decay is applied, in microseconds. */
+	int64_t decayed_us;
+	/* Time at which the account last lacked a permit, in microseconds; 0 if never. */
+	int64_t shortage_us;
 };
 
 void lim_fair_init(struct lim_fair *fair)
@@ -24,38 +27,39 @@
 	g_hash_table_destroy(fair->accounts);
 }
 
-static struct lim_use *lim_fair_of(struct lim_fair *fair, const char *account)
+static struct lim_usage *lim_fair_find_or_add(struct lim_fair *fair, const char *account)
 {
-	struct lim_use *use = g_hash_table_lookup(fair->accounts, account);
+	struct lim_usage *usage = g_hash_table_lookup(fair->accounts, account);
 
-	if (!use) {
-		use = g_new0(struct lim_use, 1);
-		g_hash_table_insert(fair->accounts, g_strdup(account), use);
+	if (!usage) {
+		usage = g_new0(struct lim_usage, 1);
+		g_hash_table_insert(fair->accounts, g_strdup(account), usage);
 	}
-	return use;
+	return usage;
 }
 
-static double lim_used(const struct lim_use *use, int64_t now_us)
+static double lim_current_usage(const struct lim_usage *usage, int64_t now_us)
 {
-	double age_s = (double)(now_us - use->used_us) / 1e6;
+	double age_s = (double)(now_us - usage->decayed_us) / 1e6;
 
-	return use->used * exp2(-age_s / lim_use_fade_s);
+	return usage->permits_used * exp2(-age_s / lim_usage_half_life_s);
 }
 
 bool lim_fair_may_take(const struct lim_fair *fair, const char *account, int64_t now_us)
 {
-	const struct lim_use *own = g_hash_table_lookup(fair->accounts, account);
-	double used = own ? lim_used(own, now_us) : 0;
+	const struct lim_usage *own = g_hash_table_lookup(fair->accounts, account);
+	double permits_used = own ? lim_current_usage(own, now_us) : 0;
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, fair->accounts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct lim_use *use = value;
+		const struct lim_usage *usage = value;
 
-		if (use == own || use->lacked_us == 0 || now_us - use->lacked_us > lim_lacked_us)
+		if (usage == own || usage->shortage_us == 0 ||
+		    now_us - usage->shortage_us > lim_shortage_valid_us)
 			continue;
-		if (lim_used(use, now_us) < used)
+		if (lim_current_usage(usage, now_us) < permits_used)
 			return false;
 	}
 	return true;
@@ -63,14 +67,14 @@
 
 void lim_fair_took(struct lim_fair *fair, const char *account, int64_t now_us)
 {
-	struct lim_use *use = lim_fair_of(fair, account);
+	struct lim_usage *usage = lim_fair_find_or_add(fair, account);
 
-	use->used = lim_used(use, now_us) + 1;
-	use->used_us = now_us;
-	use->lacked_us = 0;
+	usage->permits_used = lim_current_usage(usage, now_us) + 1;
+	usage->decayed_us = now_us;
+	usage->shortage_us = 0;
 }
 
 void lim_fair_lacked(struct lim_fair *fair, const char *account, int64_t now_us)
 {
-	lim_fair_of(fair, account)->lacked_us = now_us;
+	lim_fair_find_or_add(fair, account)->shortage_us = now_us;
 }
--- a/lim/fair.h
+++ b/lim/fair.h
@@ -8,23 +8,25 @@
 G_BEGIN_DECLS
 
 /*
- * Which client account may use a permit where all endpoints of a service are limited: what is left
- * is shared by equal portions. An account waits while another one that has used less wants one.
- * Pure.
+ * Fair sharing of permits between client accounts, for services whose endpoints all have limits.
+ * The available permits are shared equally: an account must wait while another account that has
+ * used fewer permits needs one. This module does no I/O.
  */
 struct lim_fair {
-	GHashTable *accounts; /* name -> struct lim_use */
+	/* Maps the name of an account to its struct lim_usage. */
+	GHashTable *accounts;
 };
 
 void lim_fair_init(struct lim_fair *fair);
 void lim_fair_finish(struct lim_fair *fair);
 
-/* Whether the account may use a permit now. */
+/* Returns whether the account may use a permit now. */
 bool lim_fair_may_take(const struct lim_fair *fair, const char *account, int64_t now_us);
 
+/* Counts a permit that the account used. */
 void lim_fair_took(struct lim_fair *fair, const char *account, int64_t now_us);
 
-/* A request of the account found nobody to go to. */
+/* Records that a request of the account found no endpoint with a permit. */
 void lim_fair_lacked(struct lim_fair *fair, const char *account, int64_t now_us);
 
 G_END_DECLS
--- a/lim/home.h
+++ b/lim/home.h
@@ -6,38 +6,50 @@
 G_BEGIN_DECLS
 
 /*
- * One host, the home, divides the limit of an endpoint: it gives one permit after the other, as the
- * limit allows, each for one request. The host that gets the next one is chosen by need: one from
- * which twice as many requests want to go there gets twice as many. Unused permits come back.
+ * Division of an endpoint's limit among hosts. One host, the home of the limit, grants permits at
+ * the rate of the limit; each permit allows one request. Hosts receive permits in proportion to
+ * their demand, the number of requests that they would send to the endpoint. Hosts return unused
+ * permits to the home. This module does no I/O.
  *
- * In any time T the endpoint gets at most what the limit allows in T and in the time that a permit
- * may be on its way and kept, and what was saved up: half a second's, or one. Pure.
+ * In any time T the endpoint receives at most the number of requests that the limit allows in T
+ * plus the time for which a permit may be on its way and kept, plus the saved permits: those of
+ * half a second, or one permit.
  */
 struct lim_home {
 	struct lim_news news;
-	double saved; /* permits that may be given now; fractions are kept */
-	int64_t at_us;
-	double turn;	   /* of the host that was served last; others begin from there */
-	GHashTable *needs; /* host -> struct lim_need */
+	/* Number of permits that may be granted now, including fractions. */
+	double saved;
+	/* Time up to which permits are accrued, in microseconds. */
+	int64_t updated_us;
+	/* Virtual time of the host that received the last permit; other hosts start from it. */
+	double virtual_time;
+	/* Maps the name of a host to its struct lim_demand. */
+	GHashTable *demands;
 };
 
 void lim_home_init(struct lim_home *home, int64_t now_us);
 void lim_home_finish(struct lim_home *home);
 
-/* The limit has another value. What is saved up is not more than the new one allows. */
+/* Changes the limit. Saved permits in excess of the new limit's maximum are dropped. */
 void lim_home_set(struct lim_home *home, const struct lim_news *news, int64_t now_us);
 
-/* So many requests of a host would go there since it last asked; it gives so many permits back. */
+/*
+ * Records the demand of a host. wanted is the number of requests that it would have sent to the
+ * endpoint since its last call, returned the number of permits that it returns unused.
+ */
 void lim_home_ask(struct lim_home *home, const char *host, int wanted, int returned,
 		  int64_t now_us);
 
-/* The host is gone, or asks another home. */
+/* Removes a host that has ended or uses another home. */
 void lim_home_leave(struct lim_home *home, const char *host);
 
-/* The host that gets a permit now, or NULL; part: of the limit that this home may divide, 0..1. */
+/*
+ * Grants one permit. Returns the host that receives it, or NULL if no permit is available or no
+ * host needs one. part is the part of the limit that this home may divide, from 0 to 1.
+ */
 const char *lim_home_next(struct lim_home *home, double part, int64_t now_us);
 
-/* How long until there may be a next one; -1: nobody needs one. */
+/* Returns the time in microseconds until the next permit may be available; -1 without demand. */
 int64_t lim_home_wait_us(const struct lim_home *home, double part, int64_t now_us);
 
 G_END_DECLS
--- a/lim/lim_sim_test.cc
+++ b/lim/lim_sim_test.cc
@@ -11,9 +11,9 @@
 #include <vector>
 
 /*
- * A limit that many hosts keep together: news between hosts are 50 to 500 ms old, callers are
- * uneven, hosts come and go. Three ways to divide it are played on the same arrivals; only the one
- * that is built is held to the bounds.
+ * Simulates a limit that many hosts enforce together. Messages between hosts take 50 to 500 ms,
+ * callers are distributed unevenly, and hosts stop and restart. Three methods of dividing the limit
+ * run on the same arrivals; only the implemented one, permits, is checked against the bounds.
  */
 namespace
 {
@@ -24,75 +24,82 @@
 const int64_t SETTLE = 8 * SECOND;
 const int64_t END = 60 * SECOND;
 const int64_t WINDOW = 4 * SECOND;
-const int64_t ASK_LEAST = 50 * MS;
-const int64_t ASK_WAIT = SECOND; /* for which a request waits for a permit */
+const int64_t REQUEST_INTERVAL_MIN = 50 * MS;
+const int64_t PERMIT_WAIT_MAX = SECOND; /* Time that a request waits for a permit. */
 
-enum Way {
-	PERMITS,     /* one host gives a permit for each request */
-	EQUAL_PARTS, /* each host has the same part, and saves up to one request */
-	NEED_PARTS   /* each host has a part by what it needed, told twice a second */
+enum Method {
+	/* One host, the home, grants a permit for each request. */
+	PERMITS,
+	/* Each host has an equal part of the limit and saves at most one request. */
+	EQUAL_PARTS,
+	/* Each host has a part in proportion to its demand, which it reports twice a second. */
+	DEMAND_PARTS
 };
 
-enum Callers {
+enum CallerDistribution {
 	EVEN,
 	ONE_HOST,
-	FEW_HOSTS, /* a fifth of the hosts has four fifths */
+	FEW_HOSTS, /* A fifth of the hosts receives four fifths of the requests. */
 };
 
-struct Scene {
+struct Scenario {
 	int hosts;
 	double limit;
-	Callers callers;
-	bool churn;  /* each second one host is killed, and is back 2 s later */
-	double load; /* requests, as a multiple of the limit */
+	CallerDistribution callers;
+	bool churn;  /* Whether one host is killed each second and restarts 2 s later. */
+	double load; /* Request rate as a multiple of the limit. */
 };
 
 struct Message {
 	int64_t at;
 	int host;
 	bool to_home;
-	int wanted, returned; /* of an ask */
-	int permits;	      /* of an answer */
-	int64_t stamp; /* of the ask that it answers, or of the home's clock that the host knows */
-	double share;  /* of NEED_PARTS */
+	int wanted, returned; /* Demand and returned permits, in a message to the home. */
+	int permits;	      /* Granted permits, in a message from the home. */
+	/* Time of the home's clock: of sending, or the newest time that the host has received. */
+	int64_t stamp;
+	double share; /* Requests per second that the host may send, for DEMAND_PARTS. */
 };
 
 struct Host {
 	lim_part part;
-	int64_t asked = 0;     /* when it last asked */
-	int64_t last_sent = 0; /* messages of a connection keep their order */
-	int64_t last_got = 0;
-	int64_t heard = 0; /* newest clock of the home that it knows */
+	int64_t last_request = 0; /* Time of the last request for permits. */
+	/* Arrival times of the last messages, since a connection keeps their order. */
+	int64_t last_sent = 0;
+	int64_t last_received = 0;
+	/* Newest time of the home's clock that the host has received. */
+	int64_t known_home_time = 0;
 	int64_t down_until = 0;
 	std::vector<int64_t> waiting;
-	double share = 0, saved = 0; /* of the other two ways */
+	double share = 0, saved = 0; /* Rate and saved requests, without permits. */
 	int64_t share_until = 0;
-	double need = 0;
+	double demand = 0;
 };
 
 struct Result {
-	double used; /* part of what the limit allows */
-	int most;    /* in any 4 s */
+	double used; /* Number of requests as a part of those that the limit allows. */
+	int most;    /* Highest number of requests in any 4 s. */
 };
 
-class World
+class Simulation
 {
       public:
-	World(Way way, const Scene &scene, uint32_t seed) : way_(way), scene_(scene), seed_(seed)
+	Simulation(Method method, const Scenario &scenario, uint32_t seed)
+		: method_(method), scenario_(scenario), seed_(seed)
 	{
-		const lim_news news = {true, scene.limit, 1};
+		const lim_news news = {true, scenario.limit, 1};
 
 		lim_home_init(&home_, 0);
 		lim_home_set(&home_, &news, 0);
 		lim_members_init(&members_);
-		hosts_.resize((size_t)scene.hosts);
+		hosts_.resize((size_t)scenario.hosts);
 		GPtrArray *names = g_ptr_array_new();
-		for (int i = 0; i < scene.hosts; i++) {
+		for (int i = 0; i < scenario.hosts; i++) {
 			names_.push_back("host-" + std::to_string(i));
 			number_[names_.back()] = i;
 			memset(&hosts_[(size_t)i].part, 0, sizeof(lim_part));
 			lim_part_hear(&hosts_[(size_t)i].part, &news);
-			/* Else all would save up their first request alike. */
+			/* Hosts must not save their first request all at the same time. */
 			hosts_[(size_t)i].saved = rnd_unit(&seed_);
 		}
 		for (auto &name : names_)
@@ -100,21 +107,21 @@
 		lim_members_list(&members_, names, 0);
 		g_ptr_array_unref(names);
 	}
-	~World()
+	~Simulation()
 	{
 		lim_home_finish(&home_);
 		lim_members_finish(&members_);
 	}
 
-	Result Play()
+	Result Run()
 	{
 		for (now_ = STEP; now_ < END; now_ += STEP) {
 			Churn();
 			Deliver();
-			if (way_ == PERMITS)
-				Give();
-			for (int i = 0; i < scene_.hosts; i++)
-				Run(i);
+			if (method_ == PERMITS)
+				GrantPermits();
+			for (int i = 0; i < scenario_.hosts; i++)
+				RunHost(i);
 		}
 		return Measure();
 	}
@@ -126,14 +133,14 @@
 	}
 	double Rate(int i) const
 	{
-		double all = scene_.limit * scene_.load;
-		int few = std::max(scene_.hosts / 5, 1);
+		double all = scenario_.limit * scenario_.load;
+		int few = std::max(scenario_.hosts / 5, 1);
 
-		if (scene_.callers == ONE_HOST)
-			return i == scene_.hosts - 1 ? all : 0;
-		if (scene_.callers == FEW_HOSTS)
-			return i < few ? all * 0.8 / few : all * 0.2 / (scene_.hosts - few);
-		return all / scene_.hosts;
+		if (scenario_.callers == ONE_HOST)
+			return i == scenario_.hosts - 1 ? all : 0;
+		if (scenario_.callers == FEW_HOSTS)
+			return i < few ? all * 0.8 / few : all * 0.2 / (scenario_.hosts - few);
+		return all / scenario_.hosts;
 	}
 	void Send(Message message, int64_t &last)
 	{
@@ -144,14 +151,14 @@
 	}
 	void Churn()
 	{
-		if (!scene_.churn || now_ % SECOND != 0)
+		if (!scenario_.churn || now_ % SECOND != 0)
 			return;
-		/* Not the home: that is another test's. */
-		int i = 1 + (int)(rnd_unit(&seed_) * (scene_.hosts - 1));
+		/* Host 0 is the home; the loss of the home is not covered by this test. */
+		int i = 1 + (int)(rnd_unit(&seed_) * (scenario_.hosts - 1));
 		At(i).down_until = now_ + 2 * SECOND;
 		At(i).part.permits = At(i).part.returned = At(i).part.wanted = 0;
 		At(i).waiting.clear();
-		At(i).heard = 0;
+		At(i).known_home_time = 0;
 		lim_home_leave(&home_, names_[(size_t)i].c_str());
 		lim_members_left(&members_, names_[(size_t)i].c_str());
 	}
@@ -164,56 +171,56 @@
 			if (At(m.host).down_until > now_)
 				continue;
 			if (m.to_home)
-				OnAsk(m);
+				OnPermitRequest(m);
 			else
-				OnAnswer(m);
+				OnPermitAnswer(m);
 		}
 	}
-	void OnAsk(const Message &m)
+	void OnPermitRequest(const Message &m)
 	{
 		const char *name = names_[(size_t)m.host].c_str();
 
-		if (way_ == NEED_PARTS) {
-			needs_[m.host] = {now_, (double)m.wanted};
+		if (method_ == DEMAND_PARTS) {
+			demands_[m.host] = {now_, (double)m.wanted};
 			double sum = 0;
-			for (auto &need : needs_) {
-				if (now_ - need.second.first < 2 * SECOND)
-					sum += need.second.second;
+			for (auto &entry : demands_) {
+				if (now_ - entry.second.first < 2 * SECOND)
+					sum += entry.second.second;
 			}
-			double share = sum > 0 ? scene_.limit * m.wanted / sum : 0;
-			Send({0, m.host, false, 0, 0, 0, 0, share}, At(m.host).last_got);
+			double share = sum > 0 ? scenario_.limit * m.wanted / sum : 0;
+			Send({0, m.host, false, 0, 0, 0, 0, share}, At(m.host).last_received);
 			return;
 		}
 		if (m.stamp > 0)
 			lim_members_heard(&members_, name, m.stamp);
 		lim_home_ask(&home_, name, m.wanted, m.returned, now_);
-		asked_[m.host] = m.at;
-		Send({0, m.host, false, 0, 0, 0, now_, 0}, At(m.host).last_got);
+		last_requests_[m.host] = m.at;
+		Send({0, m.host, false, 0, 0, 0, now_, 0}, At(m.host).last_received);
 	}
-	void Give()
+	void GrantPermits()
 	{
 		const char *name;
 
 		while ((name = lim_home_next(&home_, lim_members_part(&members_, now_), now_)))
 			Send({0, number_[name], false, 0, 0, 1, now_, 0},
-			     At(number_[name]).last_got);
+			     At(number_[name]).last_received);
 	}
-	void OnAnswer(const Message &m)
+	void OnPermitAnswer(const Message &m)
 	{
 		Host &host = At(m.host);
 
-		if (way_ == NEED_PARTS) {
+		if (method_ == DEMAND_PARTS) {
 			host.share = m.share;
 			host.share_until = now_ + 2 * SECOND;
 			return;
 		}
-		host.heard = std::max(host.heard, m.stamp);
+		host.known_home_time = std::max(host.known_home_time, m.stamp);
 		if (m.permits > 0)
-			lim_part_grant(&host.part, m.permits, host.asked, now_);
+			lim_part_grant(&host.part, m.permits, host.last_request, now_);
 	}
-	bool Take(Host &host)
+	bool UsePermit(Host &host)
 	{
-		if (way_ == PERMITS) {
+		if (method_ == PERMITS) {
 			if (!lim_part_is_open(&host.part, now_))
 				return false;
 			lim_part_take(&host.part, now_);
@@ -225,48 +232,48 @@
 		arrivals_.push_back(now_);
 		return true;
 	}
-	void Run(int i)
+	void RunHost(int i)
 	{
 		Host &host = At(i);
 
 		if (host.down_until > now_)
 			return;
-		if (way_ == EQUAL_PARTS)
-			host.share = scene_.limit / scene_.hosts;
-		if (way_ == EQUAL_PARTS || host.share_until > now_)
+		if (method_ == EQUAL_PARTS)
+			host.share = scenario_.limit / scenario_.hosts;
+		if (method_ == EQUAL_PARTS || host.share_until > now_)
 			host.saved = std::min(1.0, host.saved + host.share * STEP / 1e6);
-		while (!host.waiting.empty() && Take(host))
+		while (!host.waiting.empty() && UsePermit(host))
 			host.waiting.erase(host.waiting.begin());
-		while (!host.waiting.empty() && now_ - host.waiting[0] > ASK_WAIT)
+		while (!host.waiting.empty() && now_ - host.waiting[0] > PERMIT_WAIT_MAX)
 			host.waiting.erase(host.waiting.begin());
 		if (rnd_unit(&seed_) < Rate(i) * STEP / 1e6) {
 			host.part.wanted++;
-			host.need++;
-			if (!Take(host) && host.waiting.size() < 2)
+			host.demand++;
+			if (!UsePermit(host) && host.waiting.size() < 2)
 				host.waiting.push_back(now_);
 		}
-		Ask(i);
+		RequestPermits(i);
 	}
-	void Ask(int i)
+	void RequestPermits(int i)
 	{
 		Host &host = At(i);
 
-		if (way_ == EQUAL_PARTS)
+		if (method_ == EQUAL_PARTS)
 			return;
-		if (way_ == NEED_PARTS) {
-			host.need *= 0.9931; /* half in a second */
-			if (now_ - host.asked < 500 * MS)
+		if (method_ == DEMAND_PARTS) {
+			host.demand *= 0.9931; /* Half-life of one second. */
+			if (now_ - host.last_request < 500 * MS)
 				return;
-			host.asked = now_;
-			Send({0, i, true, (int)(host.need * 100), 0, 0, 0, 0}, host.last_sent);
+			host.last_request = now_;
+			Send({0, i, true, (int)(host.demand * 100), 0, 0, 0, 0}, host.last_sent);
 			return;
 		}
 		lim_part_is_open(&host.part, now_);
 		bool due = host.part.wanted > 0 || host.part.returned > 0;
-		if (now_ - host.asked < (due ? ASK_LEAST : SECOND))
+		if (now_ - host.last_request < (due ? REQUEST_INTERVAL_MIN : SECOND))
 			return;
-		host.asked = now_;
-		Send({0, i, true, host.part.wanted, host.part.returned, 0, host.heard, 0},
+		host.last_request = now_;
+		Send({0, i, true, host.part.wanted, host.part.returned, 0, host.known_home_time, 0},
 		     host.last_sent);
 		host.part.wanted = host.part.returned = 0;
 	}
@@ -281,12 +288,12 @@
 			result.most = std::max(result.most, (int)(last - first) + 1);
 			result.used += arrivals_[last] > SETTLE;
 		}
-		result.used /= scene_.limit * (END - SETTLE) / 1e6;
+		result.used /= scenario_.limit * (END - SETTLE) / 1e6;
 		return result;
 	}
 
-	Way way_;
-	Scene scene_;
+	Method method_;
+	Scenario scenario_;
 	uint32_t seed_;
 	int64_t now_ = 0;
 	lim_home home_;
@@ -294,52 +301,55 @@
 	std::vector<Host> hosts_;
 	std::vector<std::string> names_;
 	std::map<std::string, int> number_;
-	std::map<int, int64_t> asked_;
-	std::map<int, std::pair<int64_t, double>> needs_;
+	std::map<int, int64_t> last_requests_;
+	std::map<int, std::pair<int64_t, double>> demands_;
 	std::multimap<int64_t, Message> messages_;
 	std::vector<int64_t> arrivals_;
 };
 
-/* In 4 s what the limit allows in these, while a permit is on its way and kept, and what was saved.
+/*
+ * Returns the highest number of requests allowed in 4 s: those of the limit in this time and in the
+ * time for which a permit is on its way and kept, plus the saved ones.
  */
-int Bound(const Scene &scene)
+int Bound(const Scenario &scenario)
 {
 	const double on_its_way_s = 0.5, kept_s = 1.0, saved_s = 0.5;
 
-	return (int)(scene.limit * (4 + on_its_way_s + kept_s) +
-		     std::max(scene.limit * saved_s, 1.0) + 1);
+	return (int)(scenario.limit * (4 + on_its_way_s + kept_s) +
+		     std::max(scenario.limit * saved_s, 1.0) + 1);
 }
 
-class LimitOverHosts : public testing::TestWithParam<Scene>
+class LimitOverHosts : public testing::TestWithParam<Scenario>
 {
 };
 
 TEST_P(LimitOverHosts, IsKeptAndUsed)
 {
-	const Scene scene = GetParam();
-	const char *ways[] = {"permits", "equal parts", "parts by need"};
+	const Scenario scenario = GetParam();
+	const char *methods[] = {"permits", "equal parts", "parts by need"};
 	Result results[3];
 
-	for (int way = PERMITS; way <= NEED_PARTS; way++) {
-		results[way] = World((Way)way, scene, 7).Play();
+	for (int method = PERMITS; method <= DEMAND_PARTS; method++) {
+		results[method] = Simulation((Method)method, scenario, 7).Run();
 		printf("%3d hosts, %5.1f/s, callers %d, churn %d: %-13s used %.2f, most in 4 s %d "
 		       "(limit %.1f, users bear %.0f)\n",
-		       scene.hosts, scene.limit, scene.callers, scene.churn, ways[way],
-		       results[way].used, results[way].most, scene.limit * 4, scene.limit * 6 + 5);
+		       scenario.hosts, scenario.limit, scenario.callers, scenario.churn,
+		       methods[method], results[method].used, results[method].most,
+		       scenario.limit * 4, scenario.limit * 6 + 5);
 	}
-	EXPECT_LE(results[PERMITS].most, Bound(scene));
-	EXPECT_LE(results[PERMITS].most, (int)(scene.limit * 6 + 5));
+	EXPECT_LE(results[PERMITS].most, Bound(scenario));
+	EXPECT_LE(results[PERMITS].most, (int)(scenario.limit * 6 + 5));
 	EXPECT_LE(results[PERMITS].used, 1.02);
-	EXPECT_GE(results[PERMITS].used, scene.churn ? 0.85 : 0.9);
+	EXPECT_GE(results[PERMITS].used, scenario.churn ? 0.85 : 0.9);
 }
 
 INSTANTIATE_TEST_SUITE_P(
 	LimTest, LimitOverHosts,
-	testing::Values(Scene{7, 2.9, EVEN, false, 4}, Scene{7, 2.9, ONE_HOST, false, 4},
-			Scene{7, 2.9, FEW_HOSTS, true, 4}, Scene{7, 0.3, FEW_HOSTS, false, 8},
-			Scene{71, 2.9, EVEN, false, 4}, Scene{71, 2.9, ONE_HOST, false, 4},
-			Scene{71, 30, FEW_HOSTS, true, 4}, Scene{370, 2.9, EVEN, false, 4},
-			Scene{370, 2.9, ONE_HOST, false, 4}, Scene{370, 2.9, FEW_HOSTS, true, 4},
-			Scene{370, 30, EVEN, true, 4}));
+	testing::Values(Scenario{7, 2.9, EVEN, false, 4}, Scenario{7, 2.9, ONE_HOST, false, 4},
+			Scenario{7, 2.9, FEW_HOSTS, true, 4}, Scenario{7, 0.3, FEW_HOSTS, false, 8},
+			Scenario{71, 2.9, EVEN, false, 4}, Scenario{71, 2.9, ONE_HOST, false, 4},
+			Scenario{71, 30, FEW_HOSTS, true, 4}, Scenario{370, 2.9, EVEN, false, 4},
+			Scenario{370, 2.9, ONE_HOST, false, 4},
+			Scenario{370, 2.9, FEW_HOSTS, true, 4}, Scenario{370, 30, EVEN, true, 4}));
 
 } // namespace
--- a/lim/lim_test.cc
+++ b/lim/lim_test.cc
@@ -70,12 +70,12 @@
 	lim_part_grant(&part, 2, now, now);
 	EXPECT_FALSE(lim_part_is_open(&part, now + 500 * MS));
 	EXPECT_EQ(part.returned, 2);
-	/* One that comes again and again does not keep the older ones good for ever. */
+	/* Repeated grants must not extend the validity of older permits without bound. */
 	for (int i = 0; i < 5; i++)
 		lim_part_grant(&part, 1, now + i * 300 * MS, now + i * 300 * MS);
 	EXPECT_LE(part.permits, 4);
 	EXPECT_GE(part.returned, 3);
-	/* One that was under way for seconds has been counted as lost. */
+	/* A permit that arrives after seconds is counted as expired. */
 	int returned = part.returned;
 	lim_part_is_open(&part, now + 10 * SECOND);
 	lim_part_grant(&part, 1, now, now + 10 * SECOND);
@@ -98,29 +98,32 @@
 	EXPECT_TRUE(lim_part_is_open(&part, 6 * SECOND));
 }
 
-/* Gives what the home would give over so long; returns permits by host. */
-std::map<std::string, int> Give(lim_home *home, int64_t from, int64_t to, double part = 1,
-				const std::map<std::string, int> &wants = {})
+/*
+ * Runs the home from one time to the other, with the given demand of each host every 100 ms.
+ * Returns the number of permits granted to each host.
+ */
+std::map<std::string, int> GrantAll(lim_home *home, int64_t from, int64_t to, double part = 1,
+				    const std::map<std::string, int> &demands = {})
 {
-	std::map<std::string, int> given;
+	std::map<std::string, int> granted;
 
 	for (int64_t now = from; now < to; now += 10 * MS) {
 		const char *host;
 
 		if ((now - from) % (100 * MS) == 0) {
-			for (const auto &want : wants)
-				lim_home_ask(home, want.first.c_str(), want.second, 0, now);
+			for (const auto &demand : demands)
+				lim_home_ask(home, demand.first.c_str(), demand.second, 0, now);
 		}
 		while ((host = lim_home_next(home, part, now)))
-			given[host]++;
+			granted[host]++;
 	}
-	return given;
+	return granted;
 }
 
-int Sum(const std::map<std::string, int> &given)
+int Sum(const std::map<std::string, int> &granted)
 {
 	int sum = 0;
-	for (const auto &g : given)
+	for (const auto &g : granted)
 		sum += g.second;
 	return sum;
 }
@@ -129,10 +132,10 @@
 {
 	const struct {
 		double rate, part;
-		int least, most; /* in 100 s */
+		int least, most; /* Bounds for the number of permits granted in 100 s. */
 	} cases[] = {
 		{2.9, 1, 285, 291},  {0.3, 1, 28, 31}, {2.9, 0.5, 142, 146},
-		{0, 1, 19, 21}, /* a trial each 5 s, to learn whether it still is zero */
+		{0, 1, 19, 21}, /* One probe every 5 s, to check whether the limit is still zero. */
 		{40, 1, 3900, 4020}, {2.9, 0, 0, 1},
 	};
 	for (const auto &c : cases) {
@@ -141,9 +144,9 @@
 
 		lim_home_init(&home, 0);
 		lim_home_set(&home, &news, 0);
-		int given = Sum(Give(&home, 0, 100 * SECOND, c.part, {{"a", 10}, {"b", 10}}));
-		EXPECT_GE(given, c.least) << c.rate << " " << c.part;
-		EXPECT_LE(given, c.most) << c.rate << " " << c.part;
+		int granted = Sum(GrantAll(&home, 0, 100 * SECOND, c.part, {{"a", 10}, {"b", 10}}));
+		EXPECT_GE(granted, c.least) << c.rate << " " << c.part;
+		EXPECT_LE(granted, c.most) << c.rate << " " << c.part;
 		lim_home_finish(&home);
 	}
 }
@@ -155,14 +158,14 @@
 
 	lim_home_init(&home, 0);
 	lim_home_set(&home, &news, 0);
-	auto given = Give(&home, 0, 60 * SECOND, 1, {{"a", 20}, {"b", 10}, {"c", 0}});
-	EXPECT_EQ(given["c"], 0);
-	EXPECT_NEAR((double)given["a"] / given["b"], 2, 0.2);
-	/* Who needed nothing so far does not catch up on what the others got meanwhile. */
-	given = Give(&home, 60 * SECOND, 70 * SECOND, 1, {{"a", 10}, {"b", 10}, {"c", 10}});
-	EXPECT_LE(given["c"], given["a"]);
-	given = Give(&home, 70 * SECOND, 80 * SECOND, 1, {{"a", 10}, {"b", 10}, {"c", 10}});
-	EXPECT_NEAR(given["c"], given["a"], 4);
+	auto granted = GrantAll(&home, 0, 60 * SECOND, 1, {{"a", 20}, {"b", 10}, {"c", 0}});
+	EXPECT_EQ(granted["c"], 0);
+	EXPECT_NEAR((double)granted["a"] / granted["b"], 2, 0.2);
+	/* A host without demand so far must not catch up on the permits of the others. */
+	granted = GrantAll(&home, 60 * SECOND, 70 * SECOND, 1, {{"a", 10}, {"b", 10}, {"c", 10}});
+	EXPECT_LE(granted["c"], granted["a"]);
+	granted = GrantAll(&home, 70 * SECOND, 80 * SECOND, 1, {{"a", 10}, {"b", 10}, {"c", 10}});
+	EXPECT_NEAR(granted["c"], granted["a"], 4);
 	lim_home_finish(&home);
 }
 
@@ -174,11 +177,11 @@
 
 	lim_home_init(&home, 0);
 	lim_home_set(&home, &high, 0);
-	EXPECT_LE(Sum(Give(&home, 60 * SECOND, 60 * SECOND + 10 * MS, 1, {{"a", 100}})), 20);
-	/* A lower limit holds at once: what the higher one had left is gone. */
-	Give(&home, 70 * SECOND, 70 * SECOND + 10 * MS);
+	EXPECT_LE(Sum(GrantAll(&home, 60 * SECOND, 60 * SECOND + 10 * MS, 1, {{"a", 100}})), 20);
+	/* A lower limit applies immediately: permits saved at the higher limit are dropped. */
+	GrantAll(&home, 70 * SECOND, 70 * SECOND + 10 * MS);
 	lim_home_set(&home, &low, 80 * SECOND);
-	EXPECT_LE(Sum(Give(&home, 80 * SECOND, 81 * SECOND, 1, {{"a", 100}})), 3);
+	EXPECT_LE(Sum(GrantAll(&home, 80 * SECOND, 81 * SECOND, 1, {{"a", 100}})), 3);
 	lim_home_finish(&home);
 }
 
@@ -186,23 +189,23 @@
 {
 	const lim_news news = {true, 1, 1};
 	lim_home home;
-	int given = 0;
+	int granted = 0;
 
 	lim_home_init(&home, 0);
 	lim_home_set(&home, &news, 0);
 	for (int64_t now = 0; now < 10 * SECOND; now += 100 * MS) {
 		lim_home_ask(&home, "a", 1, 0, now);
 		while (lim_home_next(&home, 1, now)) {
-			given++;
-			lim_home_ask(&home, "a", 0, given % 2, now);
+			granted++;
+			lim_home_ask(&home, "a", 0, granted % 2, now);
 		}
 	}
-	EXPECT_GE(given, 18);
-	EXPECT_LE(given, 22);
+	EXPECT_GE(granted, 18);
+	EXPECT_LE(granted, 22);
 	lim_home_finish(&home);
 }
 
-/* Several homes over the same hosts. */
+/* Several homes that have the same list of hosts. */
 struct Homes {
 	Homes(int n, int homes, int64_t now)
 	{
@@ -228,7 +231,7 @@
 		lim_members_list(members, names, now);
 		g_ptr_array_unref(names);
 	}
-	void Heard(int home, int from, int to, int64_t now)
+	void Renew(int home, int from, int to, int64_t now)
 	{
 		for (int i = from; i < to; i++)
 			lim_members_heard(&members_[(size_t)home], names_[(size_t)i].c_str(), now);
@@ -245,22 +248,24 @@
 TEST(LimMembersTest, HomesThatSplitTheHostsSplitTheLimit)
 {
 	const struct {
-		int n, first; /* hosts that ask the first home; the others ask the second */
+		int n, first; /* Number of all hosts, and of those that use the first home. */
 	} cases[] = {{7, 7}, {7, 5}, {7, 3}, {71, 40}, {370, 185}, {1, 1}};
 	for (const auto &c : cases) {
 		Homes homes(c.n, 2, SECOND);
 
 		for (int64_t now = SECOND; now < 8 * SECOND; now += SECOND) {
-			homes.Heard(0, 0, c.first, now);
-			homes.Heard(1, c.first, c.n, now);
+			homes.Renew(0, 0, c.first, now);
+			homes.Renew(1, c.first, c.n, now);
 			EXPECT_NEAR(homes.Part(0, now) + homes.Part(1, now), 1, 1e-9)
 				<< c.n << " " << c.first << " " << now;
 		}
-		/* A group that stays cut off keeps its part; over all it is less than the half
-		 * more. */
+		/*
+		 * A group that remains isolated keeps its part; the sum of all parts must stay
+		 * below 1.5.
+		 */
 		for (int64_t now = 8 * SECOND; now < 60 * SECOND; now += SECOND) {
-			homes.Heard(0, 0, c.first, now);
-			homes.Heard(1, c.first, c.n, now);
+			homes.Renew(0, 0, c.first, now);
+			homes.Renew(1, c.first, c.n, now);
 			EXPECT_LT(homes.Part(0, now) + homes.Part(1, now), 1.5);
 		}
 	}
@@ -270,19 +275,19 @@
 {
 	Homes homes(7, 1, SECOND);
 
-	homes.Heard(0, 0, 7, SECOND);
+	homes.Renew(0, 0, 7, SECOND);
 	EXPECT_DOUBLE_EQ(homes.Part(0, SECOND), 1);
-	/* Two fall silent: their leases end, and 8 s later their part is back. */
+	/* Two hosts stop: their leases end, and 8 s later their part is reclaimed. */
 	for (int64_t now = SECOND; now <= 20 * SECOND; now += SECOND / 2) {
-		homes.Heard(0, 0, 5, now);
-		if (now > SECOND + LIM_LEASE_US && now < SECOND + LIM_LEASE_US + LIM_GONE_US) {
+		homes.Renew(0, 0, 5, now);
+		if (now > SECOND + LIM_LEASE_US && now < SECOND + LIM_LEASE_US + LIM_RECLAIM_US) {
 			EXPECT_NEAR(homes.Part(0, now), 5.0 / 7, 1e-9) << now;
 		}
-		if (now > SECOND + LIM_LEASE_US + LIM_GONE_US) {
+		if (now > SECOND + LIM_LEASE_US + LIM_RECLAIM_US) {
 			EXPECT_DOUBLE_EQ(homes.Part(0, now), 1) << now;
 		}
 	}
-	/* One that leaves the list takes no part with it. */
+	/* The part of a host that is removed from the list is available immediately. */
 	homes.names_.pop_back();
 	homes.List(&homes.members_[0], 20 * SECOND);
 	EXPECT_DOUBLE_EQ(homes.Part(0, 20 * SECOND), 1);
@@ -303,11 +308,11 @@
 	Homes homes(4, 2, SECOND);
 	int64_t now = SECOND;
 
-	homes.Heard(0, 0, 4, now);
-	/* The last one asks the second home as soon as its lease at the first one has ended. */
+	homes.Renew(0, 0, 4, now);
+	/* The last host uses the second home as soon as its lease at the first one has ended. */
 	now += LIM_LEASE_US;
-	homes.Heard(0, 0, 3, now);
-	homes.Heard(1, 3, 4, now);
+	homes.Renew(0, 0, 3, now);
+	homes.Renew(1, 3, 4, now);
 	EXPECT_LE(homes.Part(0, now) + homes.Part(1, now), 1);
 }
 
@@ -320,7 +325,7 @@
 	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now));
 	for (int i = 0; i < 5; i++)
 		lim_fair_took(&fair, "flood", now);
-	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now)) << "nobody else wants any";
+	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now)) << "no other account needs one";
 	lim_fair_lacked(&fair, "small", now);
 	EXPECT_FALSE(lim_fair_may_take(&fair, "flood", now));
 	EXPECT_TRUE(lim_fair_may_take(&fair, "small", now));
@@ -337,7 +342,7 @@
 	for (int64_t now = SECOND; now < 101 * SECOND; now += 100 * MS) {
 		bool permit = now % SECOND == 0;
 
-		/* The flood asks first each time, ten times as often. */
+		/* The flooding account requests first each time, twice as often as the others. */
 		for (const char *account : {"flood", "small", "other"}) {
 			if (account[0] != 'f' && now % (200 * MS) != 0)
 				continue;
--- a/lim/members.c
+++ b/lim/members.c
@@ -3,8 +3,10 @@
 #include <string.h>
 
 struct lim_member {
-	int64_t until_us; /* end of its lease; 0: it has none */
-	int64_t since_us; /* when it was listed, or this home began */
+	/* Time at which the lease of the host ends, in microseconds; 0 if it has none. */
+	int64_t lease_end_us;
+	/* Time at which the host was added on this home, in microseconds. */
+	int64_t added_us;
 };
 
 void lim_members_init(struct lim_members *members)
@@ -23,7 +25,7 @@
 {
 	struct lim_member *member = g_new0(struct lim_member, 1);
 
-	member->since_us = now_us;
+	member->added_us = now_us;
 	g_hash_table_insert(members->hosts, g_strdup(name), member);
 	return member;
 }
@@ -46,7 +48,7 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const struct lim_member *member = value;
 
-		if (!g_hash_table_contains(listed, name) && member->until_us <= now_us)
+		if (!g_hash_table_contains(listed, name) && member->lease_end_us <= now_us)
 			g_hash_table_iter_remove(&iter);
 	}
 	g_hash_table_destroy(listed);
@@ -58,7 +60,7 @@
 
 	if (!member)
 		member = lim_members_add(members, name, heard_us);
-	member->until_us = MAX(member->until_us, heard_us + LIM_LEASE_US);
+	member->lease_end_us = MAX(member->lease_end_us, heard_us + LIM_LEASE_US);
 }
 
 void lim_members_left(struct lim_members *members, const char *name)
@@ -66,12 +68,12 @@
 	struct lim_member *member = g_hash_table_lookup(members->hosts, name);
 
 	if (member)
-		member->until_us = 0;
+		member->lease_end_us = 0;
 }
 
-static bool lim_member_is_gone(const struct lim_member *member, int64_t now_us)
+static bool lim_member_is_expired(const struct lim_member *member, int64_t now_us)
 {
-	return now_us - MAX(member->until_us, member->since_us) > LIM_GONE_US;
+	return now_us - MAX(member->lease_end_us, member->added_us) > LIM_RECLAIM_US;
 }
 
 unsigned int lim_members_count(const struct lim_members *members, int64_t now_us)
@@ -82,7 +84,7 @@
 
 	g_hash_table_iter_init(&iter, members->hosts);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		n += ((const struct lim_member *)value)->until_us > now_us;
+		n += ((const struct lim_member *)value)->lease_end_us > now_us;
 	return n;
 }
 
@@ -93,7 +95,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	/* A home that has just started would take those that ask it for all hosts. */
+	/* Without a list, the hosts that requested permits would be treated as all hosts. */
 	if (!members->listed || all == 0)
 		return 0;
 	if (present * 2 <= all)
@@ -102,7 +104,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct lim_member *member = value;
 
-		present += member->until_us <= now_us && lim_member_is_gone(member, now_us);
+		present += member->lease_end_us <= now_us && lim_member_is_expired(member, now_us);
 	}
 	return (double)present / all;
 }
--- a/lim/members.h
+++ b/lim/members.h
@@ -8,44 +8,56 @@
 G_BEGIN_DECLS
 
 /*
- * Which hosts ask this home, and so what part of each limit it may divide.
+ * The hosts that request permits from this home, and the part of each limit that the home may
+ * divide among them.
  *
- * Hosts choose the home alike, but some may not reach it, or may not know that it is back, and ask
- * another one. If each home gave out the whole limit, endpoints would get it several times. So a
- * home divides the part of the limit that its hosts are of all hosts. Each host asks one home at a
- * time: it is counted here until its lease ends, and asks another one only after that.
+ * All hosts choose the home by the same rule, but some may not be able to reach it, or may not know
+ * that it has returned, and use another home. If each home granted the whole limit, endpoints would
+ * receive a multiple of it. So a home divides only the part of the limit that corresponds to its
+ * hosts among all hosts. Each host uses one home at a time: a home counts it until its lease ends,
+ * and the host uses another home only after that.
  *
- * Hosts that are gone for good must not take their part with them: after a while it comes back to
- * the home that more than half of all hosts ask. A smaller group that was cut off for so long may
- * use its own part besides, so over all homes it is then less than one and a half times the limit.
- * Pure.
+ * The parts of hosts that have ended for good must not be lost. After some time they are added to
+ * the home that more than half of all hosts use. A smaller group that was isolated for that time
+ * may still use its own part, so all homes together then divide less than one and a half times the
+ * limit. This module does no I/O.
  */
 enum {
-	LIM_LEASE_US = 3000000, /* for which a host is counted after what it last heard of the home
-				 */
-	LIM_GONE_US = 8000000	/* after which the part of a host that is missing comes back */
+	/*
+	 * Duration of a lease in microseconds. It begins when the home sent the newest message that
+	 * the host has received.
+	 */
+	LIM_LEASE_US = 3000000,
+	/* Time in microseconds after which the part of a host without a lease is reclaimed. */
+	LIM_RECLAIM_US = 8000000
 };
 
 struct lim_members {
-	GHashTable *hosts; /* name -> struct lim_member, those that are listed */
-	bool listed;	   /* the hosts are known */
+	/* Maps the name of each listed or leased host to its struct lim_member. */
+	GHashTable *hosts;
+	/* Whether the list of hosts is known. */
+	bool listed;
 };
 
 void lim_members_init(struct lim_members *members);
 void lim_members_finish(struct lim_members *members);
 
-/* The hosts of the system; names: char *. */
+/* Sets the list of all hosts. names is an array of char *. */
 void lim_members_list(struct lim_members *members, const GPtrArray *names, int64_t now_us);
 
-/* The host asks this home, and has heard what it sent at heard_us of this home's clock. */
+/*
+ * Renews the lease of a host that requested permits. heard_us is the time by the clock of this
+ * home at which it sent the newest message that the host has received.
+ */
 void lim_members_heard(struct lim_members *members, const char *name, int64_t heard_us);
 
+/* Ends the lease of a host. */
 void lim_members_left(struct lim_members *members, const char *name);
 
-/* Hosts that ask this home now. */
+/* Returns the number of hosts that have a lease now. */
 unsigned int lim_members_count(const struct lim_members *members, int64_t now_us);
 
-/* The part of each limit that this home may divide, 0..1. */
+/* Returns the part of each limit that this home may divide, from 0 to 1. */
 double lim_members_part(const struct lim_members *members, int64_t now_us);
 
 G_END_DECLS
--- a/lim/part.h
+++ b/lim/part.h
@@ -8,47 +8,62 @@
 G_BEGIN_DECLS
 
 /*
- * The limit of one endpoint as one host knows it, and the permits that the host has for it. The
- * limit is one number over all hosts, so no host sends there without a permit; home.h says who
- * gives them. Pure. Times go on while the host is suspended.
+ * The limit of one endpoint as known on one host, and the permits that this host holds for it. The
+ * limit applies to all hosts together, so no host sends requests to the endpoint without a permit;
+ * lim/home.h describes how permits are granted. This module does no I/O. Its clock must continue
+ * while the host is suspended.
  */
+
+/* Statement of an endpoint about its limit. */
 struct lim_news {
+	/* Whether the endpoint states a limit; false if the limit was lifted. */
 	bool named;
-	double rate;	 /* requests a second; of a limit that is lifted the last one */
-	int64_t said_us; /* when the endpoint said so */
+	/* Limit in requests per second; after the limit was lifted, its last value. */
+	double rate;
+	/* Time of the statement in microseconds; 0 if there is none. */
+	int64_t said_us;
 };
 
 struct lim_part {
+	/* Newest statement of the endpoint. */
 	struct lim_news news;
+	/* Number of permits that this host holds. */
 	int permits;
-	int64_t oldest_us; /* when the oldest of them came */
-	int64_t until_us;  /* after which they are void */
-	int wanted;	   /* requests that would go there, not yet told */
-	int returned;	   /* permits that became void unused, not yet told */
+	/* Time at which the oldest of these permits was received, in microseconds. */
+	int64_t oldest_received_us;
+	/* Time at which these permits expire, in microseconds. */
+	int64_t expires_us;
+	/* Number of requests for this endpoint that were not reported to the home yet. */
+	int wanted;
+	/* Number of expired permits that were not returned to the home yet. */
+	int returned;
 };
 
-/* Takes what the endpoint said. Returns whether it is newer and another thing than was known. */
+/*
+ * Records a statement of the endpoint if it is newer than the known one. Returns whether it changes
+ * the limit.
+ */
 bool lim_part_hear(struct lim_part *part, const struct lim_news *news);
 
 /*
- * Whether a request needs a permit. Also for a while after the limit was lifted: all hosts would
- * find the endpoint idle, and send to it at once.
+ * Returns whether requests to the endpoint need a permit. They do for some time after the limit was
+ * lifted, because otherwise all hosts would send to the idle endpoint at the same time.
  */
 bool lim_part_binds(const struct lim_part *part, int64_t now_us);
 
-/* Whether a request may be sent to the endpoint now. */
+/* Returns whether a request may be sent to the endpoint now. */
 bool lim_part_is_open(struct lim_part *part, int64_t now_us);
 
-/* A request is sent there. */
+/* Uses a permit, if there is one, for a request that is sent to the endpoint. */
 void lim_part_take(struct lim_part *part, int64_t now_us);
 
-/* So many permits came, in answer to an ask that was sent at asked_us. */
+/* Adds permits that answer a request for permits sent at asked_us. */
 void lim_part_grant(struct lim_part *part, int permits, int64_t asked_us, int64_t now_us);
 
-/* The requests a second that the news allow now; 0 or less is never returned. */
+/* Returns the requests per second that the statement allows now; always greater than 0. */
 double lim_rate(const struct lim_news *news, int64_t now_us);
 
-/* Whether the news bind anybody. */
+/* Returns whether the statement requires permits now. */
 bool lim_binds(const struct lim_news *news, int64_t now_us);
 
 G_END_DECLS
--- a/lim/turn.h
+++ b/lim/turn.h
@@ -7,16 +7,18 @@
 G_BEGIN_DECLS
 
 /*
- * When callers that are refused for limits should come back: each is told a turn of its own, as far
- * apart as the limits allow, instead of all the same moment. Pure.
+ * Retry delays for callers that are refused because of limits. Each caller gets a separate time,
+ * spaced at the rate of the limits, so that callers don't all retry at once. This module does no
+ * I/O.
  */
 struct lim_turn {
-	int64_t next_us; /* of the next caller */
+	/* Retry time that was last assigned to a caller, in microseconds. */
+	int64_t next_us;
 };
 
 /*
- * How long to wait; rate: requests a second that the limits leave to this host, most_us: longer
- * callers do not wait.
+ * Returns the retry delay of the next caller in microseconds. rate is the number of requests per
+ * second that the limits allow this host, most_us the longest delay that the caller obeys.
  */
 int64_t lim_turn_wait_us(struct lim_turn *turn, double rate, int64_t most_us, int64_t now_us);
 
