--- a/adm/adm_test.cc
+++ b/adm/adm_test.cc
@@ -65,8 +65,7 @@
 		for (capacity_ += RATE / 1000; capacity_ >= 1 && !queue_.empty(); capacity_--) {
 			auto r = queue_.front();
 			queue_.pop_front();
-			/* Engines notice a disconnected caller late, so its request takes its turn.
-			 */
+			/* Engines notice a disconnection late, so the request uses capacity. */
 			adm_on_begun(&adm_, &LIMITS, now_ - r.at, now_);
 			if (now_ - r.at > 2000 * MS)
 				continue;
--- a/bud/bud.h
+++ b/bud/bud.h
@@ -59,8 +59,7 @@
 /* Counts the first attempt of a request. */
 void bud_on_request(struct bud *bud, int64_t now_us);
 
-/* Returns the requests per second over the window, or since the first request if that is shorter.
- */
+/* Returns the requests per second over the window or, if shorter, since the first request. */
 double bud_rate(struct bud *bud, int64_t now_us);
 
 /* Returns the number of retries that may be sent now. */
--- a/fwd/fwd_test.cc
+++ b/fwd/fwd_test.cc
@@ -595,8 +595,7 @@
 	started_ = false;
 }
 
-/* A request waits briefly for an endpoint below its limit, unless too many requests wait already.
- */
+/* A request waits briefly for a permit, unless too many requests wait already. */
 TEST_F(FwdTest, ARequestWithoutRoomForItWaitsOrIsRefusedAtOnce)
 {
 	const struct {
--- a/lim/home.c
+++ b/lim/home.c
@@ -64,10 +64,10 @@
 	home->updated_us = now_us;
 }
 
-void lim_home_set(struct lim_home *home, const struct lim_news *news, int64_t now_us)
+void lim_home_set(struct lim_home *home, const struct lim_news *notice, int64_t now_us)
 {
-	home->news = *news;
-	home->saved = MIN(home->saved, lim_home_saved_max(lim_rate(news, now_us)));
+	home->news = *notice;
+	home->saved = MIN(home->saved, lim_home_saved_max(lim_rate(notice, now_us)));
 }
 
 static double lim_demand_now(const struct lim_demand *demand, int64_t now_us)
--- a/lim/home.h
+++ b/lim/home.h
@@ -31,7 +31,7 @@
 void lim_home_finish(struct lim_home *home);
 
 /* Changes the limit. Saved permits in excess of the new limit's maximum are dropped. */
-void lim_home_set(struct lim_home *home, const struct lim_news *news, int64_t now_us);
+void lim_home_set(struct lim_home *home, const struct lim_news *notice, int64_t now_us);
 
 /*
  * Records the demand of a host. wanted is the number of requests that it would have sent to the
--- a/lim/lim_sim_test.cc
+++ b/lim/lim_sim_test.cc
@@ -153,7 +153,7 @@
 	{
 		if (!scenario_.churn || now_ % SECOND != 0)
 			return;
-		/* Host 0 is the home; the loss of the home is not covered by this test. */
+		/* Host 0 is the home; its loss is covered by another test. */
 		int i = 1 + (int)(rnd_unit(&seed_) * (scenario_.hosts - 1));
 		At(i).down_until = now_ + 2 * SECOND;
 		At(i).part.permits = At(i).part.returned = At(i).part.wanted = 0;
@@ -332,7 +332,7 @@
 	for (int method = PERMITS; method <= DEMAND_PARTS; method++) {
 		results[method] = Simulation((Method)method, scenario, 7).Run();
 		printf("%3d hosts, %5.1f/s, callers %d, churn %d: %-13s used %.2f, most in 4 s %d "
-		       "(limit %.1f, users bear %.0f)\n",
+		       "(limit %.1f, tolerated %.0f)\n",
 		       scenario.hosts, scenario.limit, scenario.callers, scenario.churn,
 		       methods[method], results[method].used, results[method].most,
 		       scenario.limit * 4, scenario.limit * 6 + 5);
--- a/lim/lim_test.cc
+++ b/lim/lim_test.cc
@@ -325,7 +325,7 @@
 	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now));
 	for (int i = 0; i < 5; i++)
 		lim_fair_took(&fair, "flood", now);
-	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now)) << "no other account needs one";
+	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now)) << "no one else needs one";
 	lim_fair_lacked(&fair, "small", now);
 	EXPECT_FALSE(lim_fair_may_take(&fair, "flood", now));
 	EXPECT_TRUE(lim_fair_may_take(&fair, "small", now));
--- a/lim/part.c
+++ b/lim/part.c
@@ -30,73 +30,74 @@
 /* Lowest rate from which a lifted limit grows, in requests per second. */
 static const double lim_lifted_rate_min = 1;
 
-bool lim_part_hear(struct lim_part *part, const struct lim_news *news)
+bool lim_part_hear(struct lim_part *held, const struct lim_news *notice)
 {
-	const struct lim_news before = part->news;
+	const struct lim_news previous = held->news;
 
-	if (news->said_us <= before.said_us)
+	if (notice->said_us <= previous.said_us)
 		return false;
-	if (!news->named && !before.named)
+	if (!notice->named && !previous.named)
 		return false;
-	part->news = *news;
+	held->news = *notice;
 	/* A lifted limit grows from its last rate; a limit that is stated again replaces it. */
-	if (!news->named)
-		part->news.rate = before.rate;
-	return news->named != before.named || (news->named && news->rate != before.rate);
+	if (!notice->named)
+		held->news.rate = previous.rate;
+	return notice->named != previous.named || (notice->named && notice->rate != previous.rate);
 }
 
-bool lim_binds(const struct lim_news *news, int64_t now_us)
+bool lim_binds(const struct lim_news *notice, int64_t now_us)
 {
-	return news->named ||
-	       (news->said_us > 0 && now_us - news->said_us < lim_lifted_duration_us);
+	return notice->named ||
+	       (notice->said_us > 0 && now_us - notice->said_us < lim_lifted_duration_us);
 }
 
-double lim_rate(const struct lim_news *news, int64_t now_us)
+double lim_rate(const struct lim_news *notice, int64_t now_us)
 {
-	double doublings = (double)MAX(now_us - news->said_us, 0) / (double)lim_lifted_doubling_us;
+	double doublings =
+		(double)MAX(now_us - notice->said_us, 0) / (double)lim_lifted_doubling_us;
 
-	if (news->named)
-		return news->rate > 0 ? news->rate : lim_probe_rate;
-	return MAX(news->rate, lim_lifted_rate_min) * exp2(doublings);
+	if (notice->named)
+		return notice->rate > 0 ? notice->rate : lim_probe_rate;
+	return MAX(notice->rate, lim_lifted_rate_min) * exp2(doublings);
 }
 
-bool lim_part_binds(const struct lim_part *part, int64_t now_us)
+bool lim_part_binds(const struct lim_part *held, int64_t now_us)
 {
-	return lim_binds(&part->news, now_us);
+	return lim_binds(&held->news, now_us);
 }
 
 /* Drops expired permits and counts them as permits to return. */
-static void lim_permits_expire(struct lim_part *part, int64_t now_us)
+static void lim_permits_expire(struct lim_part *held, int64_t now_us)
 {
-	if (part->permits == 0 || now_us < part->expires_us)
+	if (held->permits == 0 || now_us < held->expires_us)
 		return;
-	part->returned += part->permits;
-	part->permits = 0;
+	held->returned += held->permits;
+	held->permits = 0;
 }
 
-bool lim_part_is_open(struct lim_part *part, int64_t now_us)
+bool lim_part_is_open(struct lim_part *held, int64_t now_us)
 {
-	lim_permits_expire(part, now_us);
-	return !lim_part_binds(part, now_us) || part->permits > 0;
+	lim_permits_expire(held, now_us);
+	return !lim_part_binds(held, now_us) || held->permits > 0;
 }
 
-void lim_part_take(struct lim_part *part, int64_t now_us)
+void lim_part_take(struct lim_part *held, int64_t now_us)
 {
-	lim_permits_expire(part, now_us);
-	if (part->permits > 0)
-		part->permits--;
+	lim_permits_expire(held, now_us);
+	if (held->permits > 0)
+		held->permits--;
 }
 
-void lim_part_grant(struct lim_part *part, int permits, int64_t asked_us, int64_t now_us)
+void lim_part_grant(struct lim_part *held, int permits, int64_t asked_us, int64_t now_us)
 {
-	lim_permits_expire(part, now_us);
+	lim_permits_expire(held, now_us);
 	if (now_us - asked_us > lim_grant_age_max_us) {
-		part->returned += permits;
+		held->returned += permits;
 		return;
 	}
-	if (part->permits == 0)
-		part->oldest_received_us = now_us;
-	part->permits += permits;
-	part->expires_us =
-		MIN(now_us, part->oldest_received_us + lim_permit_valid_us) + lim_permit_valid_us;
+	if (held->permits == 0)
+		held->oldest_received_us = now_us;
+	held->permits += permits;
+	held->expires_us =
+		MIN(now_us, held->oldest_received_us + lim_permit_valid_us) + lim_permit_valid_us;
 }
--- a/lim/part.h
+++ b/lim/part.h
@@ -43,28 +43,28 @@
  * Records a statement of the endpoint if it is newer than the known one. Returns whether it changes
  * the limit.
  */
-bool lim_part_hear(struct lim_part *part, const struct lim_news *news);
+bool lim_part_hear(struct lim_part *held, const struct lim_news *notice);
 
 /*
  * Returns whether requests to the endpoint need a permit. They do for some time after the limit was
  * lifted, because otherwise all hosts would send to the idle endpoint at the same time.
  */
-bool lim_part_binds(const struct lim_part *part, int64_t now_us);
+bool lim_part_binds(const struct lim_part *held, int64_t now_us);
 
 /* Returns whether a request may be sent to the endpoint now. */
-bool lim_part_is_open(struct lim_part *part, int64_t now_us);
+bool lim_part_is_open(struct lim_part *held, int64_t now_us);
 
 /* Uses a permit, if there is one, for a request that is sent to the endpoint. */
-void lim_part_take(struct lim_part *part, int64_t now_us);
+void lim_part_take(struct lim_part *held, int64_t now_us);
 
 /* Adds permits that answer a request for permits sent at asked_us. */
-void lim_part_grant(struct lim_part *part, int permits, int64_t asked_us, int64_t now_us);
+void lim_part_grant(struct lim_part *held, int permits, int64_t asked_us, int64_t now_us);
 
 /* Returns the requests per second that the statement allows now; always greater than 0. */
-double lim_rate(const struct lim_news *news, int64_t now_us);
+double lim_rate(const struct lim_news *notice, int64_t now_us);
 
 /* Returns whether the statement requires permits now. */
-bool lim_binds(const struct lim_news *news, int64_t now_us);
+bool lim_binds(const struct lim_news *notice, int64_t now_us);
 
 G_END_DECLS
 
--- a/lim/turn.c
+++ b/lim/turn.c
@@ -3,15 +3,15 @@
 /* Shortest retry delay in microseconds; an earlier retry would be refused for the same reason. */
 static const int64_t lim_retry_delay_min_us = 100000;
 
-int64_t lim_turn_wait_us(struct lim_turn *turn, double rate, int64_t most_us, int64_t now_us)
+int64_t lim_turn_wait_us(struct lim_turn *retry, double rate, int64_t most_us, int64_t now_us)
 {
 	double interval_us = rate > 0 ? 1e6 / rate : (double)most_us;
 	int64_t wait_us;
 
-	turn->next_us = MAX(turn->next_us, now_us) + (int64_t)MIN(interval_us, (double)most_us);
+	retry->next_us = MAX(retry->next_us, now_us) + (int64_t)MIN(interval_us, (double)most_us);
 	/* Retry times beyond most_us are not assigned; later callers receive them. */
-	if (turn->next_us - now_us > most_us)
-		turn->next_us = now_us + most_us;
-	wait_us = turn->next_us - now_us;
+	if (retry->next_us - now_us > most_us)
+		retry->next_us = now_us + most_us;
+	wait_us = retry->next_us - now_us;
 	return MAX(wait_us, MIN(lim_retry_delay_min_us, most_us));
 }
--- a/lim/turn.h
+++ b/lim/turn.h
@@ -20,7 +20,7 @@
  * Returns the retry delay of the next caller in microseconds. rate is the number of requests per
  * second that the limits allow this host, most_us the longest delay that the caller obeys.
  */
-int64_t lim_turn_wait_us(struct lim_turn *turn, double rate, int64_t most_us, int64_t now_us);
+int64_t lim_turn_wait_us(struct lim_turn *retry, double rate, int64_t most_us, int64_t now_us);
 
 G_END_DECLS
 
