--- a/prog/entry.c
+++ b/prog/entry.c
@@ -24,7 +24,7 @@
 	{"entry", "pending_max", SET_INT, ENTRY_OFF(pending_max), "262144", 1024, 1 << 30},
 	{"entry", "deadline_ms", SET_INT, ENTRY_OFF(deadline_ms), "120000", 1, 86400000},
 	{"entry", "drain_ms", SET_INT, ENTRY_OFF(drain_ms), "1000", 0, 600000},
-	{"entry", "keep_s", SET_INT, ENTRY_OFF(keep_s), "120", 1, 86400},
+	{"entry", "keep_s", SET_INT, ENTRY_OFF(finished_keep_s), "120", 1, 86400},
 	{"peers", "heartbeat_ms", SET_INT, ENTRY_OFF(heartbeat_ms), "300", 10, 600000},
 	{"peers", "silent_ms", SET_INT, ENTRY_OFF(silent_ms), "900", 10, 600000},
 	{"peers", "idle_ms", SET_INT, ENTRY_OFF(idle_ms), "5000", 10, 600000},
@@ -38,7 +38,7 @@
 	{"attempts", "gap_ceiling_ms", SET_INT, ENTRY_OFF(gap_ceiling_ms), "3000", 1, 600000},
 	{"attempts", "backoff_ms", SET_INT, ENTRY_OFF(backoff_ms), "100", 1, 600000},
 	{"attempts", "resume_ms", SET_INT, ENTRY_OFF(resume_ms), "10000", 1, 600000},
-	{"attempts", "most", SET_INT, ENTRY_OFF(attempts), "4", 1, 100},
+	{"attempts", "most", SET_INT, ENTRY_OFF(attempts_max), "4", 1, 100},
 	{"attempts", "retry_burst", SET_INT, ENTRY_OFF(retry_burst), "200", 0, 1000000},
 	{"attempts", "retry_percent", SET_INT, ENTRY_OFF(retry_percent), "20", 0, 100},
 };
@@ -49,16 +49,16 @@
 
 	e->cpu_us = loop_cpu_us();
 	entry_broker_tick(e, now_us);
-	entry_view_in_force(e);
-	loop_after(&e->loop, &e->tick, ENTRY_TICK_US, entry_on_tick, e);
+	entry_view_report_in_force(e);
+	loop_after(&e->loop, &e->tick_timer, ENTRY_TICK_US, entry_on_tick, e);
 }
 
 static void entry_on_drain_timer(void *ctx, int64_t now_us)
 {
 	struct entry *e = ctx;
-	bool lingered = now_us - e->stop_us >= e->settings.drain_ms * USEC_PER_MSEC;
+	bool drain_over = now_us - e->stop_us >= e->settings.drain_ms * USEC_PER_MSEC;
 
-	if (lingered && ck_pr_load_uint(&e->open_calls) == 0 && hd_open(e->hd) == 0) {
+	if (drain_over && ck_pr_load_uint(&e->open_calls) == 0 && hd_open(e->hd) == 0) {
 		loop_stop(&e->loop);
 		return;
 	}
@@ -118,7 +118,7 @@
 		return PROG_EXIT_FAILED;
 	prog_on_stop(&e->loop, entry_stop, e);
 	e->started_us = tmr_now();
-	e->boot =
+	e->boot_id =
 		g_strdup_printf("%s-%" G_GINT64_MODIFIER "x", e->settings.name, g_get_real_time());
 	entry_broker_start(e);
 	if (entry_traffic_start(e) < 0)
@@ -126,7 +126,7 @@
 	entry_view_start(e);
 	if (entry_listen(e) < 0)
 		return PROG_EXIT_FAILED;
-	loop_after(&e->loop, &e->tick, ENTRY_TICK_US, entry_on_tick, e);
+	loop_after(&e->loop, &e->tick_timer, ENTRY_TICK_US, entry_on_tick, e);
 	log_msg(LOG_INFO, "started host=%s listen=%s", e->settings.name, e->settings.listen);
 	loop_run(&e->loop);
 	log_msg(LOG_INFO, "stopped host=%s", e->settings.name);
--- a/prog/entry.h
+++ b/prog/entry.h
@@ -33,7 +33,7 @@
 	int64_t pending_max;
 	int64_t deadline_ms;
 	int64_t drain_ms;
-	int64_t keep_s;
+	int64_t finished_keep_s;
 	int64_t heartbeat_ms;
 	int64_t silent_ms;
 	int64_t idle_ms;
@@ -47,7 +47,7 @@
 	int64_t gap_ceiling_ms;
 	int64_t backoff_ms;
 	int64_t resume_ms;
-	int64_t attempts;
+	int64_t attempts_max;
 	int64_t retry_burst;
 	int64_t retry_percent;
 };
@@ -62,7 +62,7 @@
 
 /* --- messages from the traffic thread to the control thread --- */
 
-struct entry_ask {
+struct entry_grant_request {
 	struct entry *entry;
 	uint64_t call_id;
 	unsigned int attempt;
@@ -74,7 +74,7 @@
 	char **exclude;
 };
 
-struct entry_ungrant {
+struct entry_grant_end {
 	struct entry *entry;
 	uint64_t call_id;
 	unsigned int attempt;
@@ -89,7 +89,7 @@
 	unsigned int attempt;
 	char *key;
 	char *id;
-	char *request;
+	char *run_id;
 	char *endpoints;
 	char *digest;
 	char *supersedes;
@@ -101,7 +101,7 @@
 	ENTRY_EVENT_GRANTED,
 	ENTRY_EVENT_REFUSED,
 	ENTRY_EVENT_CLAIM,
-	ENTRY_EVENT_BREAK,
+	ENTRY_EVENT_ATTEMPT_FAILED,
 	ENTRY_EVENT_VIEW,
 	ENTRY_EVENT_DRAIN
 };
@@ -114,10 +114,10 @@
 	GPtrArray *stages; /* struct entry_stage */
 	enum req_grant_refusal refusal;
 	int64_t retry_us;
-	enum req_break why;
+	enum req_break failure;
 	int verdict; /* enum once_verdict */
 	char *winner_id;
-	char *winner_request;
+	char *winner_run_id;
 	char *winner_entry;
 	char *winner_endpoints;
 	char *winner_digest;
@@ -133,7 +133,7 @@
 	struct entry *entry;
 	char *host;
 	struct frm_conn *conn;
-	unsigned int waiting; /* asks and claims without an answer */
+	unsigned int unanswered; /* asks and claims without an answer */
 };
 
 /* What the control thread knows of a pool. */
@@ -149,13 +149,13 @@
 };
 
 /* A request for a grant, waiting or granted. */
-struct entry_hold {
-	struct entry_ask *ask;
+struct entry_grant {
+	struct entry_grant_request *request;
 	uint64_t ask_id;
 	uint64_t call_key;
 	struct entry_pool *pool;
-	char *home;	   /* host, or NULL when decided here */
-	unsigned int rank; /* of that home */
+	char *home; /* host, or NULL when decided here */
+	unsigned int homes_tried;
 	unsigned int pools_tried;
 	bool granted;
 	uint64_t grant_id; /* at the home; 0 while a new home has not answered */
@@ -167,16 +167,16 @@
 	struct entry_claim *claim;
 	uint64_t ask_id;
 	char *home;
-	unsigned int rank;
+	unsigned int homes_tried;
 };
 
 struct entry_broker {
-	GHashTable *homes;   /* host -> struct entry_home */
-	GHashTable *pools;   /* name -> struct entry_pool */
-	GHashTable *holds;   /* ask_id -> struct entry_hold */
-	GHashTable *by_call; /* the same by call and attempt */
-	GHashTable *claims;  /* ask_id -> struct entry_pending_claim */
-	GHashTable *locals;  /* name -> struct pool: decided here when no home answers */
+	GHashTable *homes;	    /* host -> struct entry_home */
+	GHashTable *pools;	    /* name -> struct entry_pool */
+	GHashTable *grants;	    /* ask_id -> struct entry_grant */
+	GHashTable *grants_by_call; /* the same by call and attempt */
+	GHashTable *claims;	    /* ask_id -> struct entry_pending_claim */
+	GHashTable *local_pools;    /* name -> struct pool: decided here when no home answers */
 	uint64_t last_id;
 	uint64_t seed;
 	GRand *rand;
@@ -186,10 +186,10 @@
 	struct clog clog;
 	struct host_table hosts;
 	struct frm_conn *conn; /* where the configuration comes from */
-	bool from_own;	       /* it is the control daemon of this host */
+	bool from_own_host;    /* it is the control daemon of this host */
 	int failures;
-	struct tmr retry;
-	int64_t told; /* revision in force that the control daemon was told */
+	struct tmr retry_timer;
+	int64_t reported_revision; /* revision in force that the control daemon was told */
 };
 
 /* --- traffic thread --- */
@@ -202,20 +202,20 @@
 	struct conf_state *conf;
 	int64_t revision;
 	GPtrArray *hosts;
-	GHashTable *calls;  /* id -> struct entry_call */
-	GHashTable *claims; /* claim id -> struct entry_call, finished ones too */
-	GQueue *kept;	    /* finished calls that others may still ask for */
-	GHashTable *joins;  /* host -> struct entry_join_conn */
-	GHashTable *ests;   /* pool or model -> struct entry_est */
+	GHashTable *calls;	       /* id -> struct entry_call */
+	GHashTable *claims;	       /* claim id -> struct entry_call, finished ones too */
+	GQueue *finished_calls;	       /* finished calls that others may still ask for */
+	GHashTable *join_conns;	       /* host -> struct entry_join_conn */
+	GHashTable *estimates_by_name; /* pool or model -> struct entry_estimates */
 	uint64_t last_id;
 	struct req_budget budget;
 	struct req_settings req_settings;
-	struct tmr sweep;
+	struct tmr sweep_timer;
 	bool draining;
 	int64_t cpu_us;
 };
 
-struct entry_est {
+struct entry_estimates {
 	struct req_est first;
 	struct req_est gap;
 };
@@ -227,9 +227,9 @@
 	struct entry_broker broker;
 	struct entry_traffic traffic;
 	struct hd *hd;
-	struct tmr tick;
+	struct tmr tick_timer;
 	struct tmr drain_timer;
-	char *boot; /* makes request ids unique over restarts */
+	char *boot_id; /* makes request ids unique over restarts */
 	bool stopping;
 	int64_t stop_us;
 	unsigned int open_calls; /* atomic */
@@ -242,19 +242,20 @@
 /* entry_view.c */
 void entry_view_start(struct entry *e);
 int entry_view_on_hosts(struct entry *e, struct frm_conn *conn, const uint8_t *body, size_t len);
-void entry_view_in_force(struct entry *e);
+void entry_view_report_in_force(struct entry *e);
 
 /* entry_broker.c */
 void entry_broker_start(struct entry *e);
 void entry_broker_on_conf(struct entry *e);
 void entry_broker_on_hosts(struct entry *e);
 void entry_broker_tick(struct entry *e, int64_t now_us);
-void entry_post_ask(void *ask);		 /* in the control thread: struct entry_ask */
-void entry_post_withdraw(void *ungrant); /* struct entry_ungrant */
-void entry_post_ungrant(void *ungrant);
+void entry_post_grant_request(
+	void *request);		     /* in the control thread: struct entry_grant_request */
+void entry_post_withdraw(void *end); /* struct entry_grant_end */
+void entry_post_grant_end(void *end);
 void entry_post_claim(void *claim);
 void entry_post_release(void *claim);
-struct frm_limits entry_limits(const struct entry *e);
+struct frm_limits entry_conn_limits(const struct entry *e);
 struct entry_event *entry_event_new(enum entry_event_kind kind, uint64_t call_id,
 				    unsigned int attempt);
 void entry_send_event(struct entry *e, struct entry_event *event);
--- a/prog/entry_act.c
+++ b/prog/entry_act.c
@@ -53,34 +53,34 @@
 {
 	struct entry_call *call = ctx;
 	struct entry *e = call->entry;
-	struct entry_ask *ask;
+	struct entry_grant_request *request;
 
 	if (call->kind == ENTRY_SERVICE) {
 		entry_send_event(e, entry_event_new(ENTRY_EVENT_GRANTED, call->id, attempt));
 		return;
 	}
-	ask = g_new0(struct entry_ask, 1);
-	ask->entry = e;
-	ask->call_id = call->id;
-	ask->attempt = attempt;
-	ask->account = g_strdup(call->account);
-	ask->model = g_strdup(call->model);
-	ask->version = g_strdup(call->version);
-	ask->tokens = call->max_tokens - call->tokens->len;
-	ask->deadline_us = call->deadline_us;
-	ask->exclude = g_strdupv((char **)exclude);
-	loop_post(&e->loop, entry_post_ask, ask);
+	request = g_new0(struct entry_grant_request, 1);
+	request->entry = e;
+	request->call_id = call->id;
+	request->attempt = attempt;
+	request->account = g_strdup(call->account);
+	request->model = g_strdup(call->model);
+	request->version = g_strdup(call->version);
+	request->tokens = call->max_tokens - call->tokens->len;
+	request->deadline_us = call->deadline_us;
+	request->exclude = g_strdupv((char **)exclude);
+	loop_post(&e->loop, entry_post_grant_request, request);
 }
 
-static struct entry_ungrant *entry_ungrant_new(struct entry_call *call, unsigned int attempt)
+static struct entry_grant_end *entry_grant_end_new(struct entry_call *call, unsigned int attempt)
 {
-	struct entry_ungrant *ungrant = g_new0(struct entry_ungrant, 1);
+	struct entry_grant_end *grant_end = g_new0(struct entry_grant_end, 1);
 
-	ungrant->entry = call->entry;
-	ungrant->call_id = call->id;
-	ungrant->attempt = attempt;
-	ungrant->tokens = call->tokens->len - call->attempt_first;
-	return ungrant;
+	grant_end->entry = call->entry;
+	grant_end->call_id = call->id;
+	grant_end->attempt = attempt;
+	grant_end->tokens = call->tokens->len - call->attempt_first_token;
+	return grant_end;
 }
 
 static void entry_act_withdraw(void *ctx, unsigned int attempt)
@@ -89,21 +89,21 @@
 
 	if (call->kind != ENTRY_SERVICE)
 		loop_post(&call->entry->loop, entry_post_withdraw,
-			  entry_ungrant_new(call, attempt));
+			  entry_grant_end_new(call, attempt));
 }
 
 static void entry_act_ungrant(void *ctx, unsigned int attempt, enum req_grant_end end,
 			      const char *bad)
 {
 	struct entry_call *call = ctx;
-	struct entry_ungrant *ungrant;
+	struct entry_grant_end *grant_end;
 
 	if (call->kind == ENTRY_SERVICE)
 		return;
-	ungrant = entry_ungrant_new(call, attempt);
-	ungrant->outcome = entry_outcomes[end];
-	ungrant->bad = g_strdup(bad);
-	loop_post(&call->entry->loop, entry_post_ungrant, ungrant);
+	grant_end = entry_grant_end_new(call, attempt);
+	grant_end->outcome = entry_outcomes[end];
+	grant_end->bad = g_strdup(bad);
+	loop_post(&call->entry->loop, entry_post_grant_end, grant_end);
 }
 
 static char *entry_endpoint_names(const struct entry_call *call)
@@ -128,7 +128,7 @@
 	claim->attempt = attempt;
 	claim->key = g_strdup_printf("%s/%s", call->account, call->key);
 	claim->id = g_strdup(id);
-	claim->request = g_strdup_printf("%s-%u", call->request, attempt);
+	claim->run_id = g_strdup_printf("%s-%u", call->request, attempt);
 	claim->endpoints = entry_endpoint_names(call);
 	claim->digest = g_strdup(call->digest);
 	claim->supersedes = g_strdup("");
@@ -136,7 +136,7 @@
 }
 
 /* The claim that a new one of this call replaces: another's that was never used, or its own. */
-static const char *entry_superseded(const struct entry_call *call)
+static const char *entry_superseded_claim(const struct entry_call *call)
 {
 	if (call->winner_id)
 		return call->winner_id;
@@ -169,7 +169,7 @@
 	claim = entry_claim_new(call, attempt, id);
 	if (supersede) {
 		g_free(claim->supersedes);
-		claim->supersedes = g_strdup(entry_superseded(call));
+		claim->supersedes = g_strdup(entry_superseded_claim(call));
 	}
 	loop_post(&e->loop, entry_post_claim, claim);
 }
@@ -187,7 +187,7 @@
 {
 	struct entry_call *call = ctx;
 
-	call->attempt_first = delivered;
+	call->attempt_first_token = delivered;
 	entry_stream_dispatch(call, attempt, delivered);
 }
 
@@ -197,7 +197,7 @@
 
 	(void)attempt;
 	log_msg(LOG_INFO, "resume request=%s run=%s from=%" G_GUINT64_FORMAT, call->request,
-		call->run_handle ? call->run_handle : "", from);
+		call->run_id ? call->run_id : "", from);
 	entry_stream_resume(call, from);
 }
 
@@ -209,11 +209,11 @@
 
 static void entry_act_join(void *ctx)
 {
-	entry_join(ctx);
+	entry_join_request(ctx);
 }
 
 /* Histograms and counters of requests are kept for each client account and class. */
-static char *entry_labels(const struct entry_call *call)
+static char *entry_call_labels(const struct entry_call *call)
 {
 	return g_strdup_printf("account=\"%s\",class=\"%s\"", call->account,
 			       entry_class_names[call->kind]);
@@ -223,7 +223,7 @@
 {
 	struct entry_call *call = ctx;
 	int64_t now = tmr_now();
-	char *labels = entry_labels(call);
+	char *labels = entry_call_labels(call);
 
 	if (call->last_token_us == 0)
 		met_observe(met_histogram("bg_first_token_us", labels), now - call->began_us);
@@ -242,7 +242,7 @@
 
 	met_add(met_counter("bg_requests_total", labels), 1);
 	g_free(labels);
-	labels = entry_labels(call);
+	labels = entry_call_labels(call);
 	met_observe(met_histogram("bg_request_us", labels), tmr_now() - call->began_us);
 	met_add(met_counter("bg_tokens_total", labels), call->tokens->len);
 	g_free(labels);
@@ -266,8 +266,8 @@
 	entry_call_count(call, code);
 	tmr_cancel(&e->traffic.loop.tmr, &call->timer);
 	entry_answer_finish(call, code, retry_us);
-	entry_join_tell(call);
-	g_queue_push_tail(e->traffic.kept, call);
+	entry_join_answer_all(call);
+	g_queue_push_tail(e->traffic.finished_calls, call);
 	ck_pr_dec_uint(&e->open_calls);
 }
 
--- a/prog/entry_answer.c
+++ b/prog/entry_answer.c
@@ -78,8 +78,8 @@
 	g_free(route);
 }
 
-static json_t *entry_choice(const struct entry_call *call, const char *text, size_t len,
-			    const char *finish)
+static json_t *entry_answer_choice(const struct entry_call *call, const char *text, size_t len,
+				   const char *finish)
 {
 	json_t *choice = json_pack("{s:i, s:s?}", "index", 0, "finish_reason", finish);
 	json_t *content = json_stringn(text, len);
@@ -93,7 +93,8 @@
 	return choice;
 }
 
-static json_t *entry_object(const struct entry_call *call, const char *object, json_t *choice)
+static json_t *entry_answer_object(const struct entry_call *call, const char *object,
+				   json_t *choice)
 {
 	return json_pack("{s:s, s:s, s:I, s:s, s:[o]}", "id", call->request, "object", object,
 			 "created", (json_int_t)(g_get_real_time() / USEC_PER_SEC), "model",
@@ -101,7 +102,7 @@
 }
 
 /* One server-sent event. Returns false when the caller is gone or too slow. */
-static bool entry_event(struct entry_call *call, json_t *json)
+static bool entry_answer_event(struct entry_call *call, json_t *json)
 {
 	char *text = json_dumps(json, JSON_COMPACT);
 	char *line = g_strdup_printf("data: %s\n\n", text);
@@ -128,12 +129,13 @@
 		entry_set_route(call);
 		hd_begin(call->http, 200, "text/event-stream");
 	}
-	if (!entry_event(call, entry_object(call, entry_formats[call->kind].chunk_object,
-					    entry_choice(call, text, len, NULL))))
+	if (!entry_answer_event(call,
+				entry_answer_object(call, entry_formats[call->kind].chunk_object,
+						    entry_answer_choice(call, text, len, NULL))))
 		call->too_slow = true;
 }
 
-static json_t *entry_usage(const struct entry_call *call)
+static json_t *entry_answer_usage(const struct entry_call *call)
 {
 	return json_pack("{s:i, s:i, s:i}", "prompt_tokens", (int)strlen(call->prompt) / 4,
 			 "completion_tokens", (int)call->tokens->len, "attempts",
@@ -146,14 +148,14 @@
 	json_t *last;
 
 	if (code != REQ_OK) {
-		entry_event(call, entry_error_json(code, NULL));
+		entry_answer_event(call, entry_error_json(code, NULL));
 		hd_abort(call->http);
 		return;
 	}
-	last = entry_object(call, entry_formats[call->kind].chunk_object,
-			    entry_choice(call, "", 0, "length"));
-	json_object_set_new(last, "usage", entry_usage(call));
-	entry_event(call, last);
+	last = entry_answer_object(call, entry_formats[call->kind].chunk_object,
+				   entry_answer_choice(call, "", 0, "length"));
+	json_object_set_new(last, "usage", entry_answer_usage(call));
+	entry_answer_event(call, last);
 	hd_write(call->http, done, sizeof(done) - 1);
 	hd_end(call->http);
 }
@@ -170,9 +172,9 @@
 
 		g_string_append_len(text, part, (gssize)len);
 	}
-	json = entry_object(call, entry_formats[call->kind].object,
-			    entry_choice(call, text->str, text->len, "length"));
-	json_object_set_new(json, "usage", entry_usage(call));
+	json = entry_answer_object(call, entry_formats[call->kind].object,
+				   entry_answer_choice(call, text->str, text->len, "length"));
+	json_object_set_new(json, "usage", entry_answer_usage(call));
 	body = json_dumps(json, JSON_COMPACT);
 	entry_set_headers(call->http, call->request, req_ran_name(REQ_RAN_YES), 0);
 	entry_set_route(call);
@@ -194,7 +196,7 @@
 }
 
 /* An answer without a single token has not been begun; it still is a whole stream. */
-static void entry_begin_empty(struct entry_call *call)
+static void entry_begin_stream(struct entry_call *call)
 {
 	call->answer_begun = true;
 	entry_set_headers(call->http, call->request, req_ran_name(REQ_RAN_YES), 0);
@@ -206,7 +208,7 @@
 	if (!call->http)
 		return;
 	if (code == REQ_OK && call->stream && !call->answer_begun && call->kind != ENTRY_SERVICE)
-		entry_begin_empty(call);
+		entry_begin_stream(call);
 	if (call->answer_begun) {
 		entry_finish_stream(call, code);
 	} else if (code != REQ_OK) {
--- a/prog/entry_call.c
+++ b/prog/entry_call.c
@@ -15,8 +15,8 @@
 	ENTRY_SWEEP_US = 200000
 };
 
-static void entry_call_check(struct entry_call *call);
-static void entry_call_begin(struct entry_call *call);
+static void entry_call_authorize(struct entry_call *call);
+static void entry_call_start(struct entry_call *call);
 
 void entry_call_free(struct entry_call *call)
 {
@@ -28,7 +28,7 @@
 		hd_unref(call->http);
 	if (call->stages)
 		g_ptr_array_free(call->stages, TRUE);
-	g_string_free(call->sse, TRUE);
+	g_string_free(call->sse_buffer, TRUE);
 	g_ptr_array_free(call->tokens, TRUE);
 	g_ptr_array_free(call->claim_ids, TRUE);
 	g_ptr_array_free(call->joiners, TRUE);
@@ -41,12 +41,12 @@
 	g_free(call->digest);
 	g_free(call->service);
 	g_free(call->method);
-	g_free(call->rest);
+	g_free(call->service_path);
 	g_free(call->body);
 	g_free(call->content_type);
 	g_free(call->service_type);
-	g_free(call->fault_at);
-	g_free(call->run_handle);
+	g_free(call->faulty_endpoint);
+	g_free(call->run_id);
 	g_free(call->run_address);
 	g_free(call->winner_id);
 	g_free(call->winner_entry);
@@ -61,7 +61,7 @@
 	call->id = ++e->traffic.last_id;
 	ck_pr_inc_uint(&e->open_calls);
 	g_hash_table_insert(e->traffic.calls, &call->id, call);
-	entry_call_check(call);
+	entry_call_authorize(call);
 }
 
 /* Ends a call that never became a request. */
@@ -115,7 +115,7 @@
 	return model != NULL;
 }
 
-static void entry_call_check(struct entry_call *call)
+static void entry_call_authorize(struct entry_call *call)
 {
 	struct entry *e = call->entry;
 	const struct conf_obj *account;
@@ -151,31 +151,31 @@
 		entry_call_refuse(call, REQ_EARGUMENT, "max_tokens");
 		return;
 	}
-	entry_call_begin(call);
+	entry_call_start(call);
 }
 
-struct entry_est *entry_call_est(struct entry_call *call)
+struct entry_estimates *entry_call_estimates(struct entry_call *call)
 {
-	GHashTable *ests = call->entry->traffic.ests;
+	GHashTable *estimates_by_name = call->entry->traffic.estimates_by_name;
 	const char *name = call->kind == ENTRY_SERVICE ? call->service : call->model;
-	struct entry_est *est = g_hash_table_lookup(ests, name);
+	struct entry_estimates *estimates = g_hash_table_lookup(estimates_by_name, name);
 
-	if (!est) {
-		est = g_new0(struct entry_est, 1);
-		g_hash_table_insert(ests, g_strdup(name), est);
+	if (!estimates) {
+		estimates = g_new0(struct entry_estimates, 1);
+		g_hash_table_insert(estimates_by_name, g_strdup(name), estimates);
 	}
-	return est;
+	return estimates;
 }
 
-static void entry_call_begin(struct entry_call *call)
+static void entry_call_start(struct entry_call *call)
 {
 	struct entry *e = call->entry;
-	struct entry_est *est = entry_call_est(call);
+	struct entry_estimates *estimates = entry_call_estimates(call);
 	struct req_params params = {
 		.settings = &e->traffic.req_settings,
 		.budget = &e->traffic.budget,
-		.first_est = &est->first,
-		.gap_est = &est->gap,
+		.first_est = &estimates->first,
+		.gap_est = &estimates->gap,
 		.idempotent = call->idempotent,
 		.service = call->kind == ENTRY_SERVICE,
 		.deadline_us = call->deadline_us,
@@ -196,14 +196,14 @@
 		g_ptr_array_free(event->hosts, TRUE);
 	conf_state_unref(event->conf);
 	g_free(event->winner_id);
-	g_free(event->winner_request);
+	g_free(event->winner_run_id);
 	g_free(event->winner_entry);
 	g_free(event->winner_endpoints);
 	g_free(event->winner_digest);
 	g_free(event);
 }
 
-static void entry_event_granted(struct entry_call *call, struct entry_event *event)
+static void entry_call_on_granted(struct entry_call *call, struct entry_event *event)
 {
 	guint n = event->stages ? event->stages->len : 0;
 	char **names = g_new0(char *, n + 1);
@@ -229,7 +229,7 @@
 	return obj ? obj->text[ENDPOINT_ADDRESS] : NULL;
 }
 
-static void entry_event_claim(struct entry_call *call, struct entry_event *event)
+static void entry_call_on_claim(struct entry_call *call, struct entry_event *event)
 {
 	enum req_claim_verdict verdict = REQ_CLAIM_OUT;
 
@@ -240,18 +240,18 @@
 									  : REQ_CLAIM_REUSED;
 		g_free(call->winner_id);
 		g_free(call->winner_entry);
-		g_free(call->run_handle);
+		g_free(call->run_id);
 		g_free(call->run_address);
 		call->winner_id = g_strdup(event->winner_id);
 		call->winner_entry = g_strdup(event->winner_entry);
-		call->run_handle = g_strdup(event->winner_request);
+		call->run_id = g_strdup(event->winner_run_id);
 		call->run_address =
 			g_strdup(entry_stage_address(call->entry, event->winner_endpoints));
 	}
 	req_on_claim(&call->req, event->attempt, verdict, tmr_now());
 }
 
-static void entry_event_view(struct entry *e, struct entry_event *event)
+static void entry_traffic_set_view(struct entry *e, struct entry_event *event)
 {
 	conf_state_unref(e->traffic.conf);
 	e->traffic.conf = event->conf;
@@ -270,24 +270,24 @@
 	struct entry_call *call = g_hash_table_lookup(e->traffic.calls, &event->call_id);
 
 	if (event->kind == ENTRY_EVENT_VIEW) {
-		entry_event_view(e, event);
+		entry_traffic_set_view(e, event);
 	} else if (event->kind == ENTRY_EVENT_DRAIN) {
 		e->traffic.draining = true;
 	} else if (call && !call->finished) {
 		if (event->kind == ENTRY_EVENT_GRANTED)
-			entry_event_granted(call, event);
+			entry_call_on_granted(call, event);
 		else if (event->kind == ENTRY_EVENT_REFUSED)
 			req_on_refused(&call->req, event->attempt, event->refusal, event->retry_us,
 				       tmr_now());
-		else if (event->kind == ENTRY_EVENT_BREAK)
-			req_on_break(&call->req, event->attempt, event->why, NULL, tmr_now());
+		else if (event->kind == ENTRY_EVENT_ATTEMPT_FAILED)
+			req_on_break(&call->req, event->attempt, event->failure, NULL, tmr_now());
 		else
-			entry_event_claim(call, event);
+			entry_call_on_claim(call, event);
 	}
 	entry_event_free(event);
 }
 
-static void entry_forget(struct entry *e, struct entry_call *call)
+static void entry_call_remove(struct entry *e, struct entry_call *call)
 {
 	for (guint i = 0; i < call->claim_ids->len; i++)
 		g_hash_table_remove(e->traffic.claims, call->claim_ids->pdata[i]);
@@ -295,24 +295,24 @@
 	entry_call_free(call);
 }
 
-static void entry_sweep_kept(struct entry *e, int64_t now_us)
+static void entry_remove_expired_calls(struct entry *e, int64_t now_us)
 {
-	int64_t keep_us = e->settings.keep_s * USEC_PER_SEC;
+	int64_t keep_us = e->settings.finished_keep_s * USEC_PER_SEC;
 
-	for (GList *l = e->traffic.kept->head; l;) {
+	for (GList *l = e->traffic.finished_calls->head; l;) {
 		struct entry_call *call = l->data;
 		GList *next = l->next;
 
 		if (call->claim_ids->len == 0 || now_us - call->finished_us > keep_us) {
-			g_queue_delete_link(e->traffic.kept, l);
-			entry_forget(e, call);
+			g_queue_delete_link(e->traffic.finished_calls, l);
+			entry_call_remove(e, call);
 		}
 		l = next;
 	}
 }
 
 /* A caller that hangs up must not go on holding an endpoint. */
-static void entry_sweep(void *ctx, int64_t now_us)
+static void entry_on_sweep_timer(void *ctx, int64_t now_us)
 {
 	struct entry *e = ctx;
 	GList *calls = g_hash_table_get_values(e->traffic.calls);
@@ -331,9 +331,10 @@
 		req_on_caller_gone(&call->req, now_us);
 	}
 	g_list_free(calls);
-	entry_sweep_kept(e, now_us);
+	entry_remove_expired_calls(e, now_us);
 	e->traffic.cpu_us = loop_cpu_us();
-	loop_after(&e->traffic.loop, &e->traffic.sweep, ENTRY_SWEEP_US, entry_sweep, e);
+	loop_after(&e->traffic.loop, &e->traffic.sweep_timer, ENTRY_SWEEP_US, entry_on_sweep_timer,
+		   e);
 }
 
 static void *entry_traffic_main(void *ctx)
@@ -358,7 +359,7 @@
 	r->backoff_us = s->backoff_ms * USEC_PER_MSEC;
 	r->resume_us = s->resume_ms * USEC_PER_MSEC;
 	r->retry_after_us = USEC_PER_SEC;
-	r->attempts = (unsigned int)s->attempts;
+	r->attempts = (unsigned int)s->attempts_max;
 	req_budget_init(&e->traffic.budget, (double)s->retry_burst, (double)s->retry_percent / 100);
 }
 
@@ -373,15 +374,15 @@
 	t->hc = hc_new(&t->loop);
 	t->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
 	t->claims = g_hash_table_new(g_str_hash, g_str_equal);
-	t->kept = g_queue_new();
-	t->ests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	t->finished_calls = g_queue_new();
+	t->estimates_by_name = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	err = entry_join_start(e);
 	if (err < 0) {
 		log_msg(LOG_ERR, "listen_failed addr=%s reason=\"%s\"", e->settings.peer,
 			base_strerror(err));
 		return err;
 	}
-	loop_after(&t->loop, &t->sweep, ENTRY_SWEEP_US, entry_sweep, e);
+	loop_after(&t->loop, &t->sweep_timer, ENTRY_SWEEP_US, entry_on_sweep_timer, e);
 	if (pthread_create(&t->thread, NULL, entry_traffic_main, e) != 0)
 		return BASE_ESYS;
 	return 0;
--- a/prog/entry_call.h
+++ b/prog/entry_call.h
@@ -33,27 +33,27 @@
 	/* A plain service. */
 	char *service;
 	char *method;
-	char *rest; /* path below the service */
+	char *service_path; /* path below the service */
 	char *body;
 	size_t body_len;
 	char *content_type;
 	int service_status;
 	char *service_type;
-	guint service_turn;
+	guint service_attempts;
 
 	struct req req;
 	bool req_ready;
 	struct tmr timer;
-	struct hc_call *hc; /* the attempt's stream */
-	GString *sse;	    /* part of a line that is not whole yet */
-	bool ended_well;    /* the last frame was seen */
-	char *fault_at;	    /* endpoint that the engine named as dead */
-	GPtrArray *stages;  /* of the current attempt */
-	char *run_handle;   /* id of the run at the engine */
-	char *run_address;  /* where it can be resumed */
-	GPtrArray *tokens;  /* GBytes, as delivered */
+	struct hc_call *hc;    /* the attempt's stream */
+	GString *sse_buffer;   /* part of a line that is not whole yet */
+	bool last_frame_seen;  /* the last frame was seen */
+	char *faulty_endpoint; /* endpoint that the engine named as dead */
+	GPtrArray *stages;     /* of the current attempt */
+	char *run_id;	       /* id of the run at the engine */
+	char *run_address;     /* where it can be resumed */
+	GPtrArray *tokens;     /* GBytes, as delivered */
 	int64_t last_token_us;
-	uint64_t attempt_first; /* index at which the current attempt began */
+	uint64_t attempt_first_token; /* index at which the current attempt began */
 
 	GPtrArray *claim_ids;
 	char *winner_id;
@@ -75,7 +75,7 @@
 
 enum entry_join_state {
 	ENTRY_JOIN_ANSWER,  /* the whole answer follows */
-	ENTRY_JOIN_NEVER,   /* never dispatched under that claim, and never will be */
+	ENTRY_JOIN_NOT_RUN, /* never dispatched under that claim, and never will be */
 	ENTRY_JOIN_UNKNOWN, /* this host does not know the claim */
 	ENTRY_JOIN_STATE_COUNT
 };
@@ -83,7 +83,7 @@
 /* entry_call.c */
 void entry_post_call(void *call); /* in the traffic thread: a call that was parsed */
 void entry_call_free(struct entry_call *call);
-struct entry_est *entry_call_est(struct entry_call *call);
+struct entry_estimates *entry_call_estimates(struct entry_call *call);
 
 /* entry_act.c: the actions of a request; their context is its struct entry_call */
 extern const struct req_ops entry_req_ops;
@@ -95,8 +95,8 @@
 
 /* entry_join.c */
 int entry_join_start(struct entry *e);
-void entry_join(struct entry_call *call);
-void entry_join_tell(struct entry_call *call); /* call has finished: tells those who wait */
+void entry_join_request(struct entry_call *call);
+void entry_join_answer_all(struct entry_call *call); /* call has finished: tells those who wait */
 
 /* entry_answer.c: what the caller gets */
 void entry_answer_token(struct entry_call *call, uint64_t index, const char *text, size_t len);
--- a/prog/entry_claim.c
+++ b/prog/entry_claim.c
@@ -10,23 +10,23 @@
 
 /* Claims: asked of the homes of keys on behalf of the traffic thread. */
 enum {
-	ENTRY_CLAIM_HOMES = 3 /* homes tried before the log counts as out */
+	ENTRY_CLAIM_HOMES_MAX = 3 /* homes tried before the log counts as out */
 };
 
-static void entry_place_claim(struct entry *e, struct entry_pending_claim *pending);
+static void entry_claim_submit(struct entry *e, struct entry_pending_claim *pending);
 
 static void entry_claim_free(struct entry_claim *claim)
 {
 	g_free(claim->key);
 	g_free(claim->id);
-	g_free(claim->request);
+	g_free(claim->run_id);
 	g_free(claim->endpoints);
 	g_free(claim->digest);
 	g_free(claim->supersedes);
 	g_free(claim);
 }
 
-void entry_pending_free(gpointer data)
+void entry_pending_claim_free(gpointer data)
 {
 	struct entry_pending_claim *pending = data;
 
@@ -44,7 +44,7 @@
 	event->verdict = verdict;
 	if (winner) {
 		event->winner_id = g_strdup(winner->id);
-		event->winner_request = g_strdup(winner->request);
+		event->winner_run_id = g_strdup(winner->request);
 		event->winner_entry = g_strdup(winner->entry);
 		event->winner_endpoints = g_strdup(winner->endpoints);
 		event->winner_digest = g_strdup(winner->digest);
@@ -53,25 +53,26 @@
 	entry_send_event(e, event);
 }
 
-static struct entry_home *entry_claims_home(struct entry *e, const char *key)
+static struct entry_home *entry_claim_home(struct entry *e, const char *key)
 {
 	char *name = g_strdup_printf(
 		"claims-%u", once_partition(key, (unsigned int)e->settings.claim_partitions));
 	const struct host *host = host_home(&e->view.hosts, name, 0, tmr_now());
 
 	g_free(name);
-	return host ? entry_home(e, host) : NULL;
+	return host ? entry_home_connect(e, host) : NULL;
 }
 
 /* The same claim may be asked for at several homes; the log knows it by its id. */
-static void entry_place_claim(struct entry *e, struct entry_pending_claim *pending)
+static void entry_claim_submit(struct entry *e, struct entry_pending_claim *pending)
 {
 	struct entry_claim *claim = pending->claim;
-	struct entry_home *home =
-		pending->rank < ENTRY_CLAIM_HOMES ? entry_claims_home(e, claim->key) : NULL;
+	struct entry_home *home = pending->homes_tried < ENTRY_CLAIM_HOMES_MAX
+					  ? entry_claim_home(e, claim->key)
+					  : NULL;
 	Once__Claim msg = ONCE__CLAIM__INIT;
 
-	pending->rank++;
+	pending->homes_tried++;
 	g_free(pending->home);
 	pending->home = home ? g_strdup(home->host) : NULL;
 	if (!home) {
@@ -81,13 +82,13 @@
 	msg.ask_id = pending->ask_id;
 	msg.key = claim->key;
 	msg.id = claim->id;
-	msg.request = claim->request;
+	msg.request = claim->run_id;
 	msg.entry = e->settings.name;
 	msg.endpoints = claim->endpoints;
 	msg.digest = claim->digest;
 	msg.supersedes = claim->supersedes;
 	frm_send(home->conn, MSG_ONCE_CLAIM, &msg.base);
-	entry_home_waits(home);
+	entry_home_begin_wait(home);
 }
 
 void entry_claims_home_lost(struct entry *e, const char *host)
@@ -98,7 +99,7 @@
 		struct entry_pending_claim *pending = l->data;
 
 		if (pending->home && strcmp(pending->home, host) == 0)
-			entry_place_claim(e, pending);
+			entry_claim_submit(e, pending);
 	}
 	g_list_free(claims);
 }
@@ -112,14 +113,14 @@
 	pending->claim = claim;
 	pending->ask_id = ++e->broker.last_id;
 	g_hash_table_insert(e->broker.claims, &pending->ask_id, pending);
-	entry_place_claim(e, pending);
+	entry_claim_submit(e, pending);
 }
 
 void entry_post_release(void *task)
 {
 	struct entry_claim *claim = task;
 	struct entry *e = claim->entry;
-	struct entry_home *home = entry_claims_home(e, claim->key);
+	struct entry_home *home = entry_claim_home(e, claim->key);
 	Once__Release msg = ONCE__RELEASE__INIT;
 
 	msg.key = claim->key;
@@ -138,7 +139,7 @@
 		return BASE_EFRAME;
 	pending = g_hash_table_lookup(e->broker.claims, &msg->ask_id);
 	if (pending) {
-		entry_home_answered(entry_home_named(e, pending->home));
+		entry_home_end_wait(entry_home_find(e, pending->home));
 		entry_send_verdict(e, pending, (int)msg->verdict, msg->winner);
 	}
 	once__verdict__free_unpacked(msg, NULL);
--- a/prog/entry_home.c
+++ b/prog/entry_home.c
@@ -22,7 +22,7 @@
 	[MSG_ONCE_VERDICT] = entry_on_verdict,
 };
 
-struct frm_limits entry_limits(const struct entry *e)
+struct frm_limits entry_conn_limits(const struct entry *e)
 {
 	struct frm_limits limits = {e->settings.heartbeat_ms * USEC_PER_MSEC,
 				    e->settings.silent_ms * USEC_PER_MSEC,
@@ -35,7 +35,7 @@
  * The home of a pool, or NULL when every host that could be it is suspected: to wait for such a
  * host again would cost each request the whole limit of silence, and grants can be decided here.
  */
-const struct host *entry_home_of(const struct entry *e, const char *key)
+const struct host *entry_home_host(const struct entry *e, const char *key)
 {
 	int64_t now = tmr_now();
 	const struct host *host = host_home(&e->view.hosts, key, 0, now);
@@ -43,10 +43,10 @@
 	return host && host->suspect_until_us <= now ? host : NULL;
 }
 
-struct entry_home *entry_home(struct entry *e, const struct host *host)
+struct entry_home *entry_home_connect(struct entry *e, const struct host *host)
 {
 	struct entry_home *home = g_hash_table_lookup(e->broker.homes, host->name);
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
 	if (home)
 		return home;
@@ -63,24 +63,24 @@
 	return home;
 }
 
-struct entry_home *entry_home_named(struct entry *e, const char *host)
+struct entry_home *entry_home_find(struct entry *e, const char *host)
 {
 	return host ? g_hash_table_lookup(e->broker.homes, host) : NULL;
 }
 
 /* Only while something is waited for does the connection ask for signs of life often. */
-void entry_home_waits(struct entry_home *home)
+void entry_home_begin_wait(struct entry_home *home)
 {
-	home->waiting++;
+	home->unanswered++;
 	frm_set_active(home->conn, true);
 }
 
-void entry_home_answered(struct entry_home *home)
+void entry_home_end_wait(struct entry_home *home)
 {
-	if (!home || home->waiting == 0)
+	if (!home || home->unanswered == 0)
 		return;
-	home->waiting--;
-	if (home->waiting == 0)
+	home->unanswered--;
+	if (home->unanswered == 0)
 		frm_set_active(home->conn, false);
 }
 
--- a/prog/entry_http.c
+++ b/prog/entry_http.c
@@ -9,8 +9,8 @@
 
 /* Callers' HTTP: runs in the library's threads, reads the request, and hands it to traffic. */
 enum {
-	ENTRY_TOKENS_INITIAL = 16,
-	ENTRY_KEY_MAX = 200
+	ENTRY_MAX_TOKENS_DEFAULT = 16,
+	ENTRY_KEY_BYTES_MAX = 200
 };
 
 typedef void (*entry_http_fn)(struct entry *e, struct hd_call *http);
@@ -42,7 +42,7 @@
 {
 	static uint64_t last;
 
-	return g_strdup_printf("%s-%" G_GUINT64_FORMAT, e->boot, ck_pr_faa_64(&last, 1) + 1);
+	return g_strdup_printf("%s-%" G_GUINT64_FORMAT, e->boot_id, ck_pr_faa_64(&last, 1) + 1);
 }
 
 static void entry_http_text(struct hd_call *http, int status, const char *text)
@@ -92,7 +92,7 @@
 					     "version", obj->text[MODEL_VERSION]));
 }
 
-static void entry_models_now(void *ctx)
+static void entry_http_reply_models(void *ctx)
 {
 	struct entry_models_task *task = ctx;
 	json_t *list = json_array();
@@ -109,7 +109,7 @@
 
 	task->entry = e;
 	task->http = http;
-	loop_post(&e->traffic.loop, entry_models_now, task);
+	loop_post(&e->traffic.loop, entry_http_reply_models, task);
 }
 
 /* --- requests --- */
@@ -127,7 +127,7 @@
 	call->request = entry_request_id(e);
 	call->began_us = tmr_now();
 	call->deadline_us = call->began_us + e->settings.deadline_ms * USEC_PER_MSEC;
-	call->sse = g_string_new(NULL);
+	call->sse_buffer = g_string_new(NULL);
 	call->tokens = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	call->claim_ids = g_ptr_array_new_with_free_func(g_free);
 	call->joiners = g_ptr_array_new_with_free_func(g_free);
@@ -160,8 +160,8 @@
 			return "Bg-Deadline-Ms";
 		call->deadline_us = call->began_us + (int64_t)ms * USEC_PER_MSEC;
 	}
-	if (key &&
-	    (key[0] == '\0' || strlen(key) > ENTRY_KEY_MAX || !g_utf8_validate(key, -1, NULL)))
+	if (key && (key[0] == '\0' || strlen(key) > ENTRY_KEY_BYTES_MAX ||
+		    !g_utf8_validate(key, -1, NULL)))
 		return "Idempotency-Key";
 	call->key = g_strdup(key);
 	return NULL;
@@ -216,7 +216,7 @@
 		return "max_tokens";
 	call->model = g_strdup(model);
 	call->stream = json_is_true(stream);
-	call->max_tokens = max ? (uint64_t)json_integer_value(max) : ENTRY_TOKENS_INITIAL;
+	call->max_tokens = max ? (uint64_t)json_integer_value(max) : ENTRY_MAX_TOKENS_DEFAULT;
 	if (call->kind == ENTRY_CHAT)
 		return entry_read_messages(call, json);
 	if (!prompt)
@@ -279,7 +279,7 @@
 		return;
 	}
 	call->service = slash ? g_strndup(path, (gsize)(slash - path)) : g_strdup(path);
-	call->rest = g_strdup(slash ? slash + 1 : "");
+	call->service_path = g_strdup(slash ? slash + 1 : "");
 	call->method = g_strdup(hd_method(http));
 	call->content_type = g_strdup(type ? type : "application/octet-stream");
 	call->body = g_memdup2(body, call->body_len);
--- a/prog/entry_join.c
+++ b/prog/entry_join.c
@@ -24,16 +24,16 @@
 static int entry_join_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
 			     size_t len);
 static void entry_join_on_close(void *ctx, struct frm_conn *conn, int err);
-static void entry_join_give(struct entry_call *from, const struct entry_joiner *joiner);
+static void entry_join_send_answer(struct entry_call *from, const struct entry_joiner *joiner);
 
 static const struct frm_ops entry_peer_ops = {entry_peer_on_msg, entry_peer_on_close};
 static const struct frm_ops entry_join_ops = {entry_join_on_msg, entry_join_on_close};
 
 int entry_join_start(struct entry *e)
 {
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
-	e->traffic.joins = g_hash_table_new(g_str_hash, g_str_equal);
+	e->traffic.join_conns = g_hash_table_new(g_str_hash, g_str_equal);
 	return frm_listen(&e->traffic.peers, &e->traffic.loop, e->settings.peer, &entry_peer_ops,
 			  &limits, e);
 }
@@ -43,11 +43,12 @@
 static enum entry_join_state entry_join_state_of(const struct entry_call *call)
 {
 	if (!call->req.dispatched && req_code_info(call->code)->ran == REQ_RAN_NO)
-		return ENTRY_JOIN_NEVER;
+		return ENTRY_JOIN_NOT_RUN;
 	return ENTRY_JOIN_ANSWER;
 }
 
-static void entry_join_send(struct frm_conn *conn, uint64_t ask_id, const struct entry_call *call)
+static void entry_join_send_msg(struct frm_conn *conn, uint64_t ask_id,
+				const struct entry_call *call)
 {
 	Join__Answer msg = JOIN__ANSWER__INIT;
 	guint n = call ? call->tokens->len : 0;
@@ -84,9 +85,9 @@
 	joiner.ask_id = msg->ask_id;
 	call = g_hash_table_lookup(e->traffic.claims, msg->claim);
 	if (!call)
-		entry_join_send(conn, msg->ask_id, NULL);
+		entry_join_send_msg(conn, msg->ask_id, NULL);
 	else if (call->finished)
-		entry_join_give(call, &joiner);
+		entry_join_send_answer(call, &joiner);
 	else
 		g_ptr_array_add(call->joiners, g_memdup2(&joiner, sizeof(joiner)));
 	join__ask__free_unpacked(msg, NULL);
@@ -120,8 +121,8 @@
 	return call && !call->finished ? call : NULL;
 }
 
-static void entry_join_take(struct entry_call *call, enum entry_join_state state,
-			    enum req_code code, int status, GPtrArray *tokens)
+static void entry_join_receive_answer(struct entry_call *call, enum entry_join_state state,
+				      enum req_code code, int status, GPtrArray *tokens)
 {
 	int64_t now = tmr_now();
 
@@ -129,7 +130,7 @@
 		req_on_join_lost(&call->req, now);
 		return;
 	}
-	if (state == ENTRY_JOIN_NEVER) {
+	if (state == ENTRY_JOIN_NOT_RUN) {
 		req_on_join_never(&call->req, now);
 		return;
 	}
@@ -143,27 +144,27 @@
 	req_on_joined(&call->req, code, tokens->len, now);
 }
 
-static void entry_join_give(struct entry_call *from, const struct entry_joiner *joiner)
+static void entry_join_send_answer(struct entry_call *from, const struct entry_joiner *joiner)
 {
 	struct entry_call *call;
 
 	if (joiner->conn) {
-		entry_join_send(joiner->conn, joiner->ask_id, from);
+		entry_join_send_msg(joiner->conn, joiner->ask_id, from);
 		return;
 	}
 	call = entry_call_by_id(from->entry, joiner->call_id);
 	if (call)
-		entry_join_take(call, entry_join_state_of(from), from->code, from->service_status,
-				from->tokens);
+		entry_join_receive_answer(call, entry_join_state_of(from), from->code,
+					  from->service_status, from->tokens);
 }
 
-void entry_join_tell(struct entry_call *call)
+void entry_join_answer_all(struct entry_call *call)
 {
 	GPtrArray *joiners = call->joiners;
 
 	call->joiners = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < joiners->len; i++)
-		entry_join_give(call, joiners->pdata[i]);
+		entry_join_send_answer(call, joiners->pdata[i]);
 	g_ptr_array_free(joiners, TRUE);
 }
 
@@ -178,11 +179,11 @@
 	return NULL;
 }
 
-static struct entry_join_conn *entry_join_conn(struct entry *e, const char *name)
+static struct entry_join_conn *entry_join_connect(struct entry *e, const char *name)
 {
-	struct entry_join_conn *join = g_hash_table_lookup(e->traffic.joins, name);
+	struct entry_join_conn *join = g_hash_table_lookup(e->traffic.join_conns, name);
 	const struct host *host = entry_join_host(e, name);
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
 	if (join || !host)
 		return join;
@@ -195,7 +196,7 @@
 	}
 	join->host = g_strdup(name);
 	join->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	g_hash_table_insert(e->traffic.joins, join->host, join);
+	g_hash_table_insert(e->traffic.join_conns, join->host, join);
 	return join;
 }
 
@@ -205,17 +206,17 @@
 	uint64_t call_id;
 };
 
-static void entry_join_now(void *task)
+static void entry_join_run_task(void *task)
 {
-	struct entry_join_task *l = task;
-	struct entry *e = l->entry;
-	struct entry_call *call = entry_call_by_id(e, l->call_id);
+	struct entry_join_task *join_task = task;
+	struct entry *e = join_task->entry;
+	struct entry_call *call = entry_call_by_id(e, join_task->call_id);
 	struct entry_call *winner;
 	struct entry_join_conn *join;
-	struct entry_joiner joiner = {l->call_id, NULL, 0};
+	struct entry_joiner joiner = {join_task->call_id, NULL, 0};
 	Join__Ask msg = JOIN__ASK__INIT;
 
-	g_free(l);
+	g_free(join_task);
 	if (!call || call->req.state != REQ_JOINING)
 		return;
 	if (strcmp(call->winner_entry, e->settings.name) == 0) {
@@ -223,12 +224,12 @@
 		if (!winner)
 			req_on_join_lost(&call->req, tmr_now());
 		else if (winner->finished)
-			entry_join_give(winner, &joiner);
+			entry_join_send_answer(winner, &joiner);
 		else
 			g_ptr_array_add(winner->joiners, g_memdup2(&joiner, sizeof(joiner)));
 		return;
 	}
-	join = entry_join_conn(e, call->winner_entry);
+	join = entry_join_connect(e, call->winner_entry);
 	if (!join) {
 		req_on_join_lost(&call->req, tmr_now());
 		return;
@@ -240,14 +241,14 @@
 	frm_set_active(join->conn, true);
 }
 
-void entry_join(struct entry_call *call)
+void entry_join_request(struct entry_call *call)
 {
 	struct entry_join_task *task = g_new0(struct entry_join_task, 1);
 
 	task->entry = call->entry;
 	task->call_id = call->id;
 	met_add(met_counter("bg_joins_total", ""), 1);
-	loop_post(&call->entry->traffic.loop, entry_join_now, task);
+	loop_post(&call->entry->traffic.loop, entry_join_run_task, task);
 }
 
 static int entry_join_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -271,8 +272,8 @@
 	for (size_t i = 0; i < msg->n_tokens; i++)
 		g_ptr_array_add(tokens, g_bytes_new(msg->tokens[i].data, msg->tokens[i].len));
 	if (call)
-		entry_join_take(call, (enum entry_join_state)msg->state, (enum req_code)msg->code,
-				(int)msg->status, tokens);
+		entry_join_receive_answer(call, (enum entry_join_state)msg->state,
+					  (enum req_code)msg->code, (int)msg->status, tokens);
 	g_ptr_array_free(tokens, TRUE);
 	join__answer__free_unpacked(msg, NULL);
 	return 0;
@@ -288,7 +289,7 @@
 
 	(void)conn;
 	log_msg(LOG_INFO, "join_lost host=%s reason=\"%s\"", join->host, base_strerror(err));
-	g_hash_table_remove(e->traffic.joins, join->host);
+	g_hash_table_remove(e->traffic.join_conns, join->host);
 	g_hash_table_iter_init(&iter, join->waiting);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		struct entry_call *call = entry_call_by_id(e, *(uint64_t *)key);
--- a/prog/entry_local.c
+++ b/prog/entry_local.c
@@ -23,25 +23,25 @@
 static const struct pool_ops entry_local_ops = {entry_local_grant, entry_local_refuse,
 						entry_local_probe};
 
-void entry_local_free(gpointer data)
+void entry_local_pool_free(gpointer data)
 {
 	pool_finish(data);
 	g_free(data);
 }
 
-void entry_locals_on_conf(struct entry *e)
+void entry_local_pools_on_conf(struct entry *e)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, e->broker.locals);
+	g_hash_table_iter_init(&iter, e->broker.local_pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		pool_on_conf(value, e->view.clog.state, tmr_now());
 }
 
-static struct pool *entry_local(struct entry *e, const char *name)
+static struct pool *entry_local_pool(struct entry *e, const char *name)
 {
-	struct pool *pool = g_hash_table_lookup(e->broker.locals, name);
+	struct pool *pool = g_hash_table_lookup(e->broker.local_pools, name);
 	struct pool_settings settings = {POOL_POLICY_FLOW, ENTRY_LOCAL_OVERLAP_PERCENT,
 					 MAX(host_live_count(&e->view.hosts), 1),
 					 ENTRY_LOCAL_RETRY_US};
@@ -50,24 +50,24 @@
 		return pool;
 	pool = g_new0(struct pool, 1);
 	pool_init(pool, name, &settings, &entry_local_ops, e);
-	g_hash_table_insert(e->broker.locals, pool->name, pool);
+	g_hash_table_insert(e->broker.local_pools, pool->name, pool);
 	pool_on_conf(pool, e->view.clog.state, tmr_now());
 	log_msg(LOG_WARNING, "deciding_alone pool=%s divisor=%u", name, settings.divisor);
 	return pool;
 }
 
-void entry_local_ask(struct entry *e, struct entry_hold *hold)
+void entry_local_request_grant(struct entry *e, struct entry_grant *grant)
 {
 	const struct conf_obj *account =
-		conf_get(e->view.clog.state, CONF_ACCOUNT, hold->ask->account);
+		conf_get(e->view.clog.state, CONF_ACCOUNT, grant->request->account);
 	struct pool_ask ask = {
-		.ask_id = hold->ask_id,
-		.account = hold->ask->account,
+		.ask_id = grant->ask_id,
+		.account = grant->request->account,
 		.limits = {1, 1, 1},
-		.version = hold->ask->version,
-		.tokens = hold->ask->tokens,
-		.deadline_us = hold->ask->deadline_us,
-		.exclude = (const char *const *)hold->ask->exclude,
+		.version = grant->request->version,
+		.tokens = grant->request->tokens,
+		.deadline_us = grant->request->deadline_us,
+		.exclude = (const char *const *)grant->request->exclude,
 	};
 
 	if (account) {
@@ -76,31 +76,31 @@
 		ask.limits.inflight = (uint32_t)account->value[ACCOUNT_LIMIT];
 	}
 	met_add(met_counter("bg_grants_decided_alone_total", ""), 1);
-	pool_on_ask(entry_local(e, hold->pool->name), &ask, tmr_now());
+	pool_on_ask(entry_local_pool(e, grant->pool->name), &ask, tmr_now());
 }
 
-static void entry_local_grant(void *ctx, const struct pool_grant *grant, int64_t wait_us)
+static void entry_local_grant(void *ctx, const struct pool_grant *decision, int64_t wait_us)
 {
 	struct entry *e = ctx;
-	struct entry_hold *hold = entry_hold_by_id(e, grant->ask_id);
+	struct entry_grant *grant = entry_grant_by_id(e, decision->ask_id);
 	char *names[FLOW_STAGES_MAX];
 
 	(void)wait_us;
-	for (int s = 0; s < grant->count; s++)
-		names[s] = grant->stages[s]->name;
-	if (hold)
-		entry_granted(e, hold, grant->id, names, (size_t)grant->count);
+	for (int s = 0; s < decision->count; s++)
+		names[s] = decision->stages[s]->name;
+	if (grant)
+		entry_grant_succeeded(e, grant, decision->id, names, (size_t)decision->count);
 }
 
 static void entry_local_refuse(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
 			       int64_t retry_us)
 {
 	struct entry *e = ctx;
-	struct entry_hold *hold = entry_hold_by_id(e, ask_id);
+	struct entry_grant *grant = entry_grant_by_id(e, ask_id);
 
 	(void)entry;
-	if (hold)
-		entry_refused(e, hold, why, retry_us);
+	if (grant)
+		entry_grant_refused(e, grant, why, retry_us);
 }
 
 static void entry_local_probe(void *ctx, const struct pool_endpoint *endpoint)
@@ -110,12 +110,12 @@
 }
 
 /* Nobody polls endpoints for a pool that is decided here, so what failed is tried again in time. */
-void entry_locals_tick(struct entry *e, int64_t now_us)
+void entry_local_pools_tick(struct entry *e, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, e->broker.locals);
+	g_hash_table_iter_init(&iter, e->broker.local_pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct pool *pool = value;
 
--- a/prog/entry_pools.c
+++ b/prog/entry_pools.c
@@ -8,7 +8,7 @@
 
 /* What the control thread knows of pools, and which of them it asks. */
 enum {
-	ENTRY_POOLS_NEAR = 4 /* of each model, that a host asks first */
+	ENTRY_PREFERRED_POOLS = 4 /* of each model, that a host asks first */
 };
 
 static void entry_rank_pools(struct entry *e);
@@ -23,7 +23,7 @@
 	g_free(pool);
 }
 
-static void entry_take_endpoint(void *ctx, const struct conf_obj *obj)
+static void entry_pool_add_endpoint(void *ctx, const struct conf_obj *obj)
 {
 	struct entry *e = ctx;
 	const char *name = obj->text[ENDPOINT_POOL];
@@ -56,7 +56,7 @@
 		pool->capacity = 0;
 		g_hash_table_remove_all(pool->versions);
 	}
-	conf_each(e->view.clog.state, CONF_ENDPOINT, entry_take_endpoint, e);
+	conf_each(e->view.clog.state, CONF_ENDPOINT, entry_pool_add_endpoint, e);
 	entry_rank_pools(e);
 }
 
@@ -65,12 +65,12 @@
 	return (double)(pool->wait_us + 1000) / MAX(pool->capacity, 1);
 }
 
-static bool entry_pool_fits(const struct entry_pool *pool, const struct entry_hold *hold,
-			    const struct entry_pool *not_this)
+static bool entry_pool_fits(const struct entry_pool *pool, const struct entry_grant *grant,
+			    const struct entry_pool *excluded)
 {
-	return pool != not_this && pool->capacity > 0 &&
-	       strcmp(pool->model, hold->ask->model) == 0 &&
-	       g_hash_table_contains(pool->versions, hold->ask->version);
+	return pool != excluded && pool->capacity > 0 &&
+	       strcmp(pool->model, grant->request->model) == 0 &&
+	       g_hash_table_contains(pool->versions, grant->request->version);
 }
 
 /*
@@ -108,8 +108,9 @@
 }
 
 /* Two random choices by capacity; the one with the shorter wait by what the last grants told. */
-struct entry_pool *entry_choose_pool(struct entry *e, const struct entry_hold *hold,
-				     const struct entry_pool *not_this, bool avoid, bool near)
+struct entry_pool *entry_choose_pool(struct entry *e, const struct entry_grant *grant,
+				     const struct entry_pool *excluded, bool skip_refusing,
+				     bool preferred_only)
 {
 	struct entry_pool *best = NULL;
 	int64_t now = tmr_now();
@@ -124,11 +125,11 @@
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct entry_pool *pool = value;
 
-			if (!entry_pool_fits(pool, hold, not_this))
+			if (!entry_pool_fits(pool, grant, excluded))
 				continue;
-			if (avoid && pool->avoid_until_us > now)
+			if (skip_refusing && pool->avoid_until_us > now)
 				continue;
-			if (near && pool->rank >= ENTRY_POOLS_NEAR)
+			if (preferred_only && pool->rank >= ENTRY_PREFERRED_POOLS)
 				continue;
 			sum += pool->capacity;
 			if (g_rand_double(e->broker.rand) * sum < pool->capacity)
--- a/prog/entry_stream.c
+++ b/prog/entry_stream.c
@@ -50,11 +50,12 @@
 }
 
 /* The request must not be called from inside its own action; it hears of this a moment later. */
-static void entry_post_break(struct entry_call *call, enum req_break why)
+static void entry_post_attempt_failed(struct entry_call *call, enum req_break why)
 {
-	struct entry_event *event = entry_event_new(ENTRY_EVENT_BREAK, call->id, call->req.attempt);
+	struct entry_event *event =
+		entry_event_new(ENTRY_EVENT_ATTEMPT_FAILED, call->id, call->req.attempt);
 
-	event->why = why;
+	event->failure = why;
 	entry_send_event(call->entry, event);
 }
 
@@ -64,9 +65,9 @@
 	if (call->hc)
 		hc_cancel(call->hc);
 	call->hc = NULL;
-	g_string_truncate(call->sse, 0);
-	call->ended_well = false;
-	g_clear_pointer(&call->fault_at, g_free);
+	g_string_truncate(call->sse_buffer, 0);
+	call->last_frame_seen = false;
+	g_clear_pointer(&call->faulty_endpoint, g_free);
 }
 
 /*
@@ -91,13 +92,13 @@
 	}
 	entry_stream_reset(call);
 	if (call->stages->len == 0) {
-		entry_post_break(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
 		return;
 	}
 	first = call->stages->pdata[0];
-	g_free(call->run_handle);
+	g_free(call->run_id);
 	g_free(call->run_address);
-	call->run_handle = g_strdup_printf("%s-%u", call->request, attempt);
+	call->run_id = g_strdup_printf("%s-%u", call->request, attempt);
 	call->run_address = g_strdup(first->address);
 	body = entry_dispatch_body(call, attempt, delivered);
 	url = g_strdup_printf("http://%s/v1/completions", first->address);
@@ -124,12 +125,12 @@
 
 	entry_stream_cancel(call, false);
 	entry_stream_reset(call);
-	if (!call->run_address || !call->run_handle) {
-		entry_post_break(call, REQ_BREAK_MISSING);
+	if (!call->run_address || !call->run_id) {
+		entry_post_attempt_failed(call, REQ_BREAK_MISSING);
 		return;
 	}
 	url = g_strdup_printf("http://%s/v1/requests/%s?from=%" G_GUINT64_FORMAT, call->run_address,
-			      call->run_handle, from);
+			      call->run_id, from);
 	request.url = url;
 	call->hc = hc_start(call->entry->traffic.hc, &request, &entry_stream_ops, call);
 	g_free(url);
@@ -163,7 +164,7 @@
 	call->hc = NULL;
 	if (!stop || call->kind == ENTRY_SERVICE || !call->run_address)
 		return;
-	url = g_strdup_printf("http://%s/v1/requests/%s", call->run_address, call->run_handle);
+	url = g_strdup_printf("http://%s/v1/requests/%s", call->run_address, call->run_id);
 	request.url = url;
 	hc_start(call->entry->traffic.hc, &request, &entry_cancel_ops, NULL);
 	g_free(url);
@@ -180,14 +181,15 @@
 		req_on_token(&call->req, attempt, (uint64_t)json_integer_value(index),
 			     json_string_value(text), json_string_length(text), tmr_now());
 	} else if (json_is_true(json_object_get(json, "done"))) {
-		call->ended_well = true;
+		call->last_frame_seen = true;
 		req_on_end(&call->req, attempt,
 			   (uint64_t)json_integer_value(json_object_get(json, "count")), tmr_now());
 	} else if (json_object_get(json, "error")) {
-		g_free(call->fault_at);
-		call->fault_at = g_strdup(at && at[0] ? at : NULL);
-		call->ended_well = true;
-		req_on_break(&call->req, attempt, REQ_BREAK_FAILED, call->fault_at, tmr_now());
+		g_free(call->faulty_endpoint);
+		call->faulty_endpoint = g_strdup(at && at[0] ? at : NULL);
+		call->last_frame_seen = true;
+		req_on_break(&call->req, attempt, REQ_BREAK_FAILED, call->faulty_endpoint,
+			     tmr_now());
 	}
 }
 
@@ -198,15 +200,15 @@
 	const struct hc_call *stream = call->hc;
 	char *end;
 
-	g_string_append_len(call->sse, data, (gssize)len);
-	while (call->hc == stream && (end = strstr(call->sse->str, "\n\n"))) {
-		gsize used = (gsize)(end - call->sse->str) + 2;
-		const char *payload = prog_path_below(call->sse->str, "data: ");
+	g_string_append_len(call->sse_buffer, data, (gssize)len);
+	while (call->hc == stream && (end = strstr(call->sse_buffer->str, "\n\n"))) {
+		gsize used = (gsize)(end - call->sse_buffer->str) + 2;
+		const char *payload = prog_path_below(call->sse_buffer->str, "data: ");
 		json_t *json = NULL;
 
 		if (payload)
 			json = json_loadb(payload, (size_t)(end - payload), 0, NULL);
-		g_string_erase(call->sse, 0, (gssize)used);
+		g_string_erase(call->sse_buffer, 0, (gssize)used);
 		if (json)
 			entry_on_frame(call, json);
 		else
@@ -219,7 +221,7 @@
  * What the end of a stream means. "Not run" counts only when the engine itself says so, or when no
  * connection was ever there; anything else may have run.
  */
-static enum req_break entry_break_of(int status, bool sent, const json_t *answer)
+static enum req_break entry_stream_failure(int status, bool sent, const json_t *answer)
 {
 	const char *ran = json_string_value(json_object_get(answer, "ran"));
 
@@ -237,7 +239,7 @@
  * The next attempt passes it over; without that it would get the same pipeline, and the same
  * refusal, until its retries are used up.
  */
-static const char *entry_fault_of(const struct entry_call *call, const json_t *answer)
+static const char *entry_stream_faulty_endpoint(const struct entry_call *call, const json_t *answer)
 {
 	const char *named = json_string_value(json_object_get(answer, "endpoint"));
 	const struct entry_stage *first =
@@ -252,11 +254,11 @@
 {
 	struct entry_call *call = ctx;
 	json_t *answer = json_loadb(body, len, 0, NULL);
-	enum req_break why = entry_break_of(status, sent, answer);
-	const char *fault = entry_fault_of(call, answer);
+	enum req_break why = entry_stream_failure(status, sent, answer);
+	const char *fault = entry_stream_faulty_endpoint(call, answer);
 
 	call->hc = NULL;
-	if (call->ended_well || call->finished) {
+	if (call->last_frame_seen || call->finished) {
 		json_decref(answer);
 		return;
 	}
@@ -282,7 +284,7 @@
 	if (!service)
 		return NULL;
 	list = g_strsplit(service->text[SERVICE_ADDRESS], ",", -1);
-	address = g_strdup(list[(call->id + call->service_turn++) % g_strv_length(list)]);
+	address = g_strdup(list[(call->id + call->service_attempts++) % g_strv_length(list)]);
 	g_strfreev(list);
 	return address;
 }
@@ -304,10 +306,10 @@
 	};
 
 	if (!address) {
-		entry_post_break(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
 		return;
 	}
-	url = g_strdup_printf("http://%s/%s", address, call->rest);
+	url = g_strdup_printf("http://%s/%s", address, call->service_path);
 	type = g_strdup_printf("Content-Type: %s", call->content_type);
 	key = g_strdup_printf("Idempotency-Key: %s", call->key ? call->key : call->request);
 	request_id = g_strdup_printf("Bg-Request: %s", call->request);
--- a/prog/entry_view.c
+++ b/prog/entry_view.c
@@ -29,12 +29,12 @@
 void entry_view_start(struct entry *e)
 {
 	clog_init(&e->view.clog);
-	e->view.told = -1;
+	e->view.reported_revision = -1;
 	host_table_init(&e->view.hosts, e->settings.suspect_ms * USEC_PER_MSEC);
 	entry_view_connect(e, tmr_now());
 }
 
-static void entry_view_greet(struct entry *e)
+static void entry_view_send_in_force(struct entry *e)
 {
 	Conf__InForce msg = CONF__IN_FORCE__INIT;
 	uint64_t in_force = ck_pr_load_64(&e->revision);
@@ -45,7 +45,7 @@
 		frm_send(e->view.conn, MSG_CONF_IN_FORCE, &msg.base);
 }
 
-static const char *entry_view_other(struct entry *e)
+static const char *entry_view_other_addr(struct entry *e)
 {
 	guint n = e->view.hosts.hosts->len;
 	const struct host *host;
@@ -59,21 +59,21 @@
 static void entry_view_connect(void *ctx, int64_t now_us)
 {
 	struct entry *e = ctx;
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 	const char *addr = e->settings.control;
 
 	(void)now_us;
 	if (e->view.conn)
 		return;
-	e->view.from_own = true;
+	e->view.from_own_host = true;
 	if (e->view.failures >= ENTRY_VIEW_OWN_FAILURES && e->view.failures % 2 == 0 &&
-	    entry_view_other(e)) {
-		addr = entry_view_other(e);
-		e->view.from_own = strcmp(addr, e->settings.control) == 0;
+	    entry_view_other_addr(e)) {
+		addr = entry_view_other_addr(e);
+		e->view.from_own_host = strcmp(addr, e->settings.control) == 0;
 	}
 	e->view.conn = frm_connect(&e->loop, addr, &entry_view_ops, &limits, e);
 	frm_set_active(e->view.conn, true);
-	entry_view_greet(e);
+	entry_view_send_in_force(e);
 }
 
 static void entry_view_on_close(void *ctx, struct frm_conn *conn, int err)
@@ -85,7 +85,7 @@
 		log_msg(LOG_WARNING, "control_lost reason=\"%s\"", base_strerror(err));
 	e->view.conn = NULL;
 	e->view.failures++;
-	loop_after(&e->loop, &e->view.retry, ENTRY_VIEW_RETRY_US, entry_view_connect, e);
+	loop_after(&e->loop, &e->view.retry_timer, ENTRY_VIEW_RETRY_US, entry_view_connect, e);
 }
 
 static int entry_view_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -93,7 +93,7 @@
 {
 	struct entry *e = ctx;
 
-	if (e->view.from_own && e->view.failures > 0) {
+	if (e->view.from_own_host && e->view.failures > 0) {
 		e->view.failures = 0;
 		log_msg(LOG_NOTICE, "control_back");
 	}
@@ -156,18 +156,18 @@
  * A revision counts as in force here only when the traffic thread, which decides on requests, has
  * it; the control daemon is told then.
  */
-void entry_view_in_force(struct entry *e)
+void entry_view_report_in_force(struct entry *e)
 {
 	int64_t now = (int64_t)ck_pr_load_64(&e->revision);
 
 	entry_view_set_ready(e);
-	if (!e->view.clog.ready || now != e->view.clog.revision || now == e->view.told)
+	if (!e->view.clog.ready || now != e->view.clog.revision || now == e->view.reported_revision)
 		return;
-	e->view.told = now;
-	entry_view_greet(e);
+	e->view.reported_revision = now;
+	entry_view_send_in_force(e);
 }
 
-static void entry_view_host_of(const Conf__Host *msg, struct host *host)
+static void entry_view_unpack_host(const Conf__Host *msg, struct host *host)
 {
 	memset(host, 0, sizeof(*host));
 	g_strlcpy(host->name, msg->name, sizeof(host->name));
@@ -193,7 +193,7 @@
 	for (size_t i = 0; i < msg->n_hosts; i++) {
 		struct host *known = host_find(&e->view.hosts, msg->hosts[i]->name);
 
-		entry_view_host_of(msg->hosts[i], &items[i]);
+		entry_view_unpack_host(msg->hosts[i], &items[i]);
 		if (conn != e->view.conn && known)
 			known->leaving = items[i].leaving;
 	}
