--- a/prog/entry_act.c
+++ b/prog/entry_act.c
@@ -88,7 +88,7 @@
 	struct entry_call *call = ctx;
 
 	if (call->kind != ENTRY_SERVICE)
-		loop_post(&call->entry->loop, entry_post_withdraw,
+		loop_post(&call->entry->loop, entry_post_grant_withdrawal,
 			  entry_grant_end_new(call, attempt));
 }
 
@@ -102,7 +102,7 @@
 		return;
 	grant_end = entry_grant_end_new(call, attempt);
 	grant_end->outcome = entry_outcomes[end];
-	grant_end->bad = g_strdup(bad);
+	grant_end->faulty_endpoint = g_strdup(bad);
 	loop_post(&call->entry->loop, entry_post_grant_end, grant_end);
 }
 
--- a/prog/entry_grant.c
+++ b/prog/entry_grant.c
@@ -113,7 +113,7 @@
 }
 
 static void entry_send_done(struct entry_grant *grant, struct entry_home *home, uint64_t tokens,
-			    enum pool_outcome outcome, char *bad)
+			    enum pool_outcome outcome, char *faulty_endpoint)
 {
 	Pool__Done msg = POOL__DONE__INIT;
 
@@ -121,8 +121,8 @@
 	msg.pool = grant->pool->name;
 	msg.tokens = tokens;
 	msg.outcome = (uint32_t)outcome;
-	if (bad)
-		msg.bad = bad;
+	if (faulty_endpoint)
+		msg.bad = faulty_endpoint;
 	frm_send(home->conn, MSG_POOL_DONE, &msg.base);
 }
 
@@ -192,7 +192,7 @@
 	return g_hash_table_lookup(e->broker.grants, &ask_id);
 }
 
-void entry_post_withdraw(void *task)
+void entry_post_grant_withdrawal(void *task)
 {
 	struct entry_grant_end *grant_end = task;
 	struct entry *e = grant_end->entry;
@@ -214,7 +214,7 @@
 	}
 	if (grant)
 		entry_grant_remove(e, grant);
-	g_free(grant_end->bad);
+	g_free(grant_end->faulty_endpoint);
 	g_free(grant_end);
 }
 
@@ -226,17 +226,18 @@
 	struct entry_home *home = grant ? entry_home_find(e, grant->home) : NULL;
 
 	if (home && grant->grant_id != 0) {
-		entry_send_done(grant, home, grant_end->tokens, grant_end->outcome, grant_end->bad);
+		entry_send_done(grant, home, grant_end->tokens, grant_end->outcome,
+				grant_end->faulty_endpoint);
 	} else if (grant && !home) {
 		struct pool *local = g_hash_table_lookup(e->broker.local_pools, grant->pool->name);
 
 		if (local)
 			pool_on_done(local, grant->grant_id, grant_end->tokens, grant_end->outcome,
-				     grant_end->bad, tmr_now());
+				     grant_end->faulty_endpoint, tmr_now());
 	}
 	if (grant)
 		entry_grant_remove(e, grant);
-	g_free(grant_end->bad);
+	g_free(grant_end->faulty_endpoint);
 	g_free(grant_end);
 }
 
