--- a/prog/entry.c
+++ b/prog/entry.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 enum {
-	ENTRY_TICK_US = 50000
+	ENTRY_TICK_US = 50000 /* interval of the control thread's periodic work, in microseconds */
 };
 
 #define ENTRY_OFF(field) offsetof(struct entry_settings, field)
@@ -66,11 +66,11 @@
 }
 
 /*
- * Graceful shutdown: the balancer is told "not ready" and goes on sending for a while, since it
- * lags; all of that is served, and the daemon ends when no request is left: neither one that a
- * caller still reads, nor a run that goes on without its caller.
+ * Shuts down gracefully. /readyz reports "not ready", but the load balancer reacts with a delay, so
+ * requests that still arrive are served. The daemon exits after drain_ms, once no answer is being
+ * sent to a caller and no run is continuing without its caller.
  */
-static void entry_stop(void *ctx)
+static void entry_begin_shutdown(void *ctx)
 {
 	struct entry *e = ctx;
 	struct entry_event *event;
@@ -116,7 +116,7 @@
 		   G_N_ELEMENTS(entry_items), &e->settings);
 	if (loop_init(&e->loop) < 0)
 		return PROG_EXIT_FAILED;
-	prog_on_stop(&e->loop, entry_stop, e);
+	prog_on_stop(&e->loop, entry_begin_shutdown, e);
 	e->started_us = tmr_now();
 	e->boot_id =
 		g_strdup_printf("%s-%" G_GINT64_MODIFIER "x", e->settings.name, g_get_real_time());
--- a/prog/entry.h
+++ b/prog/entry.h
@@ -23,36 +23,36 @@
 enum {
 	USEC_PER_MSEC = 1000,
 	USEC_PER_SEC = 1000000,
-	ENTRY_CONNECT_MS = 300 /* time limit for connecting to an engine or service */
+	ENTRY_CONNECT_MS = 300 /* time limit for a connection attempt, in milliseconds */
 };
 
-/* Values of the configuration file. */
+/* Settings of the daemon, from its configuration file. */
 struct entry_settings {
-	char *name;		  /* name of this host */
-	char *zone;		  /* availability zone of this host */
-	char *listen;		  /* address for callers' HTTP requests */
-	char *peer;		  /* address for connections from other entry daemons */
-	char *control;		  /* address of the control daemon of this host */
-	int64_t threads;	  /* number of threads of the HTTP library */
-	int64_t seed;		  /* seed of all random choices */
-	int64_t body_max;	  /* largest request body, in bytes */
-	int64_t pending_max;	  /* unsent bytes at which a caller counts as too slow */
-	int64_t deadline_ms;	  /* default time limit of a request */
-	int64_t drain_ms;	  /* least time to keep serving after the stop signal */
-	int64_t finished_keep_s;  /* how long a finished request with a claim is kept */
-	int64_t heartbeat_ms;	  /* heartbeat interval of connections that await an answer */
-	int64_t silent_ms;	  /* silence after which such a connection is closed */
-	int64_t idle_ms;	  /* heartbeat interval of connections that await no answer */
-	int64_t suspect_ms;	  /* how long a host is suspected after its first failure */
+	char *name;	     /* name of this host */
+	char *zone;	     /* availability zone of this host */
+	char *listen;	     /* address for callers' HTTP requests */
+	char *peer;	     /* address for connections from other entry daemons */
+	char *control;	     /* address of the control daemon of this host */
+	int64_t threads;     /* number of threads of the HTTP library */
+	int64_t seed;	     /* seed of all random choices */
+	int64_t body_max;    /* largest request body, in bytes */
+	int64_t pending_max; /* unsent bytes at which a caller counts as too slow */
+	int64_t deadline_ms; /* default time limit of a request, in milliseconds */
+	int64_t drain_ms;    /* least time to keep serving after the stop signal, in milliseconds */
+	int64_t finished_keep_s; /* time that a finished request with a claim is kept, in seconds */
+	int64_t heartbeat_ms; /* heartbeat interval while an answer is awaited, in milliseconds */
+	int64_t silent_ms;    /* longest silence while an answer is awaited, in milliseconds */
+	int64_t idle_ms;      /* heartbeat interval while no answer is awaited, in milliseconds */
+	int64_t suspect_ms;   /* time that a host is suspected per failure, in milliseconds */
 	int64_t claim_partitions; /* number of partitions that idempotency keys are hashed to */
-	int64_t claim_ms;	  /* time limit for the answer to a claim */
-	int64_t dispatch_ms;	  /* age at which a claim that was won is too old to be used */
-	int64_t first_floor_ms;	  /* shortest time limit for the first token */
-	int64_t first_ceiling_ms; /* longest time limit for the first token */
-	int64_t gap_floor_ms;	  /* shortest time limit for each next token */
-	int64_t gap_ceiling_ms;	  /* longest time limit for each next token */
-	int64_t backoff_ms;    /* delay before the second attempt; doubles for each further one */
-	int64_t resume_ms;     /* how long to try to resume a run whose stream was lost */
+	int64_t claim_ms;	  /* time limit for the answer to a claim, in milliseconds */
+	int64_t dispatch_ms;	  /* longest time from claim to dispatch, in milliseconds */
+	int64_t first_floor_ms;	  /* shortest time limit for the first token, in milliseconds */
+	int64_t first_ceiling_ms; /* longest time limit for the first token, in milliseconds */
+	int64_t gap_floor_ms;	  /* shortest time limit for each next token, in milliseconds */
+	int64_t gap_ceiling_ms;	  /* longest time limit for each next token, in milliseconds */
+	int64_t backoff_ms;    /* delay before the second attempt, in milliseconds; then doubles */
+	int64_t resume_ms;     /* time limit for resuming a run, in milliseconds */
 	int64_t attempts_max;  /* most attempts of one request, the first one included */
 	int64_t retry_burst;   /* most retries that the retry budget can hold */
 	int64_t retry_percent; /* retries added to the budget per 100 requests */
@@ -77,7 +77,7 @@
 	char *model;	      /* name of the model */
 	char *version;	      /* version of the model */
 	uint64_t tokens;      /* number of tokens still to be generated */
-	int64_t deadline_us;  /* time by which the attempt must start */
+	int64_t deadline_us;  /* time by which the attempt must start, in microseconds */
 	char **exclude;	      /* endpoints to avoid if possible, NULL-terminated */
 };
 
@@ -97,7 +97,7 @@
 	uint64_t call_id;     /* entry_call.id of the request */
 	unsigned int attempt; /* number of the attempt, from 1 */
 	char *key;	      /* "ACCOUNT/KEY" */
-	char *id;	      /* id of the claim, unique over all hosts */
+	char *id;	      /* id of the claim, unique across hosts and restarts */
 	char *run_id;	      /* id of the attempt's run at the engine */
 	char *endpoints;      /* names of the granted endpoints, separated by commas */
 	char *digest;	      /* SHA-256 of the request body, in hexadecimal */
@@ -125,7 +125,7 @@
 	GPtrArray *stages; /* GRANTED: the route, as struct entry_stage */
 
 	enum req_grant_refusal refusal; /* REFUSED: the reason */
-	int64_t retry_us;		/* REFUSED: delay before a retry is useful */
+	int64_t retry_us; /* REFUSED: delay before a retry is useful, in microseconds */
 
 	enum req_break failure; /* ATTEMPT_FAILED: the reason */
 
@@ -159,8 +159,8 @@
 	uint64_t preference;	/* hash of pool and host; this host prefers higher values */
 	unsigned int rank;	/* position in this host's order of preference, from 0 */
 	double capacity;	/* rate of the pool's first stages, in tokens per second */
-	int64_t wait_us;	/* queueing time that the last grant reported */
-	int64_t avoid_until_us; /* end of the time during which the pool is avoided */
+	int64_t wait_us;	/* wait that the last grant reported, in microseconds */
+	int64_t avoid_until_us; /* time until which the pool is avoided, in microseconds */
 };
 
 /* A grant that was requested for one attempt, and given or not yet. */
@@ -175,7 +175,7 @@
 	bool granted;		  /* the grant was given */
 	uint64_t grant_id;	  /* id of the grant at its home; 0 until a new home answers */
 	GPtrArray *stages;	  /* the granted route, as struct entry_stage */
-	int64_t asked_us;	  /* time of the request */
+	int64_t asked_us;	  /* time of the request, in microseconds */
 };
 
 /* A claim without an answer. */
@@ -219,7 +219,7 @@
 	struct hc *hc;		 /* HTTP client for engines and services */
 	struct frm_server peers; /* server for other entry daemons */
 	struct conf_state *conf; /* current configuration; NULL before the first one */
-	int64_t revision;	 /* unused; see entry.revision */
+	int64_t revision;	 /* not set; see entry.revision */
 	GPtrArray *hosts;	 /* current hosts, as struct host */
 	GHashTable *calls;	 /* entry_call.id -> struct entry_call */
 	GHashTable *claims;	 /* id of claim -> struct entry_call, finished ones included */
@@ -252,10 +252,10 @@
 	struct tmr drain_timer;	 /* fires when to check whether a shutdown can end */
 	char *boot_id;		 /* prefix that makes request ids unique across restarts */
 	bool stopping;		 /* the daemon is shutting down */
-	int64_t stop_us;	 /* time of the stop signal */
+	int64_t stop_us;	 /* time of the stop signal, in microseconds */
 	unsigned int open_calls; /* number of unfinished requests; atomic */
 	unsigned int ready;	 /* 1 if /readyz reports "ready", else 0; atomic */
-	int64_t started_us;	 /* start time of the daemon */
+	int64_t started_us;	 /* start time of the daemon, in microseconds */
 	int64_t cpu_us;		 /* CPU time of the control thread, in microseconds */
 	uint64_t revision;	 /* revision in force in the traffic thread; atomic */
 };
--- a/prog/entry_act.c
+++ b/prog/entry_act.c
@@ -6,7 +6,9 @@
 #include <ck_pr.h>
 #include <string.h>
 
-/* What the pure life of a request asks for, done: messages to the control thread, streams, answers.
+/*
+ * Actions of the request state machine (req/), which does no I/O of its own: messages to the
+ * control thread, streams to engines, and answers to callers.
  */
 static void entry_act_ask(void *ctx, unsigned int attempt, char *const *exclude);
 static void entry_act_withdraw(void *ctx, unsigned int attempt);
@@ -36,6 +38,7 @@
 	.timer = entry_act_timer,
 };
 
+/* Values of the metrics label "class". */
 static const char *const entry_class_names[ENTRY_CALL_KIND_COUNT] = {
 	[ENTRY_COMPLETION] = "completion",
 	[ENTRY_CHAT] = "chat",
@@ -135,7 +138,10 @@
 	return claim;
 }
 
-/* The claim that a new one of this call replaces: another's that was never used, or its own. */
+/*
+ * Returns the id of the claim that a new one of this request replaces: another request's claim that
+ * was never used, or this request's previous claim. Returns "" if there is none.
+ */
 static const char *entry_superseded_claim(const struct entry_call *call)
 {
 	if (call->winner_id)
@@ -146,8 +152,8 @@
 }
 
 /*
- * Without a key no other request can be the same one, so there is nothing to claim; it still is
- * dispatched at most once.
+ * A request without an idempotency key has no duplicates, so it needs no claim and counts as having
+ * won one. It is still dispatched at most once.
  */
 static void entry_act_claim(void *ctx, unsigned int attempt, bool supersede)
 {
@@ -212,7 +218,7 @@
 	entry_join_request(ctx);
 }
 
-/* Histograms and counters of requests are kept for each client account and class. */
+/* Returns the labels of a request's metrics, which are kept per client account and class. */
 static char *entry_call_labels(const struct entry_call *call)
 {
 	return g_strdup_printf("account=\"%s\",class=\"%s\"", call->account,
@@ -235,7 +241,7 @@
 	entry_answer_token(call, index, text, len);
 }
 
-static void entry_call_count(const struct entry_call *call, enum req_code code)
+static void entry_call_record_metrics(const struct entry_call *call, enum req_code code)
 {
 	char *labels = g_strdup_printf("account=\"%s\",code=\"%s\"", call->account,
 				       req_code_info(code)->name);
@@ -249,8 +255,8 @@
 }
 
 /*
- * A call that claimed a key is kept for a while after its end: another entry host may ask what
- * became of it.
+ * Ends a request. If it claimed a key, it is kept for finished_keep_s, since another entry host may
+ * ask for its result.
  */
 static void entry_act_finish(void *ctx, enum req_code code, int64_t retry_us)
 {
@@ -263,7 +269,7 @@
 	log_msg(code == REQ_OK ? LOG_DEBUG : LOG_INFO,
 		"request_end request=%s account=%s code=%s tokens=%u attempts=%u", call->request,
 		call->account, req_code_info(code)->name, call->tokens->len, call->req.attempt);
-	entry_call_count(call, code);
+	entry_call_record_metrics(call, code);
 	tmr_cancel(&e->traffic.loop.tmr, &call->timer);
 	entry_answer_finish(call, code, retry_us);
 	entry_join_answer_all(call);
@@ -271,7 +277,7 @@
 	ck_pr_dec_uint(&e->open_calls);
 }
 
-static void entry_on_timer(void *ctx, int64_t now_us)
+static void entry_call_on_timer(void *ctx, int64_t now_us)
 {
 	struct entry_call *call = ctx;
 
@@ -282,5 +288,5 @@
 {
 	struct entry_call *call = ctx;
 
-	tmr_set(&call->entry->traffic.loop.tmr, &call->timer, due_us, entry_on_timer, call);
+	tmr_set(&call->entry->traffic.loop.tmr, &call->timer, due_us, entry_call_on_timer, call);
 }
--- a/prog/entry_answer.c
+++ b/prog/entry_answer.c
@@ -4,10 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What callers get: the completions interface that their client libraries know. */
+/*
+ * Answers to callers, in the format of the completions interface that common client libraries use.
+ */
+
+/* Values of the JSON field "object". */
 struct entry_format {
-	const char *object;	  /* of a whole answer */
-	const char *chunk_object; /* of a part */
+	const char *object;	  /* in an answer that is sent as a whole */
+	const char *chunk_object; /* in each part of a streamed answer */
 };
 
 static const struct entry_format entry_formats[ENTRY_CALL_KIND_COUNT] = {
@@ -15,6 +19,7 @@
 	[ENTRY_CHAT] = {"chat.completion", "chat.completion.chunk"},
 };
 
+/* Sets the headers that every answer has. ran: value of the header Bg-Ran. */
 static void entry_set_headers(struct hd_call *http, const char *request, const char *ran,
 			      int64_t retry_us)
 {
@@ -55,7 +60,7 @@
 	prog_reply_json(http, info->status, entry_error_json(code, detail));
 }
 
-/* The route as "ENDPOINT:FIRST-LAST,..." */
+/* Returns the route as "ENDPOINT:FIRST-LAST,...", with first and last layer; g_free() it. */
 static char *entry_route_text(const struct entry_call *call)
 {
 	GString *text = g_string_new(NULL);
@@ -101,7 +106,7 @@
 			 call->model, "choices", choice);
 }
 
-/* One server-sent event. Returns false when the caller is gone or too slow. */
+/* Sends one server-sent event. Returns false if the caller has disconnected or reads too slowly. */
 static bool entry_answer_event(struct entry_call *call, json_t *json)
 {
 	char *text = json_dumps(json, JSON_COMPACT);
@@ -115,8 +120,8 @@
 }
 
 /*
- * A caller that reads too slowly is treated as gone: the parts that it has not taken would
- * otherwise pile up here without limit. The sweep ends its request.
+ * A caller that reads too slowly is treated as disconnected, since unsent parts of its answer would
+ * otherwise accumulate without limit. entry_on_sweep_timer() ends its request.
  */
 void entry_answer_token(struct entry_call *call, uint64_t index, const char *text, size_t len)
 {
@@ -195,7 +200,7 @@
 	hd_reply(call->http, call->service_status, "application/json", len > 0 ? body : "", len);
 }
 
-/* An answer without a single token has not been begun; it still is a whole stream. */
+/* Sends the headers of a streamed answer that has no tokens. */
 static void entry_begin_stream(struct entry_call *call)
 {
 	call->answer_begun = true;
--- a/prog/entry_broker.c
+++ b/prog/entry_broker.c
@@ -3,7 +3,10 @@
 
 #include <string.h>
 
-/* State of the control thread's dealings with homes; the duties are in the files beside. */
+/*
+ * Sets up the control thread's state for grants and claims. entry_home.c, entry_pools.c,
+ * entry_grant.c, entry_local.c and entry_claim.c operate on it.
+ */
 void entry_broker_start(struct entry *e)
 {
 	struct entry_broker *b = &e->broker;
--- a/prog/entry_call.c
+++ b/prog/entry_call.c
@@ -8,11 +8,11 @@
 #include <string.h>
 
 /*
- * Requests in the traffic thread: from what the HTTP side has read to the pure life of a request
- * (req/), events from the control thread, and housekeeping.
+ * Requests in the traffic thread: checks what the HTTP threads have parsed, starts the request
+ * state machine (req/), passes it events of the control thread, and removes old requests.
  */
 enum {
-	ENTRY_SWEEP_US = 200000
+	ENTRY_SWEEP_US = 200000 /* interval of checks for disconnected callers, in microseconds */
 };
 
 static void entry_call_authorize(struct entry_call *call);
@@ -64,7 +64,7 @@
 	entry_call_authorize(call);
 }
 
-/* Ends a call that never became a request. */
+/* Answers a call with an error and frees it; its state machine was not started. */
 static void entry_call_refuse(struct entry_call *call, enum req_code code, const char *detail)
 {
 	struct entry *e = call->entry;
@@ -81,7 +81,10 @@
 	entry_call_free(call);
 }
 
-/* Bearer tokens are NAME.SECRET, so one account's hash is compared and not all. */
+/*
+ * Returns the client account that the bearer token belongs to, or NULL. The token has the form
+ * NAME.SECRET, so that only the hash of the named account has to be compared.
+ */
 static const struct conf_obj *entry_call_account(const struct entry_call *call)
 {
 	const char *token = call->account;
@@ -99,7 +102,10 @@
 	return NULL;
 }
 
-/* MODEL is the version that is declared as current; MODEL@VERSION another one that is served. */
+/*
+ * Splits MODEL@VERSION; without @VERSION, the version that the configuration declares as current is
+ * used. Returns false if the model is unknown.
+ */
 static bool entry_call_version(struct entry_call *call)
 {
 	char *at = strchr(call->model, '@');
@@ -220,6 +226,7 @@
 	g_free(names);
 }
 
+/* Returns the address of the first of the named endpoints, or NULL if it is unknown. */
 static const char *entry_stage_address(struct entry *e, const char *endpoints)
 {
 	char *first = g_strndup(endpoints, strcspn(endpoints, ","));
@@ -311,7 +318,7 @@
 	}
 }
 
-/* A caller that hangs up must not go on holding an endpoint. */
+/* Ends the requests of disconnected callers, so that they do not continue to occupy endpoints. */
 static void entry_on_sweep_timer(void *ctx, int64_t now_us)
 {
 	struct entry *e = ctx;
--- a/prog/entry_call.h
+++ b/prog/entry_call.h
@@ -30,8 +30,8 @@
 	uint64_t max_tokens; /* number of tokens to generate */
 	char *key;	     /* value of the Idempotency-Key header, or NULL */
 	char *digest;	     /* SHA-256 of the request body, in hexadecimal */
-	int64_t deadline_us; /* time by which the request must start */
-	int64_t began_us;    /* time at which the request was received */
+	int64_t deadline_us; /* time by which the request must be finished, in microseconds */
+	int64_t began_us;    /* time at which the request was received, in microseconds */
 
 	/* Only set for a request to a plain service. */
 	char *service;		/* name of the service */
@@ -41,21 +41,21 @@
 	size_t body_len;	/* length of the request body, in bytes */
 	char *content_type;	/* content type of the request body */
 	int service_status;	/* HTTP status that the service answered */
-	char *service_type;	/* unused: content type that the service answered */
+	char *service_type;	/* content type of the service's answer; not set */
 	guint service_attempts; /* number of attempts so far, to take the addresses in turn */
 
-	struct req req;		      /* state machine of the request */
-	bool req_ready;		      /* req is initialized */
-	struct tmr timer;	      /* timer of the state machine */
-	struct hc_call *hc;	      /* HTTP call of the current attempt, or NULL */
-	GString *sse_buffer;	      /* received bytes of an incomplete server-sent event */
-	bool last_frame_seen;	      /* the engine sent its last frame or an error */
-	char *faulty_endpoint;	      /* endpoint that the engine named as faulty, or NULL */
-	GPtrArray *stages;	      /* route of the current attempt, as struct entry_stage */
-	char *run_id;		      /* id of the run at the engine */
-	char *run_address;	      /* address of the engine that can resume the run */
-	GPtrArray *tokens;	      /* delivered tokens, as GBytes */
-	int64_t last_token_us;	      /* time of the last delivered token; 0 if none */
+	struct req req;	       /* state machine of the request */
+	bool req_ready;	       /* req is initialized */
+	struct tmr timer;      /* timer of the state machine */
+	struct hc_call *hc;    /* HTTP call of the current attempt, or NULL */
+	GString *sse_buffer;   /* received bytes of an incomplete server-sent event */
+	bool last_frame_seen;  /* the engine sent its last frame or an error */
+	char *faulty_endpoint; /* endpoint that the engine named as faulty, or NULL */
+	GPtrArray *stages;     /* route of the current attempt, as struct entry_stage */
+	char *run_id;	       /* id of the run at the engine */
+	char *run_address;     /* address of the engine that can resume the run */
+	GPtrArray *tokens;     /* delivered tokens, as GBytes */
+	int64_t last_token_us; /* time of the last delivered token, in microseconds; 0 if none */
 	uint64_t attempt_first_token; /* index of the current attempt's first token */
 
 	GPtrArray *claim_ids; /* ids of the claims that this request made, oldest first */
@@ -66,7 +66,7 @@
 	bool answer_begun;    /* the headers of a streamed answer were sent */
 	bool too_slow;	      /* the caller reads its answer too slowly */
 	GPtrArray *joiners;   /* requests that wait for this answer, as struct entry_joiner */
-	int64_t finished_us;  /* time at which the request ended */
+	int64_t finished_us;  /* time at which the request ended, in microseconds */
 };
 
 /* A request with the same key that waits for the answer, on this host or on another one. */
@@ -126,7 +126,10 @@
 /* Sends a token to a caller that requested a stream. */
 void entry_answer_token(struct entry_call *call, uint64_t index, const char *text, size_t len);
 
-/* Sends the end of the answer, or the error. retry_us: delay before a retry is useful, or 0. */
+/*
+ * Sends the end of the answer, or an error. retry_us is the delay in microseconds before a retry is
+ * useful, or 0.
+ */
 void entry_answer_finish(struct entry_call *call, enum req_code code, int64_t retry_us);
 
 /*
--- a/prog/entry_claim.c
+++ b/prog/entry_claim.c
@@ -8,9 +8,9 @@
 
 #include <string.h>
 
-/* Claims: asked of the homes of keys on behalf of the traffic thread. */
+/* Requests claims of idempotency keys from their homes on behalf of the traffic thread. */
 enum {
-	ENTRY_CLAIM_HOMES_MAX = 3 /* homes tried before the log counts as out */
+	ENTRY_CLAIM_HOMES_MAX = 3 /* homes asked before a claim counts as undecidable */
 };
 
 static void entry_claim_submit(struct entry *e, struct entry_pending_claim *pending);
@@ -53,6 +53,7 @@
 	entry_send_event(e, event);
 }
 
+/* Returns the connection to the home of a key's partition, or NULL. */
 static struct entry_home *entry_claim_home(struct entry *e, const char *key)
 {
 	char *name = g_strdup_printf(
@@ -63,7 +64,10 @@
 	return host ? entry_home_connect(e, host) : NULL;
 }
 
-/* The same claim may be asked for at several homes; the log knows it by its id. */
+/*
+ * Sends a claim to the home of its key. Several homes may receive the same claim, since the log
+ * identifies it by its id.
+ */
 static void entry_claim_submit(struct entry *e, struct entry_pending_claim *pending)
 {
 	struct entry_claim *claim = pending->claim;
--- a/prog/entry_grant.c
+++ b/prog/entry_grant.c
@@ -8,18 +8,19 @@
 #include <string.h>
 
 /*
- * Grants: asked of the homes of pools on behalf of the traffic thread. A home that is lost is
- * replaced by the next in rendezvous order, which is told what waits and what is in flight.
+ * Requests grants from the homes of pools on behalf of the traffic thread. A lost home is replaced
+ * by the next host in rendezvous order, which receives the pending requests and the grants in use.
  */
 enum {
-	ENTRY_GRANT_HOMES_MAX = 3, /* homes tried before the entry decides alone */
-	ENTRY_POOLS_TRIED_MAX = 2,
-	ENTRY_ATTEMPTS_MAX = 128, /* above the settings' limit */
-	ENTRY_POOL_AVOID_US = USEC_PER_SEC
+	ENTRY_GRANT_HOMES_MAX = 3,	   /* homes asked before this host decides locally */
+	ENTRY_POOLS_TRIED_MAX = 2,	   /* pools asked before a refusal is final */
+	ENTRY_ATTEMPT_KEY_FACTOR = 128,	   /* larger than any attempts_max */
+	ENTRY_POOL_AVOID_US = USEC_PER_SEC /* longest time to avoid a pool, in microseconds */
 };
 
 static void entry_grant_submit(struct entry *e, struct entry_grant *grant);
 
+/* Reasons of pools as reasons of the request state machine. */
 static const enum req_grant_refusal entry_refusals[POOL_REFUSE_COUNT] = {
 	[POOL_REFUSE_FULL] = REQ_GRANT_QUEUE,
 	[POOL_REFUSE_DEADLINE] = REQ_GRANT_WAIT,
@@ -55,7 +56,7 @@
 	g_free(grant);
 }
 
-/* Tells a home what is in flight that another one had granted. */
+/* Reports a grant in use that another home has given to the new home of its pool. */
 static void entry_send_holding(struct entry_grant *grant, struct entry_home *home)
 {
 	Pool__Holding msg = POOL__HOLDING__INIT;
@@ -126,7 +127,10 @@
 	frm_send(home->conn, MSG_POOL_DONE, &msg.base);
 }
 
-/* Asks the pool's home, or decides here when the homes in rendezvous order all seem lost. */
+/*
+ * Requests a grant from the pool's home. Decides locally if too many homes were tried or none is
+ * usable.
+ */
 static void entry_grant_submit(struct entry *e, struct entry_grant *grant)
 {
 	const struct host *host = NULL;
@@ -144,9 +148,10 @@
 		entry_local_request_grant(e, grant);
 }
 
+/* Returns the key of an attempt in grants_by_call. */
 static uint64_t entry_attempt_key(uint64_t call_id, unsigned int attempt)
 {
-	return call_id * ENTRY_ATTEMPTS_MAX + attempt;
+	return call_id * ENTRY_ATTEMPT_KEY_FACTOR + attempt;
 }
 
 void entry_post_grant_request(void *task)
@@ -200,7 +205,7 @@
 	struct entry_home *home = grant ? entry_home_find(e, grant->home) : NULL;
 
 	if (grant && grant->granted) {
-		/* The grant was on its way to the traffic thread. */
+		/* The grant was given, but the traffic thread had not received it yet. */
 		entry_post_grant_end(task);
 		return;
 	}
@@ -241,8 +246,11 @@
 	g_free(grant_end);
 }
 
-/* Names become addresses and layers by this host's own view of the configuration. */
-static GPtrArray *entry_stages(struct entry *e, char **names, size_t n)
+/*
+ * Looks up addresses and layers of the named endpoints in this host's view of the configuration.
+ * Returns NULL if one is unknown.
+ */
+static GPtrArray *entry_stages_by_name(struct entry *e, char **names, size_t n)
 {
 	GPtrArray *stages = g_ptr_array_new_with_free_func(entry_stage_free);
 	int next = 0;
@@ -299,11 +307,11 @@
 {
 	struct entry_event *event;
 
-	grant->stages = entry_stages(e, names, n);
+	grant->stages = entry_stages_by_name(e, names, n);
 	grant->granted = true;
 	grant->grant_id = grant_id;
 	if (!grant->stages) {
-		/* The home knows an endpoint that this host's view does not have yet. */
+		/* The home has an endpoint that this host's configuration does not have yet. */
 		grant->stages = g_ptr_array_new_with_free_func(entry_stage_free);
 		met_add(met_counter("bg_grants_of_unknown_endpoints_total", ""), 1);
 	}
@@ -391,7 +399,7 @@
 	return 0;
 }
 
-/* What was granted is told to the home of now; what waits is asked there. */
+/* Reports a grant to the pool's current home, or requests it there if it is pending. */
 static void entry_grant_change_home(struct entry *e, struct entry_grant *grant)
 {
 	if (grant->granted)
@@ -400,7 +408,6 @@
 		entry_grant_submit(e, grant);
 }
 
-/* What a lost home had goes to the next one: what was granted, and what waits. */
 void entry_grants_home_lost(struct entry *e, const char *host)
 {
 	GList *grants = g_hash_table_get_values(e->broker.grants);
@@ -415,8 +422,8 @@
 }
 
 /*
- * The list has changed, so pools may have another home. Their grants and what waits move there;
- * the old home, if it still lives, is told that it has them no more.
+ * Moves grants and pending requests whose pools have another home in the new list of hosts. The old
+ * home, if it is still connected, receives the end of the grant or the withdrawal of the request.
  */
 void entry_grants_on_hosts(struct entry *e)
 {
--- a/prog/entry_home.c
+++ b/prog/entry_home.c
@@ -6,7 +6,8 @@
 
 #include <string.h>
 
-/* Connections to the control daemons that are homes of pools and keys. */
+/* Connections to the control daemons that are homes of pools and of idempotency keys. */
+
 typedef int (*entry_home_fn)(struct entry *e, const uint8_t *body, size_t len);
 
 static int entry_home_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -31,10 +32,6 @@
 	return limits;
 }
 
-/*
- * The home of a pool, or NULL when every host that could be it is suspected: to wait for such a
- * host again would cost each request the whole limit of silence, and grants can be decided here.
- */
 const struct host *entry_home_host(const struct entry *e, const char *key)
 {
 	int64_t now = tmr_now();
@@ -68,7 +65,7 @@
 	return host ? g_hash_table_lookup(e->broker.homes, host) : NULL;
 }
 
-/* Only while something is waited for does the connection ask for signs of life often. */
+/* The connection uses the short heartbeat interval only while an answer is pending. */
 void entry_home_begin_wait(struct entry_home *home)
 {
 	home->unanswered++;
@@ -99,8 +96,8 @@
 }
 
 /*
- * A home is gone, or has gone silent. Waiting without end for its answers would stall every request
- * of its pools, so all that it had is told to the next home at once.
+ * The connection to a home was closed or has been silent for too long. Waiting for its answers
+ * would stall every request of its pools, so its grants and claims move to the next home at once.
  */
 static void entry_home_on_close(void *ctx, struct frm_conn *conn, int err)
 {
--- a/prog/entry_http.c
+++ b/prog/entry_http.c
@@ -7,10 +7,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Callers' HTTP: runs in the library's threads, reads the request, and hands it to traffic. */
+/*
+ * HTTP interface for callers. Runs in the threads of the HTTP library, parses requests, and passes
+ * them to the traffic thread.
+ */
 enum {
-	ENTRY_MAX_TOKENS_DEFAULT = 16,
-	ENTRY_KEY_BYTES_MAX = 200
+	ENTRY_MAX_TOKENS_DEFAULT = 16, /* tokens generated if max_tokens is missing */
+	ENTRY_KEY_BYTES_MAX = 200      /* longest Idempotency-Key, in bytes */
 };
 
 typedef void (*entry_http_fn)(struct entry *e, struct hd_call *http);
@@ -38,6 +41,7 @@
 	{"POST", "/v1/chat/completions", entry_http_chat},
 };
 
+/* Returns a request id that is unique over all hosts and restarts; g_free() it. */
 static char *entry_request_id(struct entry *e)
 {
 	static uint64_t last;
@@ -45,7 +49,7 @@
 	return g_strdup_printf("%s-%" G_GUINT64_FORMAT, e->boot_id, ck_pr_faa_64(&last, 1) + 1);
 }
 
-static void entry_http_text(struct hd_call *http, int status, const char *text)
+static void entry_http_reply_text(struct hd_call *http, int status, const char *text)
 {
 	hd_reply(http, status, "text/plain", text, strlen(text));
 	hd_unref(http);
@@ -54,14 +58,14 @@
 static void entry_http_healthz(struct entry *e, struct hd_call *http)
 {
 	(void)e;
-	entry_http_text(http, 200, "ok\n");
+	entry_http_reply_text(http, 200, "ok\n");
 }
 
 static void entry_http_readyz(struct entry *e, struct hd_call *http)
 {
 	bool ready = ck_pr_load_uint(&e->ready) != 0;
 
-	entry_http_text(http, ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
+	entry_http_reply_text(http, ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
 }
 
 static void entry_http_metrics(struct entry *e, struct hd_call *http)
@@ -80,13 +84,13 @@
 	g_string_free(out, TRUE);
 }
 
-/* A call whose models are listed in the traffic thread, which owns the configuration. */
+/* A request for the list of models, passed to the traffic thread, which owns the configuration. */
 struct entry_models_task {
 	struct entry *entry;
 	struct hd_call *http;
 };
 
-static void entry_add_model(void *ctx, const struct conf_obj *obj)
+static void entry_http_append_model(void *ctx, const struct conf_obj *obj)
 {
 	json_array_append_new(ctx, json_pack("{s:s, s:s, s:s}", "id", obj->name, "object", "model",
 					     "version", obj->text[MODEL_VERSION]));
@@ -98,7 +102,7 @@
 	json_t *list = json_array();
 
 	if (task->entry->traffic.conf)
-		conf_each(task->entry->traffic.conf, CONF_MODEL, entry_add_model, list);
+		conf_each(task->entry->traffic.conf, CONF_MODEL, entry_http_append_model, list);
 	prog_reply_json(task->http, 200, json_pack("{s:s, s:o}", "object", "list", "data", list));
 	g_free(task);
 }
@@ -112,7 +116,7 @@
 	loop_post(&e->traffic.loop, entry_http_reply_models, task);
 }
 
-/* --- requests --- */
+/* --- completions, chats and services --- */
 
 static struct entry_call *entry_call_new(struct entry *e, struct hd_call *http,
 					 enum entry_call_kind kind)
@@ -132,7 +136,8 @@
 	call->claim_ids = g_ptr_array_new_with_free_func(g_free);
 	call->joiners = g_ptr_array_new_with_free_func(g_free);
 	token = token ? prog_path_below(token, "Bearer ") : NULL;
-	call->account = g_strdup(token); /* the token, until it has been checked */
+	/* The bearer token takes the place of the name until entry_call_authorize() has run. */
+	call->account = g_strdup(token);
 	return call;
 }
 
@@ -143,7 +148,7 @@
 	entry_call_free(call);
 }
 
-/* Returns NULL or the name of the header that is wrong. */
+/* Reads the request headers. Returns NULL, or the name of an invalid header. */
 static const char *entry_read_headers(struct entry_call *call)
 {
 	const char *idempotent = hd_header(call->http, "Bg-Idempotent");
@@ -172,7 +177,7 @@
 	return g_compute_checksum_for_data(G_CHECKSUM_SHA256, (const guchar *)body, len);
 }
 
-/* The messages of a chat as one prompt. Returns the place of what is wrong, or NULL. */
+/* Joins the messages of a chat into one prompt. Returns NULL, or the names of invalid fields. */
 static const char *entry_read_messages(struct entry_call *call, const json_t *json)
 {
 	const json_t *messages = json_object_get(json, "messages");
@@ -198,7 +203,7 @@
 	return NULL;
 }
 
-/* Returns the place of what is wrong, or NULL. */
+/* Reads the request body. Returns NULL, or what is invalid: the names of fields or a message. */
 static const char *entry_read_body(struct entry_call *call, const json_t *json)
 {
 	const json_t *max = json_object_get(json, "max_tokens");
@@ -264,7 +269,7 @@
 	entry_http_generate(e, http, ENTRY_CHAT);
 }
 
-/* /svc/NAME/REST goes to one of the service's addresses as /REST. */
+/* Passes a request for /svc/NAME/PATH to one of the addresses of the service NAME, as /PATH. */
 static void entry_http_service(struct entry *e, struct hd_call *http)
 {
 	struct entry_call *call = entry_call_new(e, http, ENTRY_SERVICE);
--- a/prog/entry_join.c
+++ b/prog/entry_join.c
@@ -8,14 +8,16 @@
 #include <string.h>
 
 /*
- * Two requests with one key: the one that lost the claim gets the whole answer of the one that won,
- * from this host's memory or from the entry host that the claim names.
+ * Of two requests with the same idempotency key, the one that lost the claim receives the whole
+ * answer of the one that won, from this host or from the entry host that the claim names.
  */
+
+/* A connection to another entry daemon that this host requests answers from. */
 struct entry_join_conn {
 	struct entry *entry;
-	char *host;
+	char *host; /* name of the other host */
 	struct frm_conn *conn;
-	GHashTable *waiting; /* call id -> itself; ask_id is the call id */
+	GHashTable *waiting; /* set of the ids of calls that await an answer */
 };
 
 static int entry_peer_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -38,7 +40,7 @@
 			  &limits, e);
 }
 
-/* --- the side that has the answer --- */
+/* --- sending answers --- */
 
 static enum entry_join_state entry_join_state_of(const struct entry_call *call)
 {
@@ -112,15 +114,17 @@
 	}
 }
 
-/* --- the side that asks --- */
+/* --- requesting answers --- */
 
-static struct entry_call *entry_call_by_id(struct entry *e, uint64_t id)
+/* Returns the call with this id, or NULL if it is unknown or finished. */
+static struct entry_call *entry_unfinished_call(struct entry *e, uint64_t id)
 {
 	struct entry_call *call = g_hash_table_lookup(e->traffic.calls, &id);
 
 	return call && !call->finished ? call : NULL;
 }
 
+/* Passes the winner's answer to a request that waits for it. */
 static void entry_join_receive_answer(struct entry_call *call, enum entry_join_state state,
 				      enum req_code code, int status, GPtrArray *tokens)
 {
@@ -152,7 +156,7 @@
 		entry_join_send_msg(joiner->conn, joiner->ask_id, from);
 		return;
 	}
-	call = entry_call_by_id(from->entry, joiner->call_id);
+	call = entry_unfinished_call(from->entry, joiner->call_id);
 	if (call)
 		entry_join_receive_answer(call, entry_join_state_of(from), from->code,
 					  from->service_status, from->tokens);
@@ -200,7 +204,10 @@
 	return join;
 }
 
-/* A message to itself, since a request must not be called from inside its own action. */
+/*
+ * A task that the traffic thread posts to itself, since an action of a request's state machine must
+ * not call back into the state machine.
+ */
 struct entry_join_task {
 	struct entry *entry;
 	uint64_t call_id;
@@ -210,7 +217,7 @@
 {
 	struct entry_join_task *join_task = task;
 	struct entry *e = join_task->entry;
-	struct entry_call *call = entry_call_by_id(e, join_task->call_id);
+	struct entry_call *call = entry_unfinished_call(e, join_task->call_id);
 	struct entry_call *winner;
 	struct entry_join_conn *join;
 	struct entry_joiner joiner = {join_task->call_id, NULL, 0};
@@ -267,7 +274,7 @@
 	}
 	g_hash_table_remove(join->waiting, &msg->ask_id);
 	frm_set_active(join->conn, g_hash_table_size(join->waiting) > 0);
-	call = entry_call_by_id(join->entry, msg->ask_id);
+	call = entry_unfinished_call(join->entry, msg->ask_id);
 	tokens = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	for (size_t i = 0; i < msg->n_tokens; i++)
 		g_ptr_array_add(tokens, g_bytes_new(msg->tokens[i].data, msg->tokens[i].len));
@@ -279,7 +286,7 @@
 	return 0;
 }
 
-/* The winner's host is gone: what it had may still be had from the engine. */
+/* The winner's host was lost. The state machine may still resume the winner's run at the engine. */
 static void entry_join_on_close(void *ctx, struct frm_conn *conn, int err)
 {
 	struct entry_join_conn *join = ctx;
@@ -292,7 +299,7 @@
 	g_hash_table_remove(e->traffic.join_conns, join->host);
 	g_hash_table_iter_init(&iter, join->waiting);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		struct entry_call *call = entry_call_by_id(e, *(uint64_t *)key);
+		struct entry_call *call = entry_unfinished_call(e, *(uint64_t *)key);
 
 		if (call)
 			req_on_join_lost(&call->req, tmr_now());
--- a/prog/entry_local.c
+++ b/prog/entry_local.c
@@ -7,11 +7,14 @@
 #include <string.h>
 
 /*
- * Deciding alone: when no home answers, an entry host grants by itself, from its last view of the
- * configuration and within its part of each endpoint's slots.
+ * Local decisions: when no home is reachable, an entry host grants requests itself, based on its
+ * last view of the configuration and within its share of each endpoint's slots.
  */
 enum {
-	ENTRY_LOCAL_OVERLAP_PERCENT = 100, /* cautious: nobody counts for all */
+	/* Conservative value of overlap_percent, since no daemon counts the grants of all hosts. */
+	ENTRY_LOCAL_OVERLAP_PERCENT = 100,
+
+	/* Delay in microseconds before a failed endpoint counts as usable again. */
 	ENTRY_LOCAL_RETRY_US = 2 * USEC_PER_SEC
 };
 
@@ -103,13 +106,17 @@
 		entry_grant_refused(e, grant, why, retry_us);
 }
 
+/* Does nothing: endpoints are not polled from here. */
 static void entry_local_probe(void *ctx, const struct pool_endpoint *endpoint)
 {
 	(void)ctx;
 	(void)endpoint;
 }
 
-/* Nobody polls endpoints for a pool that is decided here, so what failed is tried again in time. */
+/*
+ * No daemon polls the endpoints of a pool that is decided locally, so failed endpoints count as
+ * usable again after ENTRY_LOCAL_RETRY_US.
+ */
 void entry_local_pools_tick(struct entry *e, int64_t now_us)
 {
 	GHashTableIter iter;
--- a/prog/entry_pools.c
+++ b/prog/entry_pools.c
@@ -6,9 +6,9 @@
 
 #include <string.h>
 
-/* What the control thread knows of pools, and which of them it asks. */
+/* The pools that the control thread knows, and the choice of the pool to request a grant from. */
 enum {
-	ENTRY_PREFERRED_POOLS = 4 /* of each model, that a host asks first */
+	ENTRY_PREFERRED_POOLS = 4 /* number of pools of each model that a host asks before others */
 };
 
 static void entry_rank_pools(struct entry *e);
@@ -43,7 +43,7 @@
 		pool->capacity += (double)obj->value[ENDPOINT_RATE];
 }
 
-/* Pools that are not declared any more stay while something holds on to them. */
+/* Pools that are no longer declared stay with capacity 0, since grants may refer to them. */
 void entry_pools_on_conf(struct entry *e)
 {
 	GHashTableIter iter;
@@ -60,6 +60,7 @@
 	entry_rank_pools(e);
 }
 
+/* Cost of using a pool; 1000 us are added so that capacity also counts when there is no wait. */
 static double entry_pool_cost(const struct entry_pool *pool)
 {
 	return (double)(pool->wait_us + 1000) / MAX(pool->capacity, 1);
@@ -74,9 +75,10 @@
 }
 
 /*
- * Pools of the model that come before this one in the order that hashing gives this host. Each
- * entry host keeps to the first few pools of each model: if all asked all, every home would have a
- * connection of every entry host, and their heartbeats alone would be over what a node may send.
+ * Returns how many pools of the same model this host prefers to this one. Hashing gives each entry
+ * host its own order of preference, and it uses the first ENTRY_PREFERRED_POOLS pools of each
+ * model. If all hosts used all pools, every home would have a connection from every entry host, and
+ * the heartbeats alone would exceed what a node may send.
  */
 static unsigned int entry_pool_rank(const struct entry *e, const struct entry_pool *pool)
 {
@@ -107,7 +109,10 @@
 	}
 }
 
-/* Two random choices by capacity; the one with the shorter wait by what the last grants told. */
+/*
+ * Draws two pools at random, weighted by capacity, and returns the one with the lower cost: the
+ * wait that the last grant reported, relative to the capacity.
+ */
 struct entry_pool *entry_choose_pool(struct entry *e, const struct entry_grant *grant,
 				     const struct entry_pool *excluded, bool skip_refusing,
 				     bool preferred_only)
--- a/prog/entry_stream.c
+++ b/prog/entry_stream.c
@@ -6,25 +6,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams to and from engines, and single calls to plain services. */
+/* Streams from engines, and HTTP calls to plain services. */
 enum {
-	ENTRY_CANCEL_MS = 1000
+	ENTRY_CANCEL_MS = 1000 /* time limit of the call that ends a run, in milliseconds */
 };
 
-static void entry_on_data(void *ctx, const char *data, size_t len);
-static void entry_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len);
-static void entry_on_service_done(void *ctx, int status, int err, bool sent, const char *body,
+static void entry_stream_on_data(void *ctx, const char *data, size_t len);
+static void entry_stream_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len);
+static void entry_service_on_done(void *ctx, int status, int err, bool sent, const char *body,
 				  size_t len);
-static void entry_on_canceled(void *ctx, int status, int err, bool sent, const char *body,
-			      size_t len);
+static void entry_cancel_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len);
 static void entry_service_dispatch(struct entry_call *call);
 
-static const struct hc_ops entry_stream_ops = {.on_data = entry_on_data, .on_done = entry_on_done};
-static const struct hc_ops entry_service_ops = {.on_done = entry_on_service_done};
-static const struct hc_ops entry_cancel_ops = {.on_done = entry_on_canceled};
+static const struct hc_ops entry_stream_ops = {.on_data = entry_stream_on_data,
+					       .on_done = entry_stream_on_done};
+static const struct hc_ops entry_service_ops = {.on_done = entry_service_on_done};
+static const struct hc_ops entry_cancel_ops = {.on_done = entry_cancel_on_done};
 
-/* --- the engine's stream --- */
+/* --- streams from engines --- */
 
+/* Returns the body of the request to the engine, as JSON; free() it. */
 static char *entry_dispatch_body(const struct entry_call *call, unsigned int attempt,
 				 uint64_t delivered)
 {
@@ -49,7 +52,10 @@
 	return text;
 }
 
-/* The request must not be called from inside its own action; it hears of this a moment later. */
+/*
+ * Reports a failed attempt to the request's state machine as an event, since its actions must not
+ * call back into it.
+ */
 static void entry_post_attempt_failed(struct entry_call *call, enum req_break why)
 {
 	struct entry_event *event =
@@ -59,7 +65,10 @@
 	entry_send_event(call->entry, event);
 }
 
-/* An earlier stream of the call may still be open: the engine said that its run has failed. */
+/*
+ * Prepares for a new stream. An earlier one may still be open if the engine reported in it that its
+ * run failed.
+ */
 static void entry_stream_reset(struct entry_call *call)
 {
 	if (call->hc)
@@ -71,9 +80,10 @@
 }
 
 /*
- * The HTTP library sends a request again by itself when a connection that was used before ends
- * without any answer, although the engine may have run it: the ledger then shows two runs of one
- * key. It does not do so on a new connection, so a non-idempotent request gets one of its own.
+ * The HTTP library repeats a request on its own when a reused connection is closed without an
+ * answer, although the engine may have run the request; the engine's ledger then shows two runs of
+ * one key. The library does not do so on a new connection, so a non-idempotent request always gets
+ * a new one.
  */
 void entry_stream_dispatch(struct entry_call *call, unsigned int attempt, uint64_t delivered)
 {
@@ -110,10 +120,7 @@
 	free(body);
 }
 
-/*
- * Attaches to a run that exists already, always on a new connection: the old one may be silent for
- * good though the run goes on.
- */
+/* Always uses a new connection, since the old one may stay silent although the run continues. */
 void entry_stream_resume(struct entry_call *call, uint64_t from)
 {
 	char *url;
@@ -136,8 +143,8 @@
 	g_free(url);
 }
 
-static void entry_on_canceled(void *ctx, int status, int err, bool sent, const char *body,
-			      size_t len)
+static void entry_cancel_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len)
 {
 	(void)ctx;
 	(void)err;
@@ -148,7 +155,7 @@
 		met_add(met_counter("bg_cancel_failures_total", ""), 1);
 }
 
-/* Closing the stream is enough for most engines; a detached run has to be told. */
+/* Closing the stream ends most runs; a detached run needs an explicit DELETE. */
 void entry_stream_cancel(struct entry_call *call, bool stop)
 {
 	char *url;
@@ -170,7 +177,7 @@
 	g_free(url);
 }
 
-static void entry_on_frame(struct entry_call *call, const json_t *json)
+static void entry_stream_on_frame(struct entry_call *call, const json_t *json)
 {
 	const json_t *text = json_object_get(json, "text");
 	const json_t *index = json_object_get(json, "index");
@@ -193,8 +200,8 @@
 	}
 }
 
-/* Server-sent events: frames are lines "data: JSON" with an empty line behind each. */
-static void entry_on_data(void *ctx, const char *data, size_t len)
+/* Parses server-sent events: each frame is a line "data: JSON" followed by an empty line. */
+static void entry_stream_on_data(void *ctx, const char *data, size_t len)
 {
 	struct entry_call *call = ctx;
 	const struct hc_call *stream = call->hc;
@@ -210,7 +217,7 @@
 			json = json_loadb(payload, (size_t)(end - payload), 0, NULL);
 		g_string_erase(call->sse_buffer, 0, (gssize)used);
 		if (json)
-			entry_on_frame(call, json);
+			entry_stream_on_frame(call, json);
 		else
 			met_add(met_counter("bg_stream_frames_refused_total", ""), 1);
 		json_decref(json);
@@ -218,8 +225,8 @@
 }
 
 /*
- * What the end of a stream means. "Not run" counts only when the engine itself says so, or when no
- * connection was ever there; anything else may have run.
+ * Classifies the end of a stream. The request counts as not run only if the engine says so or if no
+ * connection was established; in all other cases it may have run.
  */
 static enum req_break entry_stream_failure(int status, bool sent, const json_t *answer)
 {
@@ -235,9 +242,9 @@
 }
 
 /*
- * The endpoint at fault: the one that the engine names, or the first, which the connection was to.
- * The next attempt passes it over; without that it would get the same pipeline, and the same
- * refusal, until its retries are used up.
+ * Returns the endpoint that caused a failure: the one that the engine names, or else the first one,
+ * which the connection was to. The next attempt avoids it; otherwise it would get the same pipeline
+ * and the same refusal until the retries are used up.
  */
 static const char *entry_stream_faulty_endpoint(const struct entry_call *call, const json_t *answer)
 {
@@ -250,7 +257,8 @@
 	return first ? first->name : NULL;
 }
 
-static void entry_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len)
+static void entry_stream_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len)
 {
 	struct entry_call *call = ctx;
 	json_t *answer = json_loadb(body, len, 0, NULL);
@@ -274,6 +282,7 @@
 
 /* --- plain services --- */
 
+/* Returns the next of the service's addresses, or NULL if it is not declared; g_free() it. */
 static char *entry_service_address(struct entry_call *call)
 {
 	const struct conf_obj *service =
@@ -328,8 +337,8 @@
 	g_free(address);
 }
 
-/* Any answer of the service is the answer; its status is the caller's business. */
-static void entry_on_service_done(void *ctx, int status, int err, bool sent, const char *body,
+/* Every answer of the service, whatever its HTTP status, is passed on to the caller. */
+static void entry_service_on_done(void *ctx, int status, int err, bool sent, const char *body,
 				  size_t len)
 {
 	struct entry_call *call = ctx;
--- a/prog/entry_view.c
+++ b/prog/entry_view.c
@@ -9,12 +9,13 @@
 #include <string.h>
 
 /*
- * The entry daemon's view of configuration and hosts. It comes from the control daemon of the same
- * host; when that is gone, from another host's, and meanwhile the last view stays in use.
+ * The entry daemon's view of the configuration and the hosts. The control daemon of the same host
+ * sends it; if that is unreachable, the control daemon of another host. The last view stays in use
+ * meanwhile.
  */
 enum {
-	ENTRY_VIEW_RETRY_US = 200000,
-	ENTRY_VIEW_OWN_FAILURES = 3 /* after which another host's control daemon is tried too */
+	ENTRY_VIEW_RETRY_US = 200000, /* delay before connecting again, in microseconds */
+	ENTRY_VIEW_OWN_FAILURES = 3   /* failures after which other hosts are also tried */
 };
 
 static int entry_view_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -34,6 +35,7 @@
 	entry_view_connect(e, tmr_now());
 }
 
+/* Reports the revision in force to the control daemon. */
 static void entry_view_send_in_force(struct entry *e)
 {
 	Conf__InForce msg = CONF__IN_FORCE__INIT;
@@ -45,6 +47,7 @@
 		frm_send(e->view.conn, MSG_CONF_IN_FORCE, &msg.base);
 }
 
+/* Returns the address of the control daemon of a random host, or NULL if none is known. */
 static const char *entry_view_other_addr(struct entry *e)
 {
 	guint n = e->view.hosts.hosts->len;
@@ -127,7 +130,7 @@
 	return 0;
 }
 
-/* Hands the view to the traffic thread. */
+/* Sends a copy of the view to the traffic thread. */
 static void entry_view_publish(struct entry *e)
 {
 	struct entry_event *event = g_new0(struct entry_event, 1);
@@ -142,7 +145,9 @@
 	entry_send_event(e, event);
 }
 
-/* The list calls a host "leaving" also while only its control daemon restarts; that is no reason.
+/*
+ * The host is not ready while the configuration declares it as draining. Its state in the list of
+ * hosts is not used, since that is also "leaving" while only the control daemon restarts.
  */
 static void entry_view_set_ready(struct entry *e)
 {
@@ -153,8 +158,8 @@
 }
 
 /*
- * A revision counts as in force here only when the traffic thread, which decides on requests, has
- * it; the control daemon is told then.
+ * A revision is in force on this host once the traffic thread, which handles requests, uses it.
+ * Only then is it reported to the control daemon.
  */
 void entry_view_report_in_force(struct entry *e)
 {
@@ -179,8 +184,8 @@
 }
 
 /*
- * The whole list when it comes from where the view comes from; from any other control daemon, only
- * its own word that it is leaving.
+ * The control daemon that the view comes from sets the whole list of hosts. From any other control
+ * daemon, only the "leaving" state of known hosts is used; it reports just its own.
  */
 int entry_view_on_hosts(struct entry *e, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
