--- a/prog/entry.h
+++ b/prog/entry.h
@@ -68,7 +68,7 @@
 
 /* --- messages from the traffic thread to the control thread --- */
 
-/* Requests a grant for one attempt. */
+/* A request for a grant for one attempt. */
 struct entry_grant_request {
 	struct entry *entry;
 	uint64_t call_id;     /* entry_call.id of the request */
@@ -81,7 +81,7 @@
 	char **exclude;	      /* endpoints to avoid if possible, NULL-terminated */
 };
 
-/* Ends the grant of one attempt, or withdraws the request for it. */
+/* The end of one attempt's grant, or the withdrawal of the request for it. */
 struct entry_grant_end {
 	struct entry *entry;
 	uint64_t call_id;	   /* entry_call.id of the request */
@@ -91,7 +91,7 @@
 	char *faulty_endpoint;	   /* name of the endpoint that caused a failure, or NULL */
 };
 
-/* Claims an idempotency key for one attempt, or releases such a claim. */
+/* A claim of an idempotency key for one attempt, or the release of such a claim. */
 struct entry_claim {
 	struct entry *entry;
 	uint64_t call_id;     /* entry_call.id of the request */
@@ -110,7 +110,7 @@
 	ENTRY_EVENT_GRANTED,	    /* a grant was given */
 	ENTRY_EVENT_REFUSED,	    /* a grant was refused */
 	ENTRY_EVENT_CLAIM,	    /* a claim was decided */
-	ENTRY_EVENT_ATTEMPT_FAILED, /* an attempt failed before anything was sent */
+	ENTRY_EVENT_ATTEMPT_FAILED, /* an attempt failed before any HTTP call */
 	ENTRY_EVENT_VIEW,	    /* a new configuration or list of hosts */
 	ENTRY_EVENT_DRAIN	    /* the daemon is shutting down */
 };
@@ -163,7 +163,7 @@
 	int64_t avoid_until_us; /* time until which the pool is avoided, in microseconds */
 };
 
-/* A grant that was requested for one attempt, and given or not yet. */
+/* A grant for one attempt, either still requested or already given. */
 struct entry_grant {
 	struct entry_grant_request *request;
 	uint64_t ask_id;	  /* id of the request for the grant, unique on this host */
@@ -181,7 +181,7 @@
 /* A claim without an answer. */
 struct entry_pending_claim {
 	struct entry_claim *claim;
-	uint64_t ask_id;	  /* id of the question, unique on this host */
+	uint64_t ask_id;	  /* id of the message to the home, unique on this host */
 	char *home;		  /* host of the home that was asked */
 	unsigned int homes_tried; /* number of homes asked */
 };
@@ -206,7 +206,7 @@
 	struct frm_conn *conn;	   /* connection that the view comes from; NULL if lost */
 	bool from_own_host;	   /* conn leads to the control daemon of this host */
 	int failures;		   /* lost connections since this host's daemon last answered */
-	struct tmr retry_timer;	   /* fires when to connect again */
+	struct tmr retry_timer;	   /* fires when the connection is to be opened again */
 	int64_t reported_revision; /* last revision reported as in force; -1 if none */
 };
 
@@ -229,7 +229,7 @@
 	uint64_t last_id;	       /* last entry_call.id that was given out */
 	struct req_budget budget;      /* retry budget of this host */
 	struct req_settings req_settings;
-	struct tmr sweep_timer; /* fires when to check for disconnected callers */
+	struct tmr sweep_timer; /* fires at each check for disconnected callers */
 	bool draining;		/* the daemon is shutting down */
 	int64_t cpu_us;		/* CPU time of the thread, in microseconds */
 };
@@ -240,7 +240,7 @@
 	struct req_est gap;   /* time between two tokens */
 };
 
-/* The daemon. */
+/* State of the whole daemon. */
 struct entry {
 	struct entry_settings settings;
 	struct loop loop; /* loop of the control thread */
@@ -248,8 +248,8 @@
 	struct entry_broker broker;
 	struct entry_traffic traffic;
 	struct hd *hd;		 /* HTTP server for callers */
-	struct tmr tick_timer;	 /* fires when periodic work of the control thread is due */
-	struct tmr drain_timer;	 /* fires when to check whether a shutdown can end */
+	struct tmr tick_timer;	 /* fires when the control thread's periodic work is due */
+	struct tmr drain_timer;	 /* fires at each check whether a shutdown is complete */
 	char *boot_id;		 /* prefix that makes request ids unique across restarts */
 	bool stopping;		 /* the daemon is shutting down */
 	int64_t stop_us;	 /* time of the stop signal, in microseconds */
--- a/prog/entry_call.h
+++ b/prog/entry_call.h
@@ -17,7 +17,7 @@
  */
 struct entry_call {
 	struct entry *entry;
-	struct hd_call *http; /* connection of the caller; NULL once it is answered or gone */
+	struct hd_call *http; /* caller's HTTP request; NULL once answered or disconnected */
 	uint64_t id;	      /* number of the request, unique in this process */
 	char *request;	      /* id of the request that the caller receives */
 	enum entry_call_kind kind;
@@ -73,7 +73,7 @@
 struct entry_joiner {
 	uint64_t call_id;      /* entry_call.id of a request on this host; else 0 */
 	struct frm_conn *conn; /* connection of the other entry daemon; else NULL */
-	uint64_t ask_id;       /* id of the other entry daemon's question */
+	uint64_t ask_id;       /* ask_id of the other entry daemon's message */
 };
 
 /* Result of asking an entry daemon for the answer of a request. The values are sent to peers. */
