--- a/prog/entry_home.c
+++ b/prog/entry_home.c
@@ -6,7 +6,8 @@
 
 #include <string.h>
 
-/* Connections to the control daemons that are homes of pools and keys. */
+/* Connections to the control daemons that are homes of pools and of idempotency keys. */
+
 typedef int (*entry_home_fn)(struct entry *e, const uint8_t *body, size_t len);
 
 static int entry_home_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -22,7 +23,7 @@
 	[MSG_ONCE_VERDICT] = entry_on_verdict,
 };
 
-struct frm_limits entry_limits(const struct entry *e)
+struct frm_limits entry_conn_limits(const struct entry *e)
 {
 	struct frm_limits limits = {e->settings.heartbeat_ms * USEC_PER_MSEC,
 				    e->settings.silent_ms * USEC_PER_MSEC,
@@ -31,11 +32,7 @@
 	return limits;
 }
 
-/*
- * The home of a pool, or NULL when every host that could be it is suspected: to wait for such a
- * host again would cost each request the whole limit of silence, and grants can be decided here.
- */
-const struct host *entry_home_of(const struct entry *e, const char *key)
+const struct host *entry_home_host(const struct entry *e, const char *key)
 {
 	int64_t now = tmr_now();
 	const struct host *host = host_home(&e->view.hosts, key, 0, now);
@@ -43,10 +40,10 @@
 	return host && host->suspect_until_us <= now ? host : NULL;
 }
 
-struct entry_home *entry_home(struct entry *e, const struct host *host)
+struct entry_home *entry_home_connect(struct entry *e, const struct host *host)
 {
 	struct entry_home *home = g_hash_table_lookup(e->broker.homes, host->name);
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
 	if (home)
 		return home;
@@ -63,24 +60,24 @@
 	return home;
 }
 
-struct entry_home *entry_home_named(struct entry *e, const char *host)
+struct entry_home *entry_home_find(struct entry *e, const char *host)
 {
 	return host ? g_hash_table_lookup(e->broker.homes, host) : NULL;
 }
 
-/* Only while something is waited for does the connection ask for signs of life often. */
-void entry_home_waits(struct entry_home *home)
+/* The connection uses the short heartbeat interval only while an answer is pending. */
+void entry_home_begin_wait(struct entry_home *home)
 {
-	home->waiting++;
+	home->unanswered++;
 	frm_set_active(home->conn, true);
 }
 
-void entry_home_answered(struct entry_home *home)
+void entry_home_end_wait(struct entry_home *home)
 {
-	if (!home || home->waiting == 0)
+	if (!home || home->unanswered == 0)
 		return;
-	home->waiting--;
-	if (home->waiting == 0)
+	home->unanswered--;
+	if (home->unanswered == 0)
 		frm_set_active(home->conn, false);
 }
 
@@ -99,8 +96,8 @@
 }
 
 /*
- * A home is gone, or has gone silent. Waiting without end for its answers would stall every request
- * of its pools, so all that it had is told to the next home at once.
+ * The connection to a home was closed or has been silent for too long. Waiting for its answers
+ * would stall every request of its pools, so its grants and claims move to the next home at once.
  */
 static void entry_home_on_close(void *ctx, struct frm_conn *conn, int err)
 {
--- a/prog/entry_join.c
+++ b/prog/entry_join.c
@@ -8,14 +8,16 @@
 #include <string.h>
 
 /*
- * Two requests with one key: the one that lost the claim gets the whole answer of the one that won,
- * from this host's memory or from the entry host that the claim names.
+ * Of two requests with the same idempotency key, the one that lost the claim receives the whole
+ * answer of the one that won, from this host or from the entry host that the claim names.
  */
+
+/* A connection to another entry daemon that this host requests answers from. */
 struct entry_join_conn {
 	struct entry *entry;
-	char *host;
+	char *host; /* name of the other host */
 	struct frm_conn *conn;
-	GHashTable *waiting; /* call id -> itself; ask_id is the call id */
+	GHashTable *waiting; /* set of the ids of calls that await an answer */
 };
 
 static int entry_peer_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -24,30 +26,31 @@
 static int entry_join_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
 			     size_t len);
 static void entry_join_on_close(void *ctx, struct frm_conn *conn, int err);
-static void entry_join_give(struct entry_call *from, const struct entry_joiner *joiner);
+static void entry_join_send_answer(struct entry_call *from, const struct entry_joiner *joiner);
 
 static const struct frm_ops entry_peer_ops = {entry_peer_on_msg, entry_peer_on_close};
 static const struct frm_ops entry_join_ops = {entry_join_on_msg, entry_join_on_close};
 
 int entry_join_start(struct entry *e)
 {
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
-	e->traffic.joins = g_hash_table_new(g_str_hash, g_str_equal);
+	e->traffic.join_conns = g_hash_table_new(g_str_hash, g_str_equal);
 	return frm_listen(&e->traffic.peers, &e->traffic.loop, e->settings.peer, &entry_peer_ops,
 			  &limits, e);
 }
 
-/* --- the side that has the answer --- */
+/* --- sending answers --- */
 
 static enum entry_join_state entry_join_state_of(const struct entry_call *call)
 {
 	if (!call->req.dispatched && req_code_info(call->code)->ran == REQ_RAN_NO)
-		return ENTRY_JOIN_NEVER;
+		return ENTRY_JOIN_NOT_RUN;
 	return ENTRY_JOIN_ANSWER;
 }
 
-static void entry_join_send(struct frm_conn *conn, uint64_t ask_id, const struct entry_call *call)
+static void entry_join_send_msg(struct frm_conn *conn, uint64_t ask_id,
+				const struct entry_call *call)
 {
 	Join__Answer msg = JOIN__ANSWER__INIT;
 	guint n = call ? call->tokens->len : 0;
@@ -84,9 +87,9 @@
 	joiner.ask_id = msg->ask_id;
 	call = g_hash_table_lookup(e->traffic.claims, msg->claim);
 	if (!call)
-		entry_join_send(conn, msg->ask_id, NULL);
+		entry_join_send_msg(conn, msg->ask_id, NULL);
 	else if (call->finished)
-		entry_join_give(call, &joiner);
+		entry_join_send_answer(call, &joiner);
 	else
 		g_ptr_array_add(call->joiners, g_memdup2(&joiner, sizeof(joiner)));
 	join__ask__free_unpacked(msg, NULL);
@@ -111,17 +114,19 @@
 	}
 }
 
-/* --- the side that asks --- */
+/* --- requesting answers --- */
 
-static struct entry_call *entry_call_by_id(struct entry *e, uint64_t id)
+/* Returns the call with this id, or NULL if it is unknown or finished. */
+static struct entry_call *entry_unfinished_call(struct entry *e, uint64_t id)
 {
 	struct entry_call *call = g_hash_table_lookup(e->traffic.calls, &id);
 
 	return call && !call->finished ? call : NULL;
 }
 
-static void entry_join_take(struct entry_call *call, enum entry_join_state state,
-			    enum req_code code, int status, GPtrArray *tokens)
+/* Passes the winner's answer to a request that waits for it. */
+static void entry_join_receive_answer(struct entry_call *call, enum entry_join_state state,
+				      enum req_code code, int status, GPtrArray *tokens)
 {
 	int64_t now = tmr_now();
 
@@ -129,7 +134,7 @@
 		req_on_join_lost(&call->req, now);
 		return;
 	}
-	if (state == ENTRY_JOIN_NEVER) {
+	if (state == ENTRY_JOIN_NOT_RUN) {
 		req_on_join_never(&call->req, now);
 		return;
 	}
@@ -143,27 +148,27 @@
 	req_on_joined(&call->req, code, tokens->len, now);
 }
 
-static void entry_join_give(struct entry_call *from, const struct entry_joiner *joiner)
+static void entry_join_send_answer(struct entry_call *from, const struct entry_joiner *joiner)
 {
 	struct entry_call *call;
 
 	if (joiner->conn) {
-		entry_join_send(joiner->conn, joiner->ask_id, from);
+		entry_join_send_msg(joiner->conn, joiner->ask_id, from);
 		return;
 	}
-	call = entry_call_by_id(from->entry, joiner->call_id);
+	call = entry_unfinished_call(from->entry, joiner->call_id);
 	if (call)
-		entry_join_take(call, entry_join_state_of(from), from->code, from->service_status,
-				from->tokens);
+		entry_join_receive_answer(call, entry_join_state_of(from), from->code,
+					  from->service_status, from->tokens);
 }
 
-void entry_join_tell(struct entry_call *call)
+void entry_join_answer_all(struct entry_call *call)
 {
 	GPtrArray *joiners = call->joiners;
 
 	call->joiners = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < joiners->len; i++)
-		entry_join_give(call, joiners->pdata[i]);
+		entry_join_send_answer(call, joiners->pdata[i]);
 	g_ptr_array_free(joiners, TRUE);
 }
 
@@ -178,11 +183,11 @@
 	return NULL;
 }
 
-static struct entry_join_conn *entry_join_conn(struct entry *e, const char *name)
+static struct entry_join_conn *entry_join_connect(struct entry *e, const char *name)
 {
-	struct entry_join_conn *join = g_hash_table_lookup(e->traffic.joins, name);
+	struct entry_join_conn *join = g_hash_table_lookup(e->traffic.join_conns, name);
 	const struct host *host = entry_join_host(e, name);
-	struct frm_limits limits = entry_limits(e);
+	struct frm_limits limits = entry_conn_limits(e);
 
 	if (join || !host)
 		return join;
@@ -195,27 +200,30 @@
 	}
 	join->host = g_strdup(name);
 	join->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	g_hash_table_insert(e->traffic.joins, join->host, join);
+	g_hash_table_insert(e->traffic.join_conns, join->host, join);
 	return join;
 }
 
-/* A message to itself, since a request must not be called from inside its own action. */
+/*
+ * A task that the traffic thread posts to itself, since an action of a request's state machine must
+ * not call back into the state machine.
+ */
 struct entry_join_task {
 	struct entry *entry;
 	uint64_t call_id;
 };
 
-static void entry_join_now(void *task)
+static void entry_join_run_task(void *task)
 {
-	struct entry_join_task *l = task;
-	struct entry *e = l->entry;
-	struct entry_call *call = entry_call_by_id(e, l->call_id);
+	struct entry_join_task *join_task = task;
+	struct entry *e = join_task->entry;
+	struct entry_call *call = entry_unfinished_call(e, join_task->call_id);
 	struct entry_call *winner;
 	struct entry_join_conn *join;
-	struct entry_joiner joiner = {l->call_id, NULL, 0};
+	struct entry_joiner joiner = {join_task->call_id, NULL, 0};
 	Join__Ask msg = JOIN__ASK__INIT;
 
-	g_free(l);
+	g_free(join_task);
 	if (!call || call->req.state != REQ_JOINING)
 		return;
 	if (strcmp(call->winner_entry, e->settings.name) == 0) {
@@ -223,12 +231,12 @@
 		if (!winner)
 			req_on_join_lost(&call->req, tmr_now());
 		else if (winner->finished)
-			entry_join_give(winner, &joiner);
+			entry_join_send_answer(winner, &joiner);
 		else
 			g_ptr_array_add(winner->joiners, g_memdup2(&joiner, sizeof(joiner)));
 		return;
 	}
-	join = entry_join_conn(e, call->winner_entry);
+	join = entry_join_connect(e, call->winner_entry);
 	if (!join) {
 		req_on_join_lost(&call->req, tmr_now());
 		return;
@@ -240,14 +248,14 @@
 	frm_set_active(join->conn, true);
 }
 
-void entry_join(struct entry_call *call)
+void entry_join_request(struct entry_call *call)
 {
 	struct entry_join_task *task = g_new0(struct entry_join_task, 1);
 
 	task->entry = call->entry;
 	task->call_id = call->id;
 	met_add(met_counter("bg_joins_total", ""), 1);
-	loop_post(&call->entry->traffic.loop, entry_join_now, task);
+	loop_post(&call->entry->traffic.loop, entry_join_run_task, task);
 }
 
 static int entry_join_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -266,19 +274,19 @@
 	}
 	g_hash_table_remove(join->waiting, &msg->ask_id);
 	frm_set_active(join->conn, g_hash_table_size(join->waiting) > 0);
-	call = entry_call_by_id(join->entry, msg->ask_id);
+	call = entry_unfinished_call(join->entry, msg->ask_id);
 	tokens = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	for (size_t i = 0; i < msg->n_tokens; i++)
 		g_ptr_array_add(tokens, g_bytes_new(msg->tokens[i].data, msg->tokens[i].len));
 	if (call)
-		entry_join_take(call, (enum entry_join_state)msg->state, (enum req_code)msg->code,
-				(int)msg->status, tokens);
+		entry_join_receive_answer(call, (enum entry_join_state)msg->state,
+					  (enum req_code)msg->code, (int)msg->status, tokens);
 	g_ptr_array_free(tokens, TRUE);
 	join__answer__free_unpacked(msg, NULL);
 	return 0;
 }
 
-/* The winner's host is gone: what it had may still be had from the engine. */
+/* The winner's host was lost. The state machine may still resume the winner's run at the engine. */
 static void entry_join_on_close(void *ctx, struct frm_conn *conn, int err)
 {
 	struct entry_join_conn *join = ctx;
@@ -288,10 +296,10 @@
 
 	(void)conn;
 	log_msg(LOG_INFO, "join_lost host=%s reason=\"%s\"", join->host, base_strerror(err));
-	g_hash_table_remove(e->traffic.joins, join->host);
+	g_hash_table_remove(e->traffic.join_conns, join->host);
 	g_hash_table_iter_init(&iter, join->waiting);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		struct entry_call *call = entry_call_by_id(e, *(uint64_t *)key);
+		struct entry_call *call = entry_unfinished_call(e, *(uint64_t *)key);
 
 		if (call)
 			req_on_join_lost(&call->req, tmr_now());
--- a/prog/entry_pools.c
+++ b/prog/entry_pools.c
@@ -6,9 +6,9 @@
 
 #include <string.h>
 
-/* What the control thread knows of pools, and which of them it asks. */
+/* The pools that the control thread knows, and the choice of the pool to request a grant from. */
 enum {
-	ENTRY_POOLS_NEAR = 4 /* of each model, that a host asks first */
+	ENTRY_PREFERRED_POOLS = 4 /* number of pools of each model that a host asks before others */
 };
 
 static void entry_rank_pools(struct entry *e);
@@ -23,7 +23,7 @@
 	g_free(pool);
 }
 
-static void entry_take_endpoint(void *ctx, const struct conf_obj *obj)
+static void entry_pool_add_endpoint(void *ctx, const struct conf_obj *obj)
 {
 	struct entry *e = ctx;
 	const char *name = obj->text[ENDPOINT_POOL];
@@ -43,7 +43,7 @@
 		pool->capacity += (double)obj->value[ENDPOINT_RATE];
 }
 
-/* Pools that are not declared any more stay while something holds on to them. */
+/* Pools that are no longer declared stay with capacity 0, since grants may refer to them. */
 void entry_pools_on_conf(struct entry *e)
 {
 	GHashTableIter iter;
@@ -56,27 +56,29 @@
 		pool->capacity = 0;
 		g_hash_table_remove_all(pool->versions);
 	}
-	conf_each(e->view.clog.state, CONF_ENDPOINT, entry_take_endpoint, e);
+	conf_each(e->view.clog.state, CONF_ENDPOINT, entry_pool_add_endpoint, e);
 	entry_rank_pools(e);
 }
 
+/* Cost of using a pool; 1000 us are added so that capacity also counts when there is no wait. */
 static double entry_pool_cost(const struct entry_pool *pool)
 {
 	return (double)(pool->wait_us + 1000) / MAX(pool->capacity, 1);
 }
 
-static bool entry_pool_fits(const struct entry_pool *pool, const struct entry_hold *hold,
-			    const struct entry_pool *not_this)
+static bool entry_pool_fits(const struct entry_pool *pool, const struct entry_grant *grant,
+			    const struct entry_pool *excluded)
 {
-	return pool != not_this && pool->capacity > 0 &&
-	       strcmp(pool->model, hold->ask->model) == 0 &&
-	       g_hash_table_contains(pool->versions, hold->ask->version);
+	return pool != excluded && pool->capacity > 0 &&
+	       strcmp(pool->model, grant->request->model) == 0 &&
+	       g_hash_table_contains(pool->versions, grant->request->version);
 }
 
 /*
- * Pools of the model that come before this one in the order that hashing gives this host. Each
- * entry host keeps to the first few pools of each model: if all asked all, every home would have a
- * connection of every entry host, and their heartbeats alone would be over what a node may send.
+ * Returns how many pools of the same model this host prefers to this one. Hashing gives each entry
+ * host its own order of preference, and it uses the first ENTRY_PREFERRED_POOLS pools of each
+ * model. If all hosts used all pools, every home would have a connection from every entry host, and
+ * the heartbeats alone would exceed what a node may send.
  */
 static unsigned int entry_pool_rank(const struct entry *e, const struct entry_pool *pool)
 {
@@ -107,9 +109,13 @@
 	}
 }
 
-/* Two random choices by capacity; the one with the shorter wait by what the last grants told. */
-struct entry_pool *entry_choose_pool(struct entry *e, const struct entry_hold *hold,
-				     const struct entry_pool *not_this, bool avoid, bool near)
+/*
+ * Draws two pools at random, weighted by capacity, and returns the one with the lower cost: the
+ * wait that the last grant reported, relative to the capacity.
+ */
+struct entry_pool *entry_choose_pool(struct entry *e, const struct entry_grant *grant,
+				     const struct entry_pool *excluded, bool skip_refusing,
+				     bool preferred_only)
 {
 	struct entry_pool *best = NULL;
 	int64_t now = tmr_now();
@@ -124,11 +130,11 @@
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct entry_pool *pool = value;
 
-			if (!entry_pool_fits(pool, hold, not_this))
+			if (!entry_pool_fits(pool, grant, excluded))
 				continue;
-			if (avoid && pool->avoid_until_us > now)
+			if (skip_refusing && pool->avoid_until_us > now)
 				continue;
-			if (near && pool->rank >= ENTRY_POOLS_NEAR)
+			if (preferred_only && pool->rank >= ENTRY_PREFERRED_POOLS)
 				continue;
 			sum += pool->capacity;
 			if (g_rand_double(e->broker.rand) * sum < pool->capacity)
--- a/prog/entry_stream.c
+++ b/prog/entry_stream.c
@@ -6,25 +6,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams to and from engines, and single calls to plain services. */
+/* Streams from engines, and HTTP calls to plain services. */
 enum {
-	ENTRY_CANCEL_MS = 1000
+	ENTRY_CANCEL_MS = 1000 /* time limit of the call that ends a run, in milliseconds */
 };
 
-static void entry_on_data(void *ctx, const char *data, size_t len);
-static void entry_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len);
-static void entry_on_service_done(void *ctx, int status, int err, bool sent, const char *body,
+static void entry_stream_on_data(void *ctx, const char *data, size_t len);
+static void entry_stream_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len);
+static void entry_service_on_done(void *ctx, int status, int err, bool sent, const char *body,
 				  size_t len);
-static void entry_on_canceled(void *ctx, int status, int err, bool sent, const char *body,
-			      size_t len);
+static void entry_cancel_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len);
 static void entry_service_dispatch(struct entry_call *call);
 
-static const struct hc_ops entry_stream_ops = {.on_data = entry_on_data, .on_done = entry_on_done};
-static const struct hc_ops entry_service_ops = {.on_done = entry_on_service_done};
-static const struct hc_ops entry_cancel_ops = {.on_done = entry_on_canceled};
+static const struct hc_ops entry_stream_ops = {.on_data = entry_stream_on_data,
+					       .on_done = entry_stream_on_done};
+static const struct hc_ops entry_service_ops = {.on_done = entry_service_on_done};
+static const struct hc_ops entry_cancel_ops = {.on_done = entry_cancel_on_done};
 
-/* --- the engine's stream --- */
+/* --- streams from engines --- */
 
+/* Returns the body of the request to the engine, as JSON; free() it. */
 static char *entry_dispatch_body(const struct entry_call *call, unsigned int attempt,
 				 uint64_t delivered)
 {
@@ -49,30 +52,38 @@
 	return text;
 }
 
-/* The request must not be called from inside its own action; it hears of this a moment later. */
-static void entry_post_break(struct entry_call *call, enum req_break why)
+/*
+ * Reports a failed attempt to the request's state machine as an event, since its actions must not
+ * call back into it.
+ */
+static void entry_post_attempt_failed(struct entry_call *call, enum req_break why)
 {
-	struct entry_event *event = entry_event_new(ENTRY_EVENT_BREAK, call->id, call->req.attempt);
+	struct entry_event *event =
+		entry_event_new(ENTRY_EVENT_ATTEMPT_FAILED, call->id, call->req.attempt);
 
-	event->why = why;
+	event->failure = why;
 	entry_send_event(call->entry, event);
 }
 
-/* An earlier stream of the call may still be open: the engine said that its run has failed. */
+/*
+ * Prepares for a new stream. An earlier one may still be open if the engine reported in it that its
+ * run failed.
+ */
 static void entry_stream_reset(struct entry_call *call)
 {
 	if (call->hc)
 		hc_cancel(call->hc);
 	call->hc = NULL;
-	g_string_truncate(call->sse, 0);
-	call->ended_well = false;
-	g_clear_pointer(&call->fault_at, g_free);
+	g_string_truncate(call->sse_buffer, 0);
+	call->last_frame_seen = false;
+	g_clear_pointer(&call->faulty_endpoint, g_free);
 }
 
 /*
- * The HTTP library sends a request again by itself when a connection that was used before ends
- * without any answer, although the engine may have run it: the ledger then shows two runs of one
- * key. It does not do so on a new connection, so a non-idempotent request gets one of its own.
+ * The HTTP library repeats a request on its own when a reused connection is closed without an
+ * answer, although the engine may have run the request; the engine's ledger then shows two runs of
+ * one key. The library does not do so on a new connection, so a non-idempotent request always gets
+ * a new one.
  */
 void entry_stream_dispatch(struct entry_call *call, unsigned int attempt, uint64_t delivered)
 {
@@ -91,13 +102,13 @@
 	}
 	entry_stream_reset(call);
 	if (call->stages->len == 0) {
-		entry_post_break(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
 		return;
 	}
 	first = call->stages->pdata[0];
-	g_free(call->run_handle);
+	g_free(call->run_id);
 	g_free(call->run_address);
-	call->run_handle = g_strdup_printf("%s-%u", call->request, attempt);
+	call->run_id = g_strdup_printf("%s-%u", call->request, attempt);
 	call->run_address = g_strdup(first->address);
 	body = entry_dispatch_body(call, attempt, delivered);
 	url = g_strdup_printf("http://%s/v1/completions", first->address);
@@ -109,10 +120,7 @@
 	free(body);
 }
 
-/*
- * Attaches to a run that exists already, always on a new connection: the old one may be silent for
- * good though the run goes on.
- */
+/* Always uses a new connection, since the old one may stay silent although the run continues. */
 void entry_stream_resume(struct entry_call *call, uint64_t from)
 {
 	char *url;
@@ -124,19 +132,19 @@
 
 	entry_stream_cancel(call, false);
 	entry_stream_reset(call);
-	if (!call->run_address || !call->run_handle) {
-		entry_post_break(call, REQ_BREAK_MISSING);
+	if (!call->run_address || !call->run_id) {
+		entry_post_attempt_failed(call, REQ_BREAK_MISSING);
 		return;
 	}
 	url = g_strdup_printf("http://%s/v1/requests/%s?from=%" G_GUINT64_FORMAT, call->run_address,
-			      call->run_handle, from);
+			      call->run_id, from);
 	request.url = url;
 	call->hc = hc_start(call->entry->traffic.hc, &request, &entry_stream_ops, call);
 	g_free(url);
 }
 
-static void entry_on_canceled(void *ctx, int status, int err, bool sent, const char *body,
-			      size_t len)
+static void entry_cancel_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len)
 {
 	(void)ctx;
 	(void)err;
@@ -147,7 +155,7 @@
 		met_add(met_counter("bg_cancel_failures_total", ""), 1);
 }
 
-/* Closing the stream is enough for most engines; a detached run has to be told. */
+/* Closing the stream ends most runs; a detached run needs an explicit DELETE. */
 void entry_stream_cancel(struct entry_call *call, bool stop)
 {
 	char *url;
@@ -163,13 +171,13 @@
 	call->hc = NULL;
 	if (!stop || call->kind == ENTRY_SERVICE || !call->run_address)
 		return;
-	url = g_strdup_printf("http://%s/v1/requests/%s", call->run_address, call->run_handle);
+	url = g_strdup_printf("http://%s/v1/requests/%s", call->run_address, call->run_id);
 	request.url = url;
 	hc_start(call->entry->traffic.hc, &request, &entry_cancel_ops, NULL);
 	g_free(url);
 }
 
-static void entry_on_frame(struct entry_call *call, const json_t *json)
+static void entry_stream_on_frame(struct entry_call *call, const json_t *json)
 {
 	const json_t *text = json_object_get(json, "text");
 	const json_t *index = json_object_get(json, "index");
@@ -180,35 +188,36 @@
 		req_on_token(&call->req, attempt, (uint64_t)json_integer_value(index),
 			     json_string_value(text), json_string_length(text), tmr_now());
 	} else if (json_is_true(json_object_get(json, "done"))) {
-		call->ended_well = true;
+		call->last_frame_seen = true;
 		req_on_end(&call->req, attempt,
 			   (uint64_t)json_integer_value(json_object_get(json, "count")), tmr_now());
 	} else if (json_object_get(json, "error")) {
-		g_free(call->fault_at);
-		call->fault_at = g_strdup(at && at[0] ? at : NULL);
-		call->ended_well = true;
-		req_on_break(&call->req, attempt, REQ_BREAK_FAILED, call->fault_at, tmr_now());
+		g_free(call->faulty_endpoint);
+		call->faulty_endpoint = g_strdup(at && at[0] ? at : NULL);
+		call->last_frame_seen = true;
+		req_on_break(&call->req, attempt, REQ_BREAK_FAILED, call->faulty_endpoint,
+			     tmr_now());
 	}
 }
 
-/* Server-sent events: frames are lines "data: JSON" with an empty line behind each. */
-static void entry_on_data(void *ctx, const char *data, size_t len)
+/* Parses server-sent events: each frame is a line "data: JSON" followed by an empty line. */
+static void entry_stream_on_data(void *ctx, const char *data, size_t len)
 {
 	struct entry_call *call = ctx;
 	const struct hc_call *stream = call->hc;
 	char *end;
 
-	g_string_append_len(call->sse, data, (gssize)len);
-	while (call->hc == stream && (end = strstr(call->sse->str, "\n\n"))) {
-		gsize used = (gsize)(end - call->sse->str) + 2;
-		const char *payload = prog_path_below(call->sse->str, "data: ");
+	g_string_append_len(call->sse_buffer, data, (gssize)len);
+	while (call->hc == stream && (end = strstr(call->sse_buffer->str, "\n\n"))) {
+		gsize used = (gsize)(end - call->sse_buffer->str) + 2;
+		const char *payload = prog_path_below(call->sse_buffer->str, "data: ");
 		json_t *json = NULL;
 
 		if (payload)
 			json = json_loadb(payload, (size_t)(end - payload), 0, NULL);
-		g_string_erase(call->sse, 0, (gssize)used);
+		g_string_erase(call->sse_buffer, 0, (gssize)used);
 		if (json)
-			entry_on_frame(call, json);
+			entry_stream_on_frame(call, json);
 		else
 			met_add(met_counter("bg_stream_frames_refused_total", ""), 1);
 		json_decref(json);
@@ -216,10 +225,10 @@
 }
 
 /*
- * What the end of a stream means. "Not run" counts only when the engine itself says so, or when no
- * connection was ever there; anything else may have run.
+ * Classifies the end of a stream. The request counts as not run only if the engine says so or if no
+ * connection was established; in all other cases it may have run.
  */
-static enum req_break entry_break_of(int status, bool sent, const json_t *answer)
+static enum req_break entry_stream_failure(int status, bool sent, const json_t *answer)
 {
 	const char *ran = json_string_value(json_object_get(answer, "ran"));
 
@@ -233,11 +242,11 @@
 }
 
 /*
- * The endpoint at fault: the one that the engine names, or the first, which the connection was to.
- * The next attempt passes it over; without that it would get the same pipeline, and the same
- * refusal, until its retries are used up.
+ * Returns the endpoint that caused a failure: the one that the engine names, or else the first one,
+ * which the connection was to. The next attempt avoids it; otherwise it would get the same pipeline
+ * and the same refusal until the retries are used up.
  */
-static const char *entry_fault_of(const struct entry_call *call, const json_t *answer)
+static const char *entry_stream_faulty_endpoint(const struct entry_call *call, const json_t *answer)
 {
 	const char *named = json_string_value(json_object_get(answer, "endpoint"));
 	const struct entry_stage *first =
@@ -248,15 +257,16 @@
 	return first ? first->name : NULL;
 }
 
-static void entry_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len)
+static void entry_stream_on_done(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len)
 {
 	struct entry_call *call = ctx;
 	json_t *answer = json_loadb(body, len, 0, NULL);
-	enum req_break why = entry_break_of(status, sent, answer);
-	const char *fault = entry_fault_of(call, answer);
+	enum req_break why = entry_stream_failure(status, sent, answer);
+	const char *fault = entry_stream_faulty_endpoint(call, answer);
 
 	call->hc = NULL;
-	if (call->ended_well || call->finished) {
+	if (call->last_frame_seen || call->finished) {
 		json_decref(answer);
 		return;
 	}
@@ -272,6 +282,7 @@
 
 /* --- plain services --- */
 
+/* Returns the next of the service's addresses, or NULL if it is not declared; g_free() it. */
 static char *entry_service_address(struct entry_call *call)
 {
 	const struct conf_obj *service =
@@ -282,7 +293,7 @@
 	if (!service)
 		return NULL;
 	list = g_strsplit(service->text[SERVICE_ADDRESS], ",", -1);
-	address = g_strdup(list[(call->id + call->service_turn++) % g_strv_length(list)]);
+	address = g_strdup(list[(call->id + call->service_attempts++) % g_strv_length(list)]);
 	g_strfreev(list);
 	return address;
 }
@@ -304,10 +315,10 @@
 	};
 
 	if (!address) {
-		entry_post_break(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
 		return;
 	}
-	url = g_strdup_printf("http://%s/%s", address, call->rest);
+	url = g_strdup_printf("http://%s/%s", address, call->service_path);
 	type = g_strdup_printf("Content-Type: %s", call->content_type);
 	key = g_strdup_printf("Idempotency-Key: %s", call->key ? call->key : call->request);
 	request_id = g_strdup_printf("Bg-Request: %s", call->request);
@@ -326,8 +337,8 @@
 	g_free(address);
 }
 
-/* Any answer of the service is the answer; its status is the caller's business. */
-static void entry_on_service_done(void *ctx, int status, int err, bool sent, const char *body,
+/* Every answer of the service, whatever its HTTP status, is passed on to the caller. */
+static void entry_service_on_done(void *ctx, int status, int err, bool sent, const char *body,
 				  size_t len)
 {
 	struct entry_call *call = ctx;
