--- a/place/balance.c
+++ b/place/balance.c
@@ -3,74 +3,79 @@
 #include <string.h>
 
 enum {
-	PL_COPIES_MIN = 2,    /* holders that every layer should have, so that one may fail */
-	PL_COPIES_TO_GIVE = 3 /* holders that a layer must have for one of them to be moved */
+	PL_COPIES_MIN = 2,    /* copies that every layer should have, so that one may be lost */
+	PL_COPIES_TO_MOVE = 3 /* copies that a layer must have for one of them to be moved away */
 };
 
 /*
- * A layer is thin below this part of what the middle one has memory for. What every layer has room
- * for bounds the requests in flight; one that lost two of three holders refused most requests while
- * half of the memory elsewhere was free.
+ * A move to the layer with the least memory is planned if that layer has memory for fewer tokens
+ * than this part of the median layer. The layer with the least memory bounds the requests in
+ * flight: a layer that had lost two of its three copies caused most requests to be refused, while
+ * half of the memory at other layers was free.
  */
-static const double pl_thin = 0.5;
+static const double pl_low_memory_part = 0.5;
 
-/* By how much a move must raise the memory of the thinnest layer; less is not worth a load. */
-static const double pl_gain = 1.3;
+/*
+ * Factor by which a move must raise the memory of the weakest layer; a smaller gain does not make
+ * up for the time in which the endpoint loads layers.
+ */
+static const double pl_balance_gain_min = 1.3;
 
-/* Whether every layer that the node holds has holders to spare. */
-static bool pl_may_give(const struct pw_board *board, const struct pl_node *node)
+/* Returns whether the node holds layers and each of them has enough other copies. */
+static bool pl_can_be_moved(const struct coverage *coverage, const struct pl_node *node)
 {
 	for (int i = node->from; i < node->to; i++) {
-		if (board->layers[i].holders < PL_COPIES_TO_GIVE)
+		if (coverage->layers[i].holders < PL_COPIES_TO_MOVE)
 			return false;
 	}
 	return node->to > node->from;
 }
 
-/* By how much the cost falls if the node holds its best range instead of its own. */
-static double pl_move_gain(struct pw_board *board, const struct pl_node *node, int unit,
+/* Returns the decrease of the cost if the node holds its best range instead of its present one. */
+static double pl_move_gain(struct coverage *coverage, const struct pl_node *node, int unit,
 			   struct pl_move *move)
 {
-	double before = pw_cost(board);
+	double before = cov_cost(coverage);
 	double without;
 	double gain;
 
-	pw_remove(board, move->node, node->from, node->to);
-	without = pw_cost(board);
-	gain = pl_best(board, node, unit, move);
-	pw_add(board, move->node, node->from, node->to);
+	cov_remove(coverage, move->node, node->from, node->to);
+	without = cov_cost(coverage);
+	gain = pl_best_range(coverage, node, unit, move);
+	cov_add(coverage, move->node, node->from, node->to);
 	return before - without + gain;
 }
 
-static bool pl_is_needy(const struct pw_board *board)
+/* Returns whether some layer has fewer copies than it should have. */
+static bool pl_lacks_copies(const struct coverage *coverage)
 {
-	for (int i = 0; i < board->layer_count; i++) {
-		if (board->layers[i].holders < PL_COPIES_MIN)
+	for (int i = 0; i < coverage->layer_count; i++) {
+		if (coverage->layers[i].holders < PL_COPIES_MIN)
 			return true;
 	}
 	return false;
 }
 
 /*
- * A layer without holders stops every pipeline, although endpoints are idle elsewhere, and one with
- * a single holder is one loss away from that. The holder is moved there that lowers the cost most.
+ * A layer without copies stops every pipeline, even if endpoints of other layers are idle, and a
+ * layer with a single copy is one loss away from that.
  */
-void pl_rescue(struct pw_board *board, const struct pl_node *nodes, const int *order, int n,
-	       int unit, GArray *moves)
+void pl_restore_copies(struct coverage *coverage, const struct pl_node *nodes, const int *order,
+		       int n, int unit, GArray *moves)
 {
 	struct pl_move best = {-1, 0, 0};
 	double best_gain = 0;
 
-	if (!pl_is_needy(board))
+	if (!pl_lacks_copies(coverage))
 		return;
 	for (int i = n - 1; i >= 0; i--) {
 		const struct pl_node *node = &nodes[order[i]];
 		struct pl_move move = {order[i], 0, 0};
 		double gain;
 
-		if (!node->usable || !pl_may_give(board, node))
+		if (!node->usable || !pl_can_be_moved(coverage, node))
 			continue;
-		gain = pl_move_gain(board, node, unit, &move);
+		gain = pl_move_gain(coverage, node, unit, &move);
 		if (gain > best_gain) {
 			best_gain = gain;
 			best = move;
@@ -80,7 +85,7 @@
 		g_array_append_val(moves, best);
 }
 
-static gint pl_by_room(gconstpointer a, gconstpointer b, gpointer ctx)
+static gint pl_compare_tokens(gconstpointer a, gconstpointer b, gpointer ctx)
 {
 	double ra = *(const double *)a;
 	double rb = *(const double *)b;
@@ -89,60 +94,68 @@
 	return ra < rb ? -1 : ra > rb;
 }
 
-static double pl_middle(const struct pw_board *board)
+/* Returns the median over all layers of the tokens that a layer has memory for. */
+static double pl_median_tokens(const struct coverage *coverage)
 {
-	double sorted[PW_LAYERS_MAX];
+	double sorted[COV_LAYERS_MAX];
 
-	for (int i = 0; i < board->layer_count; i++)
-		sorted[i] = board->layers[i].room;
-	g_qsort_with_data(sorted, board->layer_count, sizeof(sorted[0]), pl_by_room, NULL);
-	return sorted[board->layer_count / 2];
+	for (int i = 0; i < coverage->layer_count; i++)
+		sorted[i] = coverage->layers[i].tokens;
+	g_qsort_with_data(sorted, coverage->layer_count, sizeof(sorted[0]), pl_compare_tokens,
+			  NULL);
+	return sorted[coverage->layer_count / 2];
 }
 
-/* What the thinnest layer would have if the node, which is off the board, held that range. */
-static double pl_least_with(struct pw_board *board, const struct pl_move *range)
+/* Returns the tokens of the weakest layer if the node, which is not counted, held that range. */
+static double pl_tokens_min_with(struct coverage *coverage, const struct pl_move *range)
 {
 	double least;
 
-	pw_add(board, range->node, range->from, range->to);
-	least = board->layers[pw_thinnest(board)].room;
-	pw_remove(board, range->node, range->from, range->to);
+	cov_add(coverage, range->node, range->from, range->to);
+	least = coverage->layers[cov_weakest_layer(coverage)].tokens;
+	cov_remove(coverage, range->node, range->from, range->to);
 	return least;
 }
 
-/* The range with that layer which leaves the thinnest layer most, if the node gives up its own. */
-static double pl_best_with(struct pw_board *board, const struct pl_node *node, int layer, int unit,
-			   struct pl_move *move)
+/*
+ * Finds the range for the node that contains the layer and leaves the weakest layer with the most
+ * tokens, and stores it in move. The node gives up its present range. Returns those tokens; 0 if
+ * there is no such range.
+ */
+static double pl_best_range_with(struct coverage *coverage, const struct pl_node *node, int layer,
+				 int unit, struct pl_move *move)
 {
-	int length = pl_length(board->engine, node, unit);
+	int length = pl_range_length(coverage->engine, node, unit);
 	double best = 0;
 
-	pw_remove(board, move->node, node->from, node->to);
+	cov_remove(coverage, move->node, node->from, node->to);
 	for (int from = 0; from <= layer; from += unit) {
-		struct pl_move range = {move->node, from, MIN(from + length, board->layer_count)};
+		struct pl_move range = {move->node, from,
+					MIN(from + length, coverage->layer_count)};
 		double least;
 
-		if (range.to <= layer || from + length >= board->layer_count + unit)
+		if (range.to <= layer || from + length >= coverage->layer_count + unit)
 			continue;
-		least = pl_least_with(board, &range);
+		least = pl_tokens_min_with(coverage, &range);
 		if (least > best) {
 			best = least;
 			*move = range;
 		}
 	}
-	pw_add(board, move->node, node->from, node->to);
+	cov_add(coverage, move->node, node->from, node->to);
 	return best;
 }
 
 /*
- * The smallest endpoint that helps goes first: it is away for the shortest time, and a large one
- * would leave a hole in the range that it held.
+ * Finds the smallest endpoint whose move to the weakest layer raises its memory enough. A small
+ * endpoint loads its layers in the shortest time, and moving a large one away would weaken the
+ * range that it held.
  */
-static bool pl_find_helper(struct pw_board *board, const struct pl_node *nodes, const int *order,
-			   int n, int unit, struct pl_move *move)
+static bool pl_find_balancing_move(struct coverage *coverage, const struct pl_node *nodes,
+				   const int *order, int n, int unit, struct pl_move *move)
 {
-	int thinnest = pw_thinnest(board);
-	double least = board->layers[thinnest].room * pl_gain;
+	int weakest = cov_weakest_layer(coverage);
+	double least = coverage->layers[weakest].tokens * pl_balance_gain_min;
 
 	for (int i = n - 1; i >= 0; i--) {
 		const struct pl_node *node = &nodes[order[i]];
@@ -150,7 +163,7 @@
 		if (!node->usable || node->to == node->from)
 			continue;
 		move->node = order[i];
-		if (pl_best_with(board, node, thinnest, unit, move) > least)
+		if (pl_best_range_with(coverage, node, weakest, unit, move) > least)
 			return true;
 	}
 	return false;
@@ -158,18 +171,19 @@
 
 void pl_balance(const struct rt_engine *engine, const struct pl_node *nodes, int n, GArray *moves)
 {
-	int unit = pl_unit_held(engine, nodes, n);
+	int unit = pl_unit_in_use(engine, nodes, n);
 	struct pl_move move = {0, 0, 0};
-	struct pw_board board;
+	struct coverage coverage;
 	int *order;
 
 	if (unit == 0)
 		return;
-	order = pl_order(nodes, n);
-	pw_init(&board, engine, nodes, n);
-	if (board.layers[pw_thinnest(&board)].room < pl_thin * pl_middle(&board) &&
-	    pl_find_helper(&board, nodes, order, n, unit, &move))
+	order = pl_sort_by_memory(nodes, n);
+	cov_init(&coverage, engine, nodes, n);
+	if (coverage.layers[cov_weakest_layer(&coverage)].tokens <
+		    pl_low_memory_part * pl_median_tokens(&coverage) &&
+	    pl_find_balancing_move(&coverage, nodes, order, n, unit, &move))
 		g_array_append_val(moves, move);
-	pw_finish(&board);
+	cov_finish(&coverage);
 	g_free(order);
 }
--- a/place/measure.c
+++ b/place/measure.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* A speed below this is none: what is left of sums after nodes were taken off again. */
-static const double pl_speed_none = 1e-9;
+/* Speeds below this are rounding errors of sums from which nodes were removed; counted as 0. */
+static const double pl_speed_epsilon = 1e-9;
 
 double pl_token_room(const struct rt_engine *engine, double memory_mb, int layers_held)
 {
@@ -14,47 +14,49 @@
 	return MAX(free_mb, 0) * 1e6 / (engine->kv_bytes * layers_held / engine->layers);
 }
 
-static bool pl_is_whole(const struct pw_board *board, int zone)
+/* Returns whether the endpoints of the zone together hold every layer. */
+static bool pl_zone_holds_all_layers(const struct coverage *coverage, int zone)
 {
-	for (int i = 0; i < board->layer_count; i++) {
-		if (board->zone_speeds[zone * board->layer_count + i] < pl_speed_none)
+	for (int i = 0; i < coverage->layer_count; i++) {
+		if (coverage->zone_speeds[zone * coverage->layer_count + i] < pl_speed_epsilon)
 			return false;
 	}
 	return true;
 }
 
 void pl_measure(const struct rt_engine *engine, const struct pl_node *nodes, int n,
-		struct pl_figures *figures)
+		struct pl_figures *stats)
 {
-	struct pw_board board;
+	struct coverage coverage;
 	int held = 0;
 
-	memset(figures, 0, sizeof(*figures));
-	pw_init(&board, engine, nodes, n);
-	figures->copies_min = n;
-	for (int i = 0; i < board.layer_count; i++)
-		figures->copies_min = MIN(figures->copies_min, board.layers[i].holders);
-	for (int z = 0; z < board.zones; z++)
-		figures->zones_whole += pl_is_whole(&board, z);
+	memset(stats, 0, sizeof(*stats));
+	cov_init(&coverage, engine, nodes, n);
+	stats->copies_min = n;
+	for (int i = 0; i < coverage.layer_count; i++)
+		stats->copies_min = MIN(stats->copies_min, coverage.layers[i].holders);
+	for (int z = 0; z < coverage.zones; z++)
+		stats->zones_whole += pl_zone_holds_all_layers(&coverage, z);
 	for (int i = 0; i < n; i++)
 		held += nodes[i].to - nodes[i].from;
-	figures->copies_mean = engine->layers > 0 ? (double)held / engine->layers : 0;
-	figures->tokens_min = board.layers[pw_thinnest(&board)].room;
-	pw_finish(&board);
+	stats->copies_mean = engine->layers > 0 ? (double)held / engine->layers : 0;
+	stats->tokens_min = coverage.layers[cov_weakest_layer(&coverage)].tokens;
+	cov_finish(&coverage);
 }
 
-double pl_after_loss(const struct rt_engine *engine, const struct pl_node *nodes, int n)
+double pl_tokens_after_worst_loss(const struct rt_engine *engine, const struct pl_node *nodes,
+				  int n)
 {
-	struct pw_board board;
+	struct coverage coverage;
 	double least;
 
-	pw_init(&board, engine, nodes, n);
-	least = board.layers[pw_thinnest(&board)].room;
+	cov_init(&coverage, engine, nodes, n);
+	least = coverage.layers[cov_weakest_layer(&coverage)].tokens;
 	for (int i = 0; i < n; i++) {
-		pw_remove(&board, i, nodes[i].from, nodes[i].to);
-		least = MIN(least, board.layers[pw_thinnest(&board)].room);
-		pw_add(&board, i, nodes[i].from, nodes[i].to);
+		cov_remove(&coverage, i, nodes[i].from, nodes[i].to);
+		least = MIN(least, coverage.layers[cov_weakest_layer(&coverage)].tokens);
+		cov_add(&coverage, i, nodes[i].from, nodes[i].to);
 	}
-	pw_finish(&board);
+	cov_finish(&coverage);
 	return least;
 }
--- a/place/place.h
+++ b/place/place.h
@@ -9,61 +9,69 @@
 G_BEGIN_DECLS
 
 /*
- * Which layers of a model each of its endpoints should hold. Pure: the same view gives the same
- * plan, so a new placer wants what the last one wanted.
+ * Planner that decides which layers of a model each of its endpoints should hold. It does no I/O
+ * and keeps no state: the same input gives the same plan, so a new placer continues the plan of the
+ * previous one.
  *
- * How many layers an endpoint holds is a choice: each one more leaves less memory for requests,
- * each one less leaves fewer holders of a layer. What a plan is worth is counted by worth.h; plan.c
- * searches for ranges that are worth most. Where that costs little, ranges begin and end at common
- * cut points, so any holder of a segment can follow any holder of the one before it.
+ * An endpoint that holds more layers has less memory for requests; one that holds fewer leaves each
+ * layer with fewer copies. coverage.h computes the cost of a placement, and plan.c searches for the
+ * ranges of the lowest cost. Unless that raises the cost noticeably, ranges begin and end at common
+ * cut points, so that any endpoint of a pipeline stage can follow any endpoint of the stage before.
  */
+
+/* An endpoint as the planner sees it. */
 struct pl_node {
-	const char *id;
-	const char *zone;
-	double memory_mb;
-	double pace;
-	int from; /* layers held now, from..to-1; equal: none */
-	int to;
-	bool usable;  /* ready, and not busy with an order */
-	bool limited; /* it has taken few requests for a while; later stages are not limited */
+	const char *id;	  /* name of the endpoint */
+	const char *zone; /* availability zone of the endpoint */
+	double memory_mb; /* memory for layers and requests, in megabytes */
+	double pace;	  /* time of a token step, as a multiple of the service's step */
+	int from;	  /* first layer held now; equal to "to" if the endpoint holds none */
+	int to;		  /* layer after the last one held now */
+	bool usable;	  /* whether the endpoint is ready and carries out no order at present */
+	bool limited; /* whether the endpoint should not count as a holder of the first layer, */
+		      /* because it has limited the requests that it admits for long */
 };
 
-/* One order of the plan. */
+/* Order to an endpoint to hold the layers from..to-1. */
 struct pl_move {
-	int node; /* index of the node */
-	int from;
-	int to;
+	int node; /* index of the endpoint in the array of nodes */
+	int from; /* first layer to hold */
+	int to;	  /* layer after the last one to hold */
 };
 
-/* What a plan is worth, for operators and for comparing plans. */
+/* Statistics of a placement, for operators and for comparing plans. */
 struct pl_figures {
-	int copies_min;	 /* endpoints of the layer that has the fewest */
-	int zones_whole; /* availability zones that hold every layer by themselves */
-	double copies_mean;
-	double tokens_min; /* tokens of context that the weakest layer has memory for */
+	int copies_min;	    /* copies of the layer that the fewest endpoints hold */
+	int zones_whole;    /* number of availability zones that hold every layer */
+	double copies_mean; /* mean number of endpoints that hold a layer */
+	double tokens_min;  /* memory for requests at the weakest layer, in tokens of context */
 };
 
 /*
- * Appends to moves (struct pl_move) what has to be ordered now. Nodes that hold layers keep them,
- * unless a layer would otherwise have one holder or none.
+ * Appends the moves (struct pl_move) that have to be ordered now. Nodes that hold layers keep them,
+ * unless some layer would otherwise have one copy or none.
  */
 void pl_plan(const struct rt_engine *engine, const struct pl_node *nodes, int n, GArray *moves);
 
 /*
- * Appends one move if a layer has memory for far fewer tokens than is usual among them and an
- * endpoint elsewhere can be spared for it. Only where nothing else is under way: an endpoint that
- * loads serves nothing meanwhile.
+ * Appends one move if some layer has memory for far fewer tokens than the median layer and an
+ * endpoint of other layers can be moved to it. To be called only while no other order is being
+ * carried out, because an endpoint serves no requests while it loads layers.
  */
 void pl_balance(const struct rt_engine *engine, const struct pl_node *nodes, int n, GArray *moves);
 
-/* Figures of what the nodes hold. */
+/* Computes the statistics of the layers that the nodes hold now. */
 void pl_measure(const struct rt_engine *engine, const struct pl_node *nodes, int n,
-		struct pl_figures *figures);
+		struct pl_figures *stats);
 
-/* Figures' tokens_min after the loss of the one node that costs most; O(nodes x layers). */
-double pl_after_loss(const struct rt_engine *engine, const struct pl_node *nodes, int n);
+/*
+ * Returns the value of tokens_min (struct pl_figures) after the loss of the one node whose loss
+ * lowers it most. Takes O(nodes x layers) time.
+ */
+double pl_tokens_after_worst_loss(const struct rt_engine *engine, const struct pl_node *nodes,
+				  int n);
 
-/* Tokens of context that a node has memory for, over the layers that it holds. */
+/* Returns how many tokens of context fit into a node's memory beside the layers that it holds. */
 double pl_token_room(const struct rt_engine *engine, double memory_mb, int layers_held);
 
 G_END_DECLS
--- a/place/place_int.h
+++ b/place/place_int.h
@@ -5,28 +5,41 @@
 
 G_BEGIN_DECLS
 
-/* Layers between common cut points, or 0 when the nodes can't hold the model. */
-int pl_unit(const struct rt_engine *engine, const struct pl_node *nodes, int n);
+/*
+ * A unit is the number of layers between two common cut points. Returns the unit for a placement
+ * from scratch, or 0 if the nodes can't hold the model.
+ */
+int pl_choose_unit(const struct rt_engine *engine, const struct pl_node *nodes, int n);
 
-/* The unit that the ranges held now keep to, as far as the smallest node has memory for it. */
-int pl_unit_held(const struct rt_engine *engine, const struct pl_node *nodes, int n);
+/*
+ * Returns the unit that divides the ends of all ranges held now, reduced to a divisor for which the
+ * smallest node has memory.
+ */
+int pl_unit_in_use(const struct rt_engine *engine, const struct pl_node *nodes, int n);
 
-/* Layers that the node holds, a multiple of unit; 0: not even one unit. */
-int pl_length(const struct rt_engine *engine, const struct pl_node *node, int unit);
+/*
+ * Returns the length of the longest range that the node can hold, a multiple of unit; 0 if one unit
+ * does not fit. It may exceed the layers of the model by a part of a unit.
+ */
+int pl_range_length(const struct rt_engine *engine, const struct pl_node *node, int unit);
 
-/* The nodes, largest first; free with g_free(). */
-int *pl_order(const struct pl_node *nodes, int n);
+/* Returns the indices of the nodes, largest memory first. Free the array with g_free(). */
+int *pl_sort_by_memory(const struct pl_node *nodes, int n);
 
 /*
- * The range of a node that is on no layer of the board which lowers the cost most. Returns by how
- * much; 0: there is none.
+ * Finds the range that lowers the cost most if the node move->node, which coverage must not count
+ * on any layer, holds it, and stores it in move. Returns the decrease of the cost; 0 if no range
+ * lowers it.
  */
-double pl_best(const struct pw_board *board, const struct pl_node *node, int unit,
-	       struct pl_move *move);
+double pl_best_range(const struct coverage *coverage, const struct pl_node *node, int unit,
+		     struct pl_move *move);
 
-/* Moves one node, if it can be spared, to a layer that has one holder or none. */
-void pl_rescue(struct pw_board *board, const struct pl_node *nodes, const int *order, int n,
-	       int unit, GArray *moves);
+/*
+ * If some layer has one copy or none, appends the move of one node, all of whose layers have copies
+ * to spare, that lowers the cost most.
+ */
+void pl_restore_copies(struct coverage *coverage, const struct pl_node *nodes, const int *order,
+		       int n, int unit, GArray *moves);
 
 G_END_DECLS
 
--- a/place/place_test.cc
+++ b/place/place_test.cc
@@ -23,10 +23,10 @@
 };
 const Kind LARGE = {72000, 2.4}, MIDDLE = {43200, 5.6}, SMALL = {21600, 16};
 
-/* Endpoints of one deployment, with their texts. */
+/* Endpoints of one deployment. */
 struct Fleet {
-	double kv_bytes = 918000; /* of a token */
-	std::vector<std::string> ids;
+	double kv_bytes = 918000;     /* memory of one token over all layers, in bytes */
+	std::vector<std::string> ids; /* owns the strings that the nodes' ids point to */
 	std::vector<pl_node> nodes;
 
 	void Add(int n, Kind kind, const char *zone)
@@ -71,7 +71,7 @@
 	double AfterLoss()
 	{
 		rt_engine engine = Engine(kv_bytes);
-		return pl_after_loss(&engine, nodes.data(), (int)nodes.size());
+		return pl_tokens_after_worst_loss(&engine, nodes.data(), (int)nodes.size());
 	}
 	pl_figures Measure()
 	{
@@ -82,7 +82,7 @@
 	}
 };
 
-/* 33 endpoints of three kinds in three availability zones: a deployment of today. */
+/* A deployment of 33 endpoints of three kinds in three availability zones. */
 Fleet Today()
 {
 	Fleet f;
@@ -98,7 +98,7 @@
 	return f;
 }
 
-TEST(PlaceTest, NobodyIsGivenMoreThanItHolds)
+TEST(PlaceTest, RangesFitIntoTheMemoryOfTheirEndpoints)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
@@ -108,20 +108,19 @@
 	}
 }
 
-/* Wanted of a deployment of today: every zone whole by itself, and the loss of any endpoint borne.
- */
-TEST(PlaceTest, EveryZoneHoldsTheWholeModelAndAnyLossIsBorne)
+/* Every availability zone holds all layers, and the load still fits after the worst single loss. */
+TEST(PlaceTest, EveryZoneHoldsTheWholeModelAndTheLoadFitsAfterAnyLoss)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
-	pl_figures figures = f.Measure();
-	EXPECT_EQ(figures.zones_whole, 3);
-	EXPECT_GE(figures.copies_min, 4);
+	pl_figures stats = f.Measure();
+	EXPECT_EQ(stats.zones_whole, 3);
+	EXPECT_GE(stats.copies_min, 4);
 	/* 300 requests in flight of 1,000 tokens fit, also after the worst loss. */
 	EXPECT_GT(f.AfterLoss(), 270000);
 }
 
-TEST(PlaceTest, CutPointsAreCommon)
+TEST(PlaceTest, RangesBeginAndEndAtCommonCutPoints)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
@@ -131,7 +130,7 @@
 	}
 }
 
-TEST(PlaceTest, WhatHoldsLayersIsLeftAlone)
+TEST(PlaceTest, EndpointsThatHoldLayersAreNotMoved)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
@@ -143,11 +142,11 @@
 	EXPECT_EQ(moves[0].node, (int)g.nodes.size() - 1);
 }
 
-TEST(PlaceTest, ANewcomerTakesWhatIsWeakest)
+TEST(PlaceTest, ANewEndpointIsAssignedTheWeakestLayers)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
-	/* All holders of the first layers but one leave. */
+	/* Removes all holders of the first layer except one. */
 	std::vector<pl_node> left;
 	int kept = 0;
 	for (const auto &n : f.nodes) {
@@ -162,11 +161,10 @@
 }
 
 /*
- * Symptom: nothing was served although most endpoints were well.
- * Sequence: the only holders of a range leave.
- * Cause: nobody was moved to where layers were missing.
+ * Guards against an outage in which most endpoints are healthy but no request is served: all
+ * holders of a range leave, and no other endpoint is moved to the missing layers.
  */
-TEST(PlaceTest, ASegmentThatLostItsHoldersGetsOneThatCanBeSpared)
+TEST(PlaceTest, AnEndpointIsMovedToLayersThatLostAllHolders)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
@@ -180,9 +178,11 @@
 	EXPECT_GT(moves[0].to, 32);
 }
 
-/* Requests begin at the first layer; where only endpoints hold it that take few, nothing is served.
+/*
+ * Requests enter the model at its first layer. If only endpoints that limit their requests hold it,
+ * almost nothing is served, so another endpoint has to be moved there.
  */
-TEST(PlaceTest, TheFirstLayersGetHoldersBesideThoseThatTakeFewRequests)
+TEST(PlaceTest, TheFirstLayersGetHoldersBesideThoseThatLimitRequests)
 {
 	Fleet fleet;
 	std::vector<size_t> first;
@@ -195,10 +195,10 @@
 			first.push_back(i);
 	}
 	ASSERT_GE(first.size(), 3u);
-	/* One of them is a matter of choice, not of layers. */
+	/* One limited endpoint leaves enough other holders, so nothing is moved. */
 	fleet.nodes[first[0]].limited = true;
 	EXPECT_TRUE(fleet.Plan().empty());
-	/* With one left, another one is moved there. */
+	/* If only one unlimited endpoint is left, another endpoint is moved to the first layers. */
 	for (size_t i = 0; i + 1 < first.size(); i++)
 		fleet.nodes[first[i]].limited = true;
 	auto moves = fleet.Plan();
@@ -206,7 +206,7 @@
 	EXPECT_EQ(moves[0].from, 0);
 	fleet.Apply(moves);
 	EXPECT_TRUE(fleet.Plan().empty());
-	/* Limits that come and go move nothing more. */
+	/* Limits that are set and lifted again cause no further moves. */
 	for (int i = 0; i < 10; i++) {
 		for (size_t node : first)
 			fleet.nodes[node].limited = i % 2 == 0 && node != first.back();
@@ -214,7 +214,7 @@
 	}
 }
 
-TEST(PlaceTest, TheSameViewGivesTheSamePlanInAnyOrder)
+TEST(PlaceTest, ThePlanDoesNotDependOnTheOrderOfNodes)
 {
 	Fleet f = Today();
 	Fleet g = Today();
@@ -229,8 +229,8 @@
 }
 
 /*
- * The plan against two simpler ones, on a deployment of today: endpoints filled one after the other
- * along the layers, with two thirds of their memory (round) and with all of it (full).
+ * Compares the plan with two simpler ones, which assign consecutive ranges to one endpoint after
+ * the other and use 0.67 of its memory ("round") or all of it ("full").
  */
 TEST(PlaceTest, ComparedWithSimplerPlans)
 {
@@ -252,7 +252,7 @@
 	}
 	const struct {
 		const char *name;
-		pl_figures figures;
+		pl_figures stats;
 		double after_loss;
 	} plans[] = {{"plan", plan.Measure(), plan.AfterLoss()},
 		     {"round", round.Measure(), round.AfterLoss()},
@@ -260,11 +260,11 @@
 	for (const auto &p : plans)
 		printf("%-6s zones whole %d, fewest copies %d, copies %.1f, tokens %.0f, after the worst "
 		       "loss %.0f\n",
-		       p.name, p.figures.zones_whole, p.figures.copies_min, p.figures.copies_mean,
-		       p.figures.tokens_min, p.after_loss);
-	/* "round" has more room after a loss, but one zone can't serve a request by itself. */
+		       p.name, p.stats.zones_whole, p.stats.copies_min, p.stats.copies_mean,
+		       p.stats.tokens_min, p.after_loss);
+	/* "round" has more memory after a loss, but some zone can't serve a request by itself. */
 	for (const auto &p : plans)
-		EXPECT_GE(plans[0].figures.zones_whole, p.figures.zones_whole) << p.name;
+		EXPECT_GE(plans[0].stats.zones_whole, p.stats.zones_whole) << p.name;
 	EXPECT_GT(plans[0].after_loss, 270000);
 	EXPECT_LT(plans[2].after_loss, 270000);
 }
@@ -277,8 +277,8 @@
 	EXPECT_TRUE(f.Plan().empty());
 }
 
-/* 86 endpoints in four zones: a deployment of next year. */
-TEST(PlaceTest, GrownDeployment)
+/* A larger deployment: 86 endpoints in four availability zones. */
+TEST(PlaceTest, LargerDeployment)
 {
 	Fleet f;
 	const char *zones[] = {"a", "b", "c", "d"};
@@ -289,24 +289,24 @@
 		f.Add(small[z], SMALL, zones[z]);
 	}
 	f.Apply(f.Plan());
-	pl_figures figures = f.Measure();
-	EXPECT_EQ(figures.zones_whole, 4);
-	EXPECT_GE(figures.copies_min, 10);
+	pl_figures stats = f.Measure();
+	EXPECT_EQ(stats.zones_whole, 4);
+	EXPECT_GE(stats.copies_min, 10);
 }
 
-/* The endpoint holds nothing any more, and takes no orders. */
+/* Marks the endpoint as lost: it holds no layers and can't carry out orders. */
 void Lose(Fleet &f, size_t node)
 {
 	f.nodes[node].from = f.nodes[node].to = 0;
 	f.nodes[node].usable = false;
 }
 
-TEST(PlaceTest, WhatIsBalancedIsLeftAlone)
+TEST(PlaceTest, ABalancedPlacementIsNotChanged)
 {
 	Fleet f = Today();
 	f.Apply(f.Plan());
 	EXPECT_TRUE(f.Balance().empty());
-	/* The loss of any one endpoint is borne without a load. */
+	/* After the loss of any one endpoint, no other endpoint has to load layers. */
 	for (size_t i = 0; i < f.nodes.size(); i++) {
 		Fleet g = f;
 		Lose(g, i);
@@ -315,15 +315,15 @@
 }
 
 /*
- * Symptom: four in ten requests were refused for ten seconds while half of the memory was free.
- * Sequence: two of three endpoints that hold a range of layers are lost; the third one's memory is
- * full, and every pipeline passes through it. Cause: a range was helped only when a single holder
- * was left, and counted by holders, not by what they have room for.
+ * Guards against a range with too little memory that is never balanced: two of its three holders
+ * are lost, every pipeline passes through the third, whose memory is full, and four in ten requests
+ * were refused for ten seconds while half of the memory elsewhere was free. Balancing therefore
+ * compares the memory of layers and not only the number of copies.
  *
- * The load: 33 endpoints of three kinds, 300 requests in flight of 900 tokens. All pairs of large
- * endpoints are lost in turn; each has memory for a sixth of what some range of layers needs.
+ * Load: 33 endpoints of three kinds and 300 requests in flight of 900 tokens. Each pair of large
+ * endpoints is lost in turn; each of them has memory for a sixth of what some range needs.
  */
-TEST(PlaceTest, AThinRangeGetsMemoryFromElsewhere)
+TEST(PlaceTest, ARangeWithLittleMemoryGetsAnotherEndpoint)
 {
 	double worst_before = 1e9, worst_after = 1e9;
 	size_t most_moves = 0;
@@ -342,18 +342,18 @@
 				ASSERT_EQ(moves.size(), 1u);
 				f.Apply(moves);
 			}
-			EXPECT_LT(n, 20u) << "it comes to rest";
+			EXPECT_LT(n, 20u) << "balancing does not end";
 			worst_after = std::min(worst_after, f.Measure().tokens_min);
 			most_moves = std::max(most_moves, n);
 		}
 	}
-	printf("two large endpoints lost: tokens of the thinnest range %.0f, after at most %zu "
+	printf("two large endpoints lost: tokens of the weakest range %.0f, after at most %zu "
 	       "moves %.0f\n",
 	       worst_before, most_moves, worst_after);
 	EXPECT_GT(worst_after, worst_before * 1.3);
 }
 
-/* 39 endpoints of four kinds, most of them small: their memory holds 8 and 5 layers. */
+/* 39 endpoints of four kinds; most are small, with memory for 8 or 5 layers. */
 Fleet ManySmall()
 {
 	const Kind huge = {72000, 1.4}, large = {36000, 3.1}, small = {21600, 16},
@@ -373,25 +373,24 @@
 }
 
 /*
- * Symptom: after the second loss of a minute hardly anything was served for 20 s, though 37 of 39
- * endpoints were well.
- * Sequence: a range of layers has two holders; one is lost, then the other one.
- * Cause: cut points lay 5 layers apart, as the smallest endpoints dictate, so endpoints with memory
- * for 8 layers held 5, and a third of the memory served nobody.
+ * Guards against an outage after two losses: both holders of a range were lost within a minute, and
+ * hardly anything was served for 20 s although 37 of 39 endpoints were healthy. Cut points lay 5
+ * layers apart because of the smallest endpoints, so that endpoints with memory for 8 layers held
+ * 5, and a third of the memory was unused.
  *
- * The load: 62 requests/s of 770 + 170 tokens, 150 in flight, so 130,000 tokens of context.
+ * Load: 62 requests/s of 770 + 170 tokens, 150 in flight, so 130,000 tokens of context.
  */
-TEST(PlaceTest, SmallEndpointsDoNotDictateHowMuchOthersHold)
+TEST(PlaceTest, SmallEndpointsDoNotLimitTheRangesOfOthers)
 {
 	Fleet f = ManySmall();
 	f.Apply(f.Plan());
-	pl_figures figures = f.Measure();
+	pl_figures stats = f.Measure();
 	printf("many small: zones whole %d, fewest copies %d, copies %.2f, after the worst loss %.0f\n",
-	       figures.zones_whole, figures.copies_min, figures.copies_mean, f.AfterLoss());
-	EXPECT_EQ(figures.zones_whole, 3);
-	EXPECT_GE(figures.copies_min, 3);
-	EXPECT_GE(figures.copies_mean, 3.6);
-	/* Two losses in a row leave a holder of each layer. */
+	       stats.zones_whole, stats.copies_min, stats.copies_mean, f.AfterLoss());
+	EXPECT_EQ(stats.zones_whole, 3);
+	EXPECT_GE(stats.copies_min, 3);
+	EXPECT_GE(stats.copies_mean, 3.6);
+	/* After any two losses, each layer still has a holder. */
 	for (size_t a = 0; a < f.nodes.size(); a++) {
 		for (size_t b = 0; b < a; b++) {
 			Fleet g = f;
@@ -403,17 +402,16 @@
 }
 
 /*
- * Symptom: after four of 97 small endpoints were lost, hardly anything was served in time for 16 s.
- * Sequence: every stream runs through 16 endpoints, so each loss cuts one stream in six; the
- * repairs make the rest late, and callers leave requests that wait behind them. Cause: two thirds
- * of the memory were for layers, however little memory a token takes, and cut points lay 5 layers
- * apart, so endpoints with memory for 10 layers held 5.
+ * Guards against needlessly long pipelines: with 16 stages, each lost endpoint cuts one stream in
+ * six, the repairs delay the other streams, and callers give up on requests that wait behind them.
+ * After the loss of four of 97 small endpoints hardly anything was served in time for 16 s. Two
+ * thirds of the memory were used for layers although a token takes little memory, and cut points
+ * lay 5 layers apart, so that endpoints with memory for 10 layers held 5.
  *
- * The load: 181 streams/s of 800 + 170 tokens, 600 in flight, so 550,000 tokens of context. Wanted:
- * pipelines of 12 stages at most where each one takes the longest range, and the load still fits
- * after the worst loss.
+ * Load: 181 streams/s of 800 + 170 tokens, 600 in flight, so 550,000 tokens of context. Expected:
+ * at most 12 stages if each stage uses the longest range, and the load fits after the worst loss.
  */
-TEST(PlaceTest, SmallEndpointsMakeNoLongPipelinesWhereTokensTakeLittle)
+TEST(PlaceTest, SmallEndpointsMakeNoLongPipelinesIfTokensTakeLittleMemory)
 {
 	const Kind small = {21600, 16}, tiny = {14400, 15};
 	Fleet f;
@@ -435,18 +433,19 @@
 		ASSERT_GT(furthest, at);
 		at = furthest;
 	}
-	pl_figures figures = f.Measure();
+	pl_figures stats = f.Measure();
 	double after = f.AfterLoss();
 	printf("all small, little memory a token: stages %d, fewest copies %d, after the worst loss %.0f\n",
-	       stages, figures.copies_min, after);
+	       stages, stats.copies_min, after);
 	EXPECT_LE(stages, 12);
-	EXPECT_EQ(figures.zones_whole, 3);
+	EXPECT_EQ(stats.zones_whole, 3);
 	EXPECT_GE(after, 550000);
 }
 
 /*
- * Endpoints with memory for 13 of 80 layers: cut each 13 layers, the last stage would have 2, and
- * whoever holds it would hold nothing else. Wanted: stages of nearly equal length.
+ * Endpoints have memory for 13 of 80 layers. With a cut point every 13 layers, the last stage would
+ * have only 2, and its holders would leave most of their memory unused. Expected: stages of nearly
+ * equal length.
  */
 TEST(PlaceTest, StagesAreOfNearlyEqualLength)
 {
@@ -460,15 +459,14 @@
 }
 
 /*
- * Load: a release replaces a third of the endpoints, one after the other, each new one empty.
- * Wanted: no layer is left with a single holder on the way, and every zone is whole at the end.
+ * A release replaces a third of the endpoints, one after the other, by empty ones. Expected: each
+ * layer has two holders after every step, and every zone holds all layers at the end.
  */
-TEST(PlaceTest, AReleaseLeavesThePlanWhole)
+TEST(PlaceTest, AReleaseKeepsTwoCopiesOfEachLayer)
 {
 	Fleet f = ManySmall();
 	f.Apply(f.Plan());
-	/* One after the other, a third of the endpoints is replaced by empty ones of the same kind.
-	 */
+	/* Replaces every third endpoint by an empty one of the same kind. */
 	for (size_t i = 0; i < f.nodes.size(); i += 3) {
 		f.nodes[i].from = f.nodes[i].to = 0;
 		auto moves = f.Plan();
--- a/place/plan.c
+++ b/place/plan.c
@@ -3,74 +3,80 @@
 #include <string.h>
 
 enum {
-	PL_PATH_MAX = 24,  /* stages that a pipeline may have; engines take up to 32 */
-	PL_SWEEPS_MAX = 8, /* rounds in which each node is placed anew; few plans improve later */
-	/* Nodes from which on there are fewer rounds: 588 take 1.7 ms of a core in two. */
-	PL_MANY = 200,
-	PL_SWEEPS_MANY = 2,
+	PL_STAGES_MAX = 24, /* stages that a pipeline may have; engines accept up to 32 */
+	PL_SWEEPS_MAX = 8,  /* rounds of reassigning every node; few plans improve after that */
+	/* Number of nodes from which fewer rounds are run, to bound the CPU time of a plan. */
+	PL_MANY_NODES = 200,
+	PL_SWEEPS_MAX_MANY_NODES = 2, /* rounds for many nodes; 1.7 ms of a core for 588 nodes */
 	PL_BYTES_PER_MB = 1000000
 };
 
 /*
- * Part of an endpoint's memory for layers in any case; the rest holds requests. More layers leave
- * an endpoint's share of the requests without memory when another one is lost, or in a surge. Fewer
- * make pipelines longer, so that a lost or slow endpoint touches more of them.
+ * Least part of an endpoint's memory that is used for layers; the rest is for requests. With a
+ * larger part, the endpoint has no memory for its share of the requests in a surge or after the
+ * loss of another endpoint. With a smaller part, pipelines are longer, so that a lost or slow
+ * endpoint affects more of them.
  */
-static const double pl_layer_part = 0.67;
+static const double pl_layer_memory_part = 0.67;
 
 /*
- * Where a token takes little memory, layers may have more: all but the memory for so many tokens of
- * context on each layer. With a constant part most of the memory stays empty there.
+ * Tokens of context for which each layer keeps memory. If a token takes little memory, layers may
+ * use all of the rest; with a constant part for layers, most of the memory would stay unused.
  */
-static const double pl_context_tokens = 90000;
+static const double pl_context_tokens_per_layer = 90000;
 
 /*
- * By how much common cut points may cost more than free ones. They make pipelines shorter, since a
- * stage is always run whole, and a lost stage is replaced by one other. Where they cost more, some
- * layer has too few holders.
+ * Largest ratio of the cost with common cut points to the cost with arbitrary ones at which common
+ * cut points are used. They make pipelines shorter, since each stage runs all layers of its
+ * endpoint, and a lost stage is replaced by a single other endpoint. A higher ratio means that some
+ * layer has too few copies.
  */
-static const double pl_unit_worth = 1.02;
+static const double pl_common_cost_max = 1.02;
 
 /*
- * Part of all layers that could be held which a unit must use. An endpoint holds whole units, so a
- * unit of 5 leaves one with memory for 9 layers with 5: with endpoints of 8 and 5 layers, streams
- * went through 16 stages where 10 do. Of units that use nearly alike the largest one has the
- * fewest cut points.
+ * Least part of the layers that fit into all nodes that must still be held if ranges are multiples
+ * of the unit. With a unit of 5, an endpoint with memory for 9 layers holds only 5: with endpoints
+ * of 8 and 5 layers, streams passed through 16 stages where 10 suffice. The largest unit that
+ * reaches this part is used, because it has the fewest cut points.
  */
-static const double pl_unit_use = 0.9;
+static const double pl_unit_use_min = 0.9;
 
-/* A round that lowers the cost by less than this part is the last one. */
-static const double pl_sweep_gain = 0.001;
+/* A round that lowers the cost by less than this part of it is the last one. */
+static const double pl_sweep_gain_min = 0.001;
 
-/* A plan in the making. */
+/* A plan that is being computed. */
 struct pl_draft {
-	struct pw_board board;
+	struct coverage coverage;
 	const struct pl_node *nodes;
-	const int *order;
-	int n;
-	int unit;
-	struct pl_move *ranges; /* by node; from = to: none */
+	const int *order;	/* indices of the nodes, largest memory first */
+	int n;			/* number of nodes */
+	int unit;		/* layers between two cut points */
+	struct pl_move *ranges; /* planned range of each node; from equals to if there is none */
 };
 
-/* Layers that the node has memory for, beside that for requests. */
-static int pl_layers(const struct rt_engine *engine, const struct pl_node *node)
+/* Returns how many layers fit into the node's memory beside the memory for requests. */
+static int pl_layer_capacity(const struct rt_engine *engine, const struct pl_node *node)
 {
 	double token_mb = engine->kv_bytes / PL_BYTES_PER_MB / engine->layers;
-	double part = engine->layer_mb / (engine->layer_mb + pl_context_tokens * token_mb);
+	double part =
+		engine->layer_mb / (engine->layer_mb + pl_context_tokens_per_layer * token_mb);
 
 	if (token_mb <= 0)
 		part = 0;
-	return (int)(node->memory_mb * MAX(part, pl_layer_part) / engine->layer_mb);
+	return (int)(node->memory_mb * MAX(part, pl_layer_memory_part) / engine->layer_mb);
 }
 
-/* Layers of the smallest node that is of use at all; 0: there is none. */
-static int pl_smallest(const struct rt_engine *engine, const struct pl_node *nodes, int n)
+/*
+ * Returns how many layers fit into the smallest node that holds enough of them for pipelines of at
+ * most PL_STAGES_MAX stages; 0 if there is no such node.
+ */
+static int pl_smallest_capacity(const struct rt_engine *engine, const struct pl_node *nodes, int n)
 {
-	int shortest = (engine->layers + PL_PATH_MAX - 1) / PL_PATH_MAX;
+	int shortest = (engine->layers + PL_STAGES_MAX - 1) / PL_STAGES_MAX;
 	int smallest = 0;
 
 	for (int i = 0; i < n; i++) {
-		int layers = MIN(pl_layers(engine, &nodes[i]), engine->layers);
+		int layers = MIN(pl_layer_capacity(engine, &nodes[i]), engine->layers);
 
 		if (layers >= shortest && (smallest == 0 || layers < smallest))
 			smallest = layers;
@@ -78,22 +84,25 @@
 	return smallest;
 }
 
-/* Layers that all nodes hold together, each a multiple of unit. */
-static int64_t pl_use(const struct rt_engine *engine, const struct pl_node *nodes, int n, int unit)
+/* Returns how many layers all nodes can hold together if each holds a multiple of unit. */
+static int64_t pl_layers_used(const struct rt_engine *engine, const struct pl_node *nodes, int n,
+			      int unit)
 {
 	int64_t use = 0;
 
 	for (int i = 0; i < n; i++)
-		use += (int64_t)MIN(pl_layers(engine, &nodes[i]), engine->layers) / unit * unit;
+		use += (int64_t)MIN(pl_layer_capacity(engine, &nodes[i]), engine->layers) / unit *
+		       unit;
 	return use;
 }
 
-int pl_unit(const struct rt_engine *engine, const struct pl_node *nodes, int n)
+int pl_choose_unit(const struct rt_engine *engine, const struct pl_node *nodes, int n)
 {
-	int unit = pl_smallest(engine, nodes, n);
-	int64_t most = pl_use(engine, nodes, n, 1);
+	int unit = pl_smallest_capacity(engine, nodes, n);
+	int64_t most = pl_layers_used(engine, nodes, n, 1);
 
-	while (unit > 1 && (double)pl_use(engine, nodes, n, unit) < pl_unit_use * (double)most)
+	while (unit > 1 &&
+	       (double)pl_layers_used(engine, nodes, n, unit) < pl_unit_use_min * (double)most)
 		unit--;
 	return unit;
 }
@@ -109,7 +118,10 @@
 	return a;
 }
 
-/* The greatest divisor of the unit that is not over the limit: a node may be too small for it. */
+/*
+ * Returns the greatest divisor of the unit that does not exceed the limit, so that also a node
+ * whose memory is too small for a whole unit can hold a range.
+ */
 static int pl_divisor_within(int unit, int limit)
 {
 	int divisor = MIN(unit, MAX(limit, 1));
@@ -119,10 +131,10 @@
 	return divisor;
 }
 
-/* The last layer is a cut point for any unit. */
-int pl_unit_held(const struct rt_engine *engine, const struct pl_node *nodes, int n)
+/* A range may end at the last layer whatever the unit is, so that end is left out. */
+int pl_unit_in_use(const struct rt_engine *engine, const struct pl_node *nodes, int n)
 {
-	int smallest = pl_smallest(engine, nodes, n);
+	int smallest = pl_smallest_capacity(engine, nodes, n);
 	int unit = 0;
 
 	for (int i = 0; i < n; i++) {
@@ -133,11 +145,11 @@
 			unit = pl_common_divisor(unit, nodes[i].to);
 	}
 	if (unit == 0)
-		return pl_unit(engine, nodes, n);
+		return pl_choose_unit(engine, nodes, n);
 	return pl_divisor_within(unit, smallest);
 }
 
-static gint pl_larger_first(gconstpointer a, gconstpointer b, gpointer ctx)
+static gint pl_compare_memory(gconstpointer a, gconstpointer b, gpointer ctx)
 {
 	const struct pl_node *nodes = ctx;
 	const struct pl_node *na = &nodes[*(const int *)a];
@@ -148,67 +160,70 @@
 	return strcmp(na->id, nb->id);
 }
 
-int *pl_order(const struct pl_node *nodes, int n)
+int *pl_sort_by_memory(const struct pl_node *nodes, int n)
 {
 	int *order = g_new(int, (gsize)n + 1);
 
 	for (int i = 0; i < n; i++)
 		order[i] = i;
-	g_qsort_with_data(order, n, sizeof(*order), pl_larger_first, (gpointer)nodes);
+	g_qsort_with_data(order, n, sizeof(*order), pl_compare_memory, (gpointer)nodes);
 	return order;
 }
 
-int pl_length(const struct rt_engine *engine, const struct pl_node *node, int unit)
+int pl_range_length(const struct rt_engine *engine, const struct pl_node *node, int unit)
 {
-	int layers = pl_layers(engine, node);
+	int layers = pl_layer_capacity(engine, node);
 
 	return MIN(layers, engine->layers + unit - 1) / unit * unit;
 }
 
-double pl_best(const struct pw_board *board, const struct pl_node *node, int unit,
-	       struct pl_move *move)
+double pl_best_range(const struct coverage *coverage, const struct pl_node *node, int unit,
+		     struct pl_move *move)
 {
-	int length = pl_length(board->engine, node, unit);
+	int length = pl_range_length(coverage->engine, node, unit);
 	double gain;
 
 	if (length <= 0)
 		return 0;
-	gain = pw_best_range(board, move->node, length, unit, &move->from);
-	move->to = MIN(move->from + length, board->engine->layers);
+	gain = cov_best_range(coverage, move->node, length, unit, &move->from);
+	move->to = MIN(move->from + length, coverage->engine->layers);
 	return move->from < 0 ? 0 : gain;
 }
 
-static bool pl_is_free(const struct pl_node *node)
+/* Returns whether the node can take an order and holds no layers. */
+static bool pl_is_unassigned(const struct pl_node *node)
 {
 	return node->usable && node->to == node->from;
 }
 
-static void pl_draft_place(struct pl_draft *draft, int node)
+/* Replaces the planned range of the node by the best one beside those of the other nodes. */
+static void pl_draft_reassign(struct pl_draft *draft, int node)
 {
 	struct pl_move *range = &draft->ranges[node];
 
-	pw_remove(&draft->board, node, range->from, range->to);
+	cov_remove(&draft->coverage, node, range->from, range->to);
 	range->from = range->to = 0;
-	if (pl_best(&draft->board, &draft->nodes[node], draft->unit, range) > 0)
-		pw_add(&draft->board, node, range->from, range->to);
+	if (pl_best_range(&draft->coverage, &draft->nodes[node], draft->unit, range) > 0)
+		cov_add(&draft->coverage, node, range->from, range->to);
 }
 
+/* Reassigns every node that holds no layers, once. */
 static void pl_draft_sweep(struct pl_draft *draft)
 {
 	for (int i = 0; i < draft->n; i++) {
-		if (pl_is_free(&draft->nodes[draft->order[i]]))
-			pl_draft_place(draft, draft->order[i]);
+		if (pl_is_unassigned(&draft->nodes[draft->order[i]]))
+			pl_draft_reassign(draft, draft->order[i]);
 	}
 }
 
 /*
- * Ranges for the nodes that hold nothing: each in turn takes the best one, then each is placed anew
- * beside the others until that gains nothing more.
+ * Plans ranges for the nodes that hold no layers: each node in turn is assigned the best range, and
+ * then all are reassigned in rounds until the cost hardly falls.
  */
 static void pl_draft_init(struct pl_draft *draft, const struct rt_engine *engine,
 			  const struct pl_node *nodes, const int *order, int n, int unit)
 {
-	int sweeps = n < PL_MANY ? PL_SWEEPS_MAX : PL_SWEEPS_MANY;
+	int sweeps = n < PL_MANY_NODES ? PL_SWEEPS_MAX : PL_SWEEPS_MAX_MANY_NODES;
 	double cost;
 
 	draft->nodes = nodes;
@@ -218,26 +233,26 @@
 	draft->ranges = g_new0(struct pl_move, (gsize)n + 1);
 	for (int i = 0; i < n; i++)
 		draft->ranges[i].node = i;
-	pw_init(&draft->board, engine, nodes, n);
+	cov_init(&draft->coverage, engine, nodes, n);
 	pl_draft_sweep(draft);
-	cost = pw_cost(&draft->board);
+	cost = cov_cost(&draft->coverage);
 	for (int i = 0; i < sweeps; i++) {
 		double before = cost;
 
 		pl_draft_sweep(draft);
-		cost = pw_cost(&draft->board);
-		if (cost > before * (1 - pl_sweep_gain))
+		cost = cov_cost(&draft->coverage);
+		if (cost > before * (1 - pl_sweep_gain_min))
 			break;
 	}
 }
 
 static void pl_draft_finish(struct pl_draft *draft)
 {
-	pw_finish(&draft->board);
+	cov_finish(&draft->coverage);
 	g_free(draft->ranges);
 }
 
-static void pl_draft_moves(const struct pl_draft *draft, GArray *moves)
+static void pl_draft_append_moves(const struct pl_draft *draft, GArray *moves)
 {
 	for (int i = 0; i < draft->n; i++) {
 		const struct pl_move *range = &draft->ranges[draft->order[i]];
@@ -247,32 +262,37 @@
 	}
 }
 
-/* Where nothing is held yet, the cut points are a choice. */
-static void pl_plan_free(const struct rt_engine *engine, const struct pl_node *nodes,
-			 const int *order, int n, GArray *moves)
+/*
+ * Plans for endpoints none of which holds layers yet. The cut points can be chosen freely, so a
+ * draft with common cut points is compared to one with arbitrary ones.
+ */
+static void pl_plan_initial(const struct rt_engine *engine, const struct pl_node *nodes,
+			    const int *order, int n, GArray *moves)
 {
 	struct pl_draft common;
 	struct pl_draft single;
-	bool is_cheap;
+	bool is_common_cheap;
 
-	pl_draft_init(&common, engine, nodes, order, n, pl_unit(engine, nodes, n));
+	pl_draft_init(&common, engine, nodes, order, n, pl_choose_unit(engine, nodes, n));
 	pl_draft_init(&single, engine, nodes, order, n, 1);
-	is_cheap = pw_cost(&common.board) <= pw_cost(&single.board) * pl_unit_worth;
-	pl_draft_moves(is_cheap ? &common : &single, moves);
+	is_common_cheap =
+		cov_cost(&common.coverage) <= cov_cost(&single.coverage) * pl_common_cost_max;
+	pl_draft_append_moves(is_common_cheap ? &common : &single, moves);
 	pl_draft_finish(&common);
 	pl_draft_finish(&single);
 }
 
-static void pl_plan_rest(const struct rt_engine *engine, const struct pl_node *nodes,
-			 const int *order, int n, GArray *moves)
+/* Plans for the endpoints that hold no layers while others do, at the cut points in use. */
+static void pl_plan_unassigned(const struct rt_engine *engine, const struct pl_node *nodes,
+			       const int *order, int n, GArray *moves)
 {
 	struct pl_draft draft;
-	int unit = pl_unit_held(engine, nodes, n);
+	int unit = pl_unit_in_use(engine, nodes, n);
 
 	pl_draft_init(&draft, engine, nodes, order, n, unit);
-	pl_draft_moves(&draft, moves);
+	pl_draft_append_moves(&draft, moves);
 	if (moves->len == 0)
-		pl_rescue(&draft.board, nodes, order, n, unit, moves);
+		pl_restore_copies(&draft.coverage, nodes, order, n, unit, moves);
 	pl_draft_finish(&draft);
 }
 
@@ -281,14 +301,14 @@
 	bool held = false;
 	int *order;
 
-	if (pl_unit(engine, nodes, n) == 0)
+	if (pl_choose_unit(engine, nodes, n) == 0)
 		return;
 	for (int i = 0; i < n; i++)
 		held = held || nodes[i].to > nodes[i].from;
-	order = pl_order(nodes, n);
+	order = pl_sort_by_memory(nodes, n);
 	if (held)
-		pl_plan_rest(engine, nodes, order, n, moves);
+		pl_plan_unassigned(engine, nodes, order, n, moves);
 	else
-		pl_plan_free(engine, nodes, order, n, moves);
+		pl_plan_initial(engine, nodes, order, n, moves);
 	g_free(order);
 }
--- a/place/worth.c
+++ b/place/worth.c
@@ -2,160 +2,168 @@
 
 #include <string.h>
 
-/* Speed below which a layer is as good as not held, as a part of the usual one. */
-static const double pw_least = 0.005;
+/*
+ * Added to every speed in the cost, so that the cost stays finite; a part of coverage.total_speed.
+ * A layer whose speed is below this costs nearly as much as one that no node holds.
+ */
+static const double cov_speed_floor = 0.005;
 
 /*
- * Weights of what all zones give to a layer, and of what one zone gives by itself. With three
- * zones, what each has for itself counts most: a copy of the model in each zone is worth more than
- * three copies in one. Counting what is left after losses instead made the value of answers in time
- * fall from 0.69 to 0.47 on days with failures: endpoints that are alike were put beside each
- * other.
+ * Weights in the cost of a layer's speed over all availability zones, and of its speed within one
+ * zone. With three zones, the speeds within the zones count most: one copy of the model in each
+ * zone costs less than three copies in one zone. A cost computed from the speed that is left after
+ * losses placed similar endpoints on the same layers, and the value of answers in time fell from
+ * 0.69 to 0.47 on days with failures.
  */
-static const double pw_all_weight = 2.0;
-static const double pw_zone_weight = 1.0;
+static const double cov_all_weight = 2.0;
+static const double cov_zone_weight = 1.0;
 
-static int pw_zone(struct pw_board *board, const char *zone)
+/* Returns the index of the zone, which is added if it is new. */
+static int cov_zone_index(struct coverage *coverage, const char *zone)
 {
-	for (int i = 0; i < board->zones; i++) {
-		if (strcmp(board->zone_names[i], zone) == 0)
+	for (int i = 0; i < coverage->zones; i++) {
+		if (strcmp(coverage->zone_names[i], zone) == 0)
 			return i;
 	}
-	if (board->zones == PW_ZONES_MAX)
+	if (coverage->zones == COV_ZONES_MAX)
 		return 0;
-	board->zone_names[board->zones] = zone;
-	return board->zones++;
+	coverage->zone_names[coverage->zones] = zone;
+	return coverage->zones++;
 }
 
-static double pw_pace(const struct pl_node *node)
+/* Returns the pace of a node, bounded from below because speeds are divided by it. */
+static double cov_pace(const struct pl_node *node)
 {
 	return MAX(node->pace, 0.01);
 }
 
-void pw_init(struct pw_board *board, const struct rt_engine *engine, const struct pl_node *nodes,
-	     int n)
+void cov_init(struct coverage *coverage, const struct rt_engine *engine,
+	      const struct pl_node *nodes, int n)
 {
-	memset(board, 0, sizeof(*board));
-	board->engine = engine;
-	board->nodes = nodes;
-	board->layer_count = MIN(engine->layers, (int)PW_LAYERS_MAX);
-	board->zone_of = g_new0(int, (gsize)n + 1);
+	memset(coverage, 0, sizeof(*coverage));
+	coverage->engine = engine;
+	coverage->nodes = nodes;
+	coverage->layer_count = MIN(engine->layers, (int)COV_LAYERS_MAX);
+	coverage->zone_of = g_new0(int, (gsize)n + 1);
 	for (int i = 0; i < n; i++) {
-		board->zone_of[i] = pw_zone(board, nodes[i].zone);
-		board->all_speed += 1 / pw_pace(&nodes[i]);
+		coverage->zone_of[i] = cov_zone_index(coverage, nodes[i].zone);
+		coverage->total_speed += 1 / cov_pace(&nodes[i]);
 	}
-	board->zone_speeds = g_new0(double, (gsize)(board->zones * board->layer_count) + 1);
+	coverage->zone_speeds =
+		g_new0(double, (gsize)(coverage->zones * coverage->layer_count) + 1);
 	for (int i = 0; i < n; i++)
-		pw_add(board, i, nodes[i].from, nodes[i].to);
+		cov_add(coverage, i, nodes[i].from, nodes[i].to);
 }
 
-void pw_finish(struct pw_board *board)
+void cov_finish(struct coverage *coverage)
 {
-	g_free(board->zone_speeds);
-	g_free(board->zone_of);
+	g_free(coverage->zone_speeds);
+	g_free(coverage->zone_of);
 }
 
-/* What the node gives to each layer of a range of that length. */
-static double pw_speed(const struct pw_board *board, int node, int length)
+/* Returns the speed that a node adds to each layer of a range of that length. */
+static double cov_speed(const struct coverage *coverage, int node, int length)
 {
 	if (length <= 0)
 		return 0;
-	return (double)board->layer_count / length / pw_pace(&board->nodes[node]) /
-	       board->all_speed;
+	return (double)coverage->layer_count / length / cov_pace(&coverage->nodes[node]) /
+	       coverage->total_speed;
 }
 
-static double *pw_zone_speed(const struct pw_board *board, int node, int layer)
+static double *cov_zone_speed(const struct coverage *coverage, int node, int layer)
 {
-	return &board->zone_speeds[board->zone_of[node] * board->layer_count + layer];
+	return &coverage->zone_speeds[coverage->zone_of[node] * coverage->layer_count + layer];
 }
 
 /*
- * Requests begin at the first layer. An endpoint that takes few of them holds it in vain, and where
- * all others are like it nothing is served, though each layer has its holders.
+ * Requests enter the model at its first layer. An endpoint that admits few requests is of no use
+ * there, so it is not counted as a holder: a first layer with only such holders would serve almost
+ * nothing.
  */
-static bool pw_is_in_vain(const struct pw_board *board, int node, int layer)
+static bool cov_is_unusable(const struct coverage *coverage, int node, int layer)
 {
-	return layer == 0 && board->nodes[node].limited;
+	return layer == 0 && coverage->nodes[node].limited;
 }
 
-static void pw_change(struct pw_board *board, int node, int from, int to, int sign)
+static void cov_change(struct coverage *coverage, int node, int from, int to, int sign)
 {
-	double speed = pw_speed(board, node, to - from) * sign;
-	double room = pl_token_room(board->engine, board->nodes[node].memory_mb, to - from) * sign;
+	double speed = cov_speed(coverage, node, to - from) * sign;
+	double tokens =
+		pl_token_room(coverage->engine, coverage->nodes[node].memory_mb, to - from) * sign;
 
-	for (int i = MAX(from, 0); i < MIN(to, board->layer_count); i++) {
-		if (pw_is_in_vain(board, node, i))
+	for (int i = MAX(from, 0); i < MIN(to, coverage->layer_count); i++) {
+		if (cov_is_unusable(coverage, node, i))
 			continue;
-		board->layers[i].holders += sign;
-		board->layers[i].speed += speed;
-		board->layers[i].room += room;
-		*pw_zone_speed(board, node, i) += speed;
+		coverage->layers[i].holders += sign;
+		coverage->layers[i].speed += speed;
+		coverage->layers[i].tokens += tokens;
+		*cov_zone_speed(coverage, node, i) += speed;
 	}
 }
 
-void pw_add(struct pw_board *board, int node, int from, int to)
+void cov_add(struct coverage *coverage, int node, int from, int to)
 {
-	pw_change(board, node, from, to, 1);
+	cov_change(coverage, node, from, to, 1);
 }
 
-void pw_remove(struct pw_board *board, int node, int from, int to)
+void cov_remove(struct coverage *coverage, int node, int from, int to)
 {
-	pw_change(board, node, from, to, -1);
+	cov_change(coverage, node, from, to, -1);
 }
 
-static double pw_all_cost(double speed)
+static double cov_all_cost(double speed)
 {
-	return pw_all_weight / (pw_least + MAX(speed, 0));
+	return cov_all_weight / (cov_speed_floor + MAX(speed, 0));
 }
 
-static double pw_zone_cost(double speed)
+static double cov_zone_cost(double speed)
 {
-	return pw_zone_weight / (pw_least + MAX(speed, 0));
+	return cov_zone_weight / (cov_speed_floor + MAX(speed, 0));
 }
 
-double pw_cost(const struct pw_board *board)
+double cov_cost(const struct coverage *coverage)
 {
 	double cost = 0;
 
-	for (int i = 0; i < board->layer_count; i++)
-		cost += pw_all_cost(board->layers[i].speed);
-	for (int i = 0; i < board->zones * board->layer_count; i++)
-		cost += pw_zone_cost(board->zone_speeds[i]);
+	for (int i = 0; i < coverage->layer_count; i++)
+		cost += cov_all_cost(coverage->layers[i].speed);
+	for (int i = 0; i < coverage->zones * coverage->layer_count; i++)
+		cost += cov_zone_cost(coverage->zone_speeds[i]);
 	return cost;
 }
 
-int pw_thinnest(const struct pw_board *board)
+int cov_weakest_layer(const struct coverage *coverage)
 {
-	int thinnest = 0;
+	int weakest = 0;
 
-	for (int i = 1; i < board->layer_count; i++) {
-		if (board->layers[i].room < board->layers[thinnest].room)
-			thinnest = i;
+	for (int i = 1; i < coverage->layer_count; i++) {
+		if (coverage->layers[i].tokens < coverage->layers[weakest].tokens)
+			weakest = i;
 	}
-	return thinnest;
+	return weakest;
 }
 
-/* By how much the cost falls if the node gives that speed to the layer. */
-static double pw_gain(const struct pw_board *board, int node, int layer, double speed)
+/* Returns the decrease of the cost if the node adds that speed to the layer. */
+static double cov_gain(const struct coverage *coverage, int node, int layer, double speed)
 {
-	double all = board->layers[layer].speed;
-	double in_zone = *pw_zone_speed(board, node, layer);
+	double all = coverage->layers[layer].speed;
+	double in_zone = *cov_zone_speed(coverage, node, layer);
 
-	return pw_all_cost(all) - pw_all_cost(all + speed) + pw_zone_cost(in_zone) -
-	       pw_zone_cost(in_zone + speed);
+	return cov_all_cost(all) - cov_all_cost(all + speed) + cov_zone_cost(in_zone) -
+	       cov_zone_cost(in_zone + speed);
 }
 
-double pw_best_range(const struct pw_board *board, int node, int length, int unit, int *from)
+double cov_best_range(const struct coverage *coverage, int node, int length, int unit, int *from)
 {
-	double speed = pw_speed(board, node, length);
-	double sums[PW_LAYERS_MAX + 1] = {0}; /* gains of all layers before */
+	double speed = cov_speed(coverage, node, length);
+	double sums[COV_LAYERS_MAX + 1] = {0}; /* total gain of the layers before each layer */
 	double best = 0;
 
-	for (int i = 0; i < board->layer_count; i++)
-		sums[i + 1] = sums[i] + pw_gain(board, node, i, speed);
+	for (int i = 0; i < coverage->layer_count; i++)
+		sums[i + 1] = sums[i] + cov_gain(coverage, node, i, speed);
 	*from = -1;
-	for (int start = 0; start + length < board->layer_count + unit; start += unit) {
-		double gain = sums[MIN(start + length, board->layer_count)] - sums[start];
+	for (int start = 0; start + length < coverage->layer_count + unit; start += unit) {
+		double gain = sums[MIN(start + length, coverage->layer_count)] - sums[start];
 
 		if (gain > best * (1 + 1e-9)) {
 			best = gain;
--- a/place/worth.h
+++ b/place/worth.h
@@ -6,54 +6,58 @@
 G_BEGIN_DECLS
 
 /*
- * What a placement is worth: how many passes each layer's holders give, in all and within each
- * availability zone. The weakest layer bounds what pipelines through it can serve, and a zone that
- * is weak somewhere sends its requests over the links between zones, which all share. Pure. A board
- * is changed node by node, so a search can try ranges for one node at little cost.
+ * Coverage of the layers of a model by endpoints, and the cost of a placement. The speed of each
+ * layer is counted over all endpoints that hold it and within each availability zone. The weakest
+ * layer bounds the throughput of every pipeline, and a zone that is weak at some layer sends
+ * requests over the links between zones, which all requests share. The module does no I/O. Nodes
+ * are added and removed one by one, so that a search can try ranges for one node at little cost.
  */
 enum {
-	PW_ZONES_MAX = 32,  /* availability zones of one deployment */
-	PW_LAYERS_MAX = 512 /* layers of a model; more are not placed */
+	COV_ZONES_MAX = 32,  /* availability zones counted; further ones count as the first */
+	COV_LAYERS_MAX = 512 /* layers of a model; layers beyond that are not placed */
 };
 
-struct pw_layer {
-	int holders;
-	double speed; /* passes, as a part of what all nodes give if each runs the whole model */
-	double room;  /* tokens of context that the holders have memory for */
+/* Sums over the nodes that hold one layer. */
+struct cov_layer {
+	int holders;   /* number of nodes that hold the layer */
+	double speed;  /* token steps per unit of time, as a part of coverage.total_speed */
+	double tokens; /* memory of the holders for requests, in tokens of context */
 };
 
-struct pw_board {
+/* Coverage of every layer of one model. */
+struct coverage {
 	const struct rt_engine *engine;
 	const struct pl_node *nodes;
-	int layer_count;
-	struct pw_layer layers[PW_LAYERS_MAX];
-	int zones;
-	const char *zone_names[PW_ZONES_MAX];
-	int *zone_of;	     /* by node */
-	double *zone_speeds; /* by zone and layer */
-	double all_speed;    /* of all nodes, if each runs the whole model */
+	int layer_count; /* number of layers, at most COV_LAYERS_MAX */
+	struct cov_layer layers[COV_LAYERS_MAX];
+	int zones;			       /* number of availability zones */
+	const char *zone_names[COV_ZONES_MAX]; /* names of the availability zones */
+	int *zone_of;			       /* index of each node's availability zone */
+	double *zone_speeds; /* speed of layer l in zone z, at [z * layer_count + l] */
+	double total_speed;  /* speed of all nodes together if each ran the whole model */
 };
 
-/* The board shows what the nodes hold. */
-void pw_init(struct pw_board *board, const struct rt_engine *engine, const struct pl_node *nodes,
-	     int n);
-void pw_finish(struct pw_board *board);
+/* Counts the layers that the nodes hold now. The nodes must outlive the coverage. */
+void cov_init(struct coverage *coverage, const struct rt_engine *engine,
+	      const struct pl_node *nodes, int n);
+void cov_finish(struct coverage *coverage);
 
-/* The node takes or gives up the layers from..to-1. */
-void pw_add(struct pw_board *board, int node, int from, int to);
-void pw_remove(struct pw_board *board, int node, int from, int to);
+/* Counts the node as a holder of the layers from..to-1, or no longer counts it there. */
+void cov_add(struct coverage *coverage, int node, int from, int to);
+void cov_remove(struct coverage *coverage, int node, int from, int to);
 
-/* Cost of the whole placement: the lower, the more it serves. */
-double pw_cost(const struct pw_board *board);
+/* Returns the cost of the whole placement; a lower cost means higher throughput. */
+double cov_cost(const struct coverage *coverage);
 
-/* The layer that has room for the fewest tokens. */
-int pw_thinnest(const struct pw_board *board);
+/* Returns the layer whose holders have memory for the fewest tokens of context. */
+int cov_weakest_layer(const struct coverage *coverage);
 
 /*
- * The range of that many layers, beginning at a multiple of unit, that lowers the cost most if the
- * node takes it. Returns by how much; from is -1 if there is no such range.
+ * Finds the range of length layers, beginning at a multiple of unit, that lowers the cost most if
+ * the node holds it. Returns the decrease of the cost and stores the first layer of the range in
+ * from; -1 if no range lowers the cost.
  */
-double pw_best_range(const struct pw_board *board, int node, int length, int unit, int *from);
+double cov_best_range(const struct coverage *coverage, int node, int length, int unit, int *from);
 
 G_END_DECLS
 
