--- a/order/order.h
+++ b/order/order.h
@@ -10,52 +10,57 @@
 G_BEGIN_DECLS
 
 /*
- * Who may give orders to the engines of a model: a lease in the platform's log. A lease record
- * names the one it follows; in log order, the first that follows the current lease is the next one
- * and all others are void. The offset of the record is the fencing number. Pure.
+ * Leases that decide which host may give orders to the engines of a model. Lease records stand in
+ * the platform's log. Each record names the lease that it follows: in log order, the first record
+ * that follows the current lease becomes the current lease, and all others are void. The offset of
+ * a record is the fencing number of its lease. The module does no I/O.
  */
 enum order_err {
-	ORDER_ERECORD = -500 /* a record is not one of ours */
+	ORDER_ERECORD = -500 /* the record is not a valid lease record */
 };
 
+/* Current lease of a model. */
 struct order_lease {
-	char *holder;
-	int64_t fence; /* offset of the record */
-	int64_t duration_us;
-	int64_t read_us; /* when this node read it */
+	char *holder;	     /* name of the host that holds the lease */
+	int64_t fence;	     /* fencing number: offset of the lease record in the log */
+	int64_t duration_us; /* duration of the lease, in microseconds */
+	int64_t read_us;     /* time at which this host read the record, in microseconds */
 };
 
-struct order_own {
-	int64_t asked_us;   /* when the append of the latest lease record was begun */
-	bool asking;	    /* that append has not been read back */
-	int64_t granted_us; /* when the append of the lease that counts was begun, at the latest */
+/* Lease records that this host appended for a model. All times are in microseconds. */
+struct order_own_state {
+	int64_t asked_us;   /* start of the latest append of a lease record */
+	bool asking;	    /* whether the record of that append has not been read back yet */
+	int64_t granted_us; /* start of the append of the latest record that became the lease */
 };
 
+/* Leases of all models, as this host has read them. */
 struct order {
-	char *host;
-	int64_t duration_us;
-	int64_t margin_us;  /* for clocks that run at different speeds */
-	GHashTable *leases; /* model -> struct order_lease */
-	GHashTable *own;    /* model -> struct order_own */
-	int64_t next;	    /* offset of the next record to read */
+	char *host;	     /* name under which this host holds leases */
+	int64_t duration_us; /* duration of a lease of this host, in microseconds */
+	int64_t margin_us;   /* allowance for clocks of different speeds, in microseconds */
+	GHashTable *leases;  /* model -> struct order_lease */
+	GHashTable *own;     /* model -> struct order_own_state */
+	int64_t next;	     /* offset of the next log record to read */
 };
 
 void order_init(struct order *order, const char *host, int64_t duration_us);
 void order_finish(struct order *order);
 
-/* One record of the stream. Returns 0 or ORDER_ERECORD. */
+/* Applies one record of the log; records already read are ignored. Returns 0 or ORDER_ERECORD. */
 int order_on_record(struct order *order, int64_t offset, struct str data, int64_t now_us);
 
 /*
- * Whether this node, if it should be the orderer of the model, has to append a lease record now;
- * the record is returned and must be freed with free(). NULL: not now.
+ * Returns the lease record that this host has to append now to get or renew the lease of the model,
+ * or NULL if none is due. To be called only on the host that should give orders to the model's
+ * engines. Free the record with free().
  */
 char *order_ask(struct order *order, const char *model, int64_t now_us);
 
-/* The append under way has failed or is lost; it may be asked for again. */
+/* Reports that the latest append failed, so that order_ask() may return a record again. */
 void order_on_append_lost(struct order *order, const char *model);
 
-/* The fencing number under which this node may send an order now, or -1: it may not. */
+/* Returns the fencing number for an order that this host sends now; -1 if it may not send one. */
 int64_t order_fence(const struct order *order, const char *model, int64_t now_us);
 
 G_END_DECLS
--- a/order/order_test.cc
+++ b/order/order_test.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr int64_t kLease = 1000;
+constexpr int64_t kLease = 1000; /* duration of a lease, in microseconds */
 
 struct Node {
 	Node(const char *name, std::vector<std::string> *l) : log(l)
@@ -40,25 +40,25 @@
 	struct order order;
 };
 
-TEST(Order, OneHolderAtATimeByLogOrder)
+TEST(Order, TheFirstRecordInTheLogHoldsTheLease)
 {
 	std::vector<std::string> log;
 	Node a("a", &log);
 	Node b("b", &log);
 	EXPECT_TRUE(a.Ask(0));
 	EXPECT_TRUE(b.Ask(0));
-	EXPECT_EQ(a.Fence(1), -1) << "not before it is read back";
+	EXPECT_EQ(a.Fence(1), -1) << "the record has not been read back";
 	a.Read(1);
 	b.Read(1);
 	EXPECT_EQ(a.Fence(1), 0);
 	EXPECT_EQ(b.Fence(1), -1);
-	EXPECT_FALSE(b.Ask(1099)) << "the lease is waited out, with a margin";
+	EXPECT_FALSE(b.Ask(1099)) << "the lease and the margin have not passed";
 	EXPECT_TRUE(b.Ask(1101));
 	b.Read(1102);
-	EXPECT_EQ(b.Fence(1102), 2) << "fencing numbers grow";
+	EXPECT_EQ(b.Fence(1102), 2) << "fencing numbers must grow";
 }
 
-TEST(Order, RenewalKeepsTheLease)
+TEST(Order, RenewalKeepsTheLeaseFromOtherHosts)
 {
 	std::vector<std::string> log;
 	Node a("a", &log);
@@ -75,10 +75,10 @@
 TEST(Order, HolderPausedPastItsLeaseSendsNothing)
 {
 	/*
-	 * Symptom: an engine unloads what a newer order has just loaded.
-	 * Sequence: the holder is frozen; its lease lapses; another takes over; the holder wakes.
-	 * Cause: a holder that still believes in its lease. Its own clock tells it otherwise, and
-	 * its renewal is void because it does not follow the current lease.
+	 * Guards against two hosts that send orders, so that an engine unloads layers that a newer
+	 * order has just loaded: a holder is paused, its lease expires, another host gets the
+	 * lease, and the former holder resumes. By its own clock its lease has expired, and its
+	 * renewal is void because it does not follow the current lease.
 	 */
 	std::vector<std::string> log;
 	Node a("a", &log);
@@ -96,12 +96,11 @@
 	EXPECT_EQ(b.Fence(1301), 1);
 }
 
-TEST(Order, LateAppendDoesNotStretchTheLease)
+TEST(Order, ALateAppendDoesNotExtendTheLease)
 {
 	/*
-	 * Symptom: two holders at once.
-	 * Sequence: a holder's append is delayed in the platform and read back long after.
-	 * Cause: counting the lease from when it was read instead of from before the append.
+	 * Guards against two holders at once: the platform delays an append, its record is read
+	 * back late, and the holder counts the lease from then instead of from before the append.
 	 */
 	std::vector<std::string> log;
 	Node a("a", &log);
@@ -110,7 +109,7 @@
 	EXPECT_EQ(a.Fence(950), -1);
 }
 
-TEST(Order, RecordsThatAreNotOursAreSkipped)
+TEST(Order, InvalidRecordsAreSkipped)
 {
 	std::vector<std::string> log = {"x", "{}", "[]"};
 	Node a("a", &log);
