--- a/host/host.c
+++ b/host/host.c
@@ -4,15 +4,15 @@
 #include <string.h>
 
 enum {
-	HOST_FAILURES_MAX = 4
+	HOST_FAILURES_MAX = 4 /* failures in a row after which suspicions grow no longer */
 };
 
-static gint host_cmp(gconstpointer a, gconstpointer b);
-static const struct host *host_rank(const struct host_table *table, uint64_t hash,
-				    unsigned int rank, int64_t now_us);
+static gint host_compare_names(gconstpointer a, gconstpointer b);
+static const struct host *host_find_ranked(const struct host_table *table, uint64_t hash,
+					   unsigned int rank, int64_t now_us);
 static const struct host *host_least_suspected(const struct host_table *table);
 
-static gint host_cmp(gconstpointer a, gconstpointer b)
+static gint host_compare_names(gconstpointer a, gconstpointer b)
 {
 	const struct host *x = *(const struct host *const *)a;
 	const struct host *y = *(const struct host *const *)b;
@@ -62,15 +62,16 @@
 		g_ptr_array_add(next, copy);
 	}
 	g_hash_table_destroy(before);
-	g_ptr_array_sort(next, host_cmp);
+	g_ptr_array_sort(next, host_compare_names);
 	g_ptr_array_free(table->hosts, TRUE);
 	table->hosts = next;
 }
 
 /*
- * The list goes on naming a dead host for a while; a node that only followed it would ask that host
- * for each grant and wait for the timeout each time. What the node itself has seen counts at once,
- * but only for a while, since the evidence may come from a broken link and not from a dead host.
+ * The platform's list contains a dead host for a while. A host that only followed the list would
+ * send each request for a grant to the dead host and wait for the timeout each time. Its own
+ * observations therefore take effect at once, but only for a limited time, since the failure may be
+ * that of a link and not of the host.
  */
 void host_on_evidence(struct host_table *table, const char *name, enum host_evidence evidence,
 		      int64_t now_us)
@@ -88,7 +89,7 @@
 	host->suspect_until_us = now_us + table->suspect_us * host->failures;
 }
 
-/* The mix is that of splitmix64, so that near seeds give unrelated weights. */
+/* Mixes the bits as splitmix64 does, so that similar seeds give unrelated weights. */
 uint64_t host_weight(const struct host *host, uint64_t key_hash)
 {
 	uint64_t x = host->seed ^ key_hash;
@@ -98,13 +99,15 @@
 	return x ^ (x >> 31);
 }
 
+/* Returns whether the host can be a home: neither leaving nor suspected. */
 static bool host_usable(const struct host *host, int64_t now_us)
 {
 	return !host->leaving && host->suspect_until_us <= now_us;
 }
 
-static const struct host *host_rank(const struct host_table *table, uint64_t hash,
-				    unsigned int rank, int64_t now_us)
+/* Returns the usable host whose weight is the rank-th highest (0 is the highest), or NULL. */
+static const struct host *host_find_ranked(const struct host_table *table, uint64_t hash,
+					   unsigned int rank, int64_t now_us)
 {
 	const struct host *found = NULL;
 	uint64_t below = UINT64_MAX;
@@ -131,7 +134,10 @@
 	return found;
 }
 
-/* With everybody suspected, the oldest suspicion is the one most likely to be out of date. */
+/*
+ * Returns the host whose suspicion ends first, preferably one that is not leaving. If all hosts are
+ * suspected, the oldest suspicion is the most likely to be out of date.
+ */
 static const struct host *host_least_suspected(const struct host_table *table)
 {
 	const struct host *best = NULL;
@@ -151,7 +157,7 @@
 			     int64_t now_us)
 {
 	uint64_t hash = str_hash(key, strlen(key), 0);
-	const struct host *host = host_rank(table, hash, rank, now_us);
+	const struct host *host = host_find_ranked(table, hash, rank, now_us);
 
 	if (host || rank > 0)
 		return host;
@@ -159,7 +165,7 @@
 }
 
 unsigned int host_homes(const struct host_table *table, const char *key, const struct host **homes,
-			unsigned int most, int64_t now_us)
+			unsigned int max, int64_t now_us)
 {
 	uint64_t hash = str_hash(key, strlen(key), 0);
 	unsigned int n = 0;
@@ -171,14 +177,14 @@
 
 		if (!host_usable(host, now_us))
 			continue;
-		for (at = MIN(n, most); at > 0 && host_weight(homes[at - 1], hash) < weight; at--) {
-			if (at < most)
+		for (at = MIN(n, max); at > 0 && host_weight(homes[at - 1], hash) < weight; at--) {
+			if (at < max)
 				homes[at] = homes[at - 1];
 		}
-		if (at == most)
+		if (at == max)
 			continue;
 		homes[at] = host;
-		n = MIN(n + 1, most);
+		n = MIN(n + 1, max);
 	}
 	return n;
 }
--- a/host/host.h
+++ b/host/host.h
@@ -8,68 +8,75 @@
 G_BEGIN_DECLS
 
 /*
- * The hosts of the system as one node believes them to be: the platform's list, which lags, and the
- * node's own evidence. Pure. Nothing here is a promise: two nodes may believe different things.
+ * Table of the hosts of the system as one of them knows it: the platform's list, which lags behind,
+ * and the host's own observations. The tables of two hosts may differ at any time. The module does
+ * no I/O.
  */
 enum {
-	HOST_NAME_MAX_LEN = 63,
-	HOST_ADDR_MAX_LEN = 31
+	HOST_NAME_MAX_LEN = 63, /* longest name of a host or zone, in bytes */
+	HOST_ADDR_MAX_LEN = 31	/* longest address, in bytes */
 };
 
+/* Observation about a host by the host that keeps the table. */
 enum host_evidence {
-	HOST_HEARD,   /* it answered */
-	HOST_REFUSED, /* it refused the connection or closed it */
-	HOST_SILENT   /* it did not answer in time */
+	HOST_HEARD,   /* the host answered */
+	HOST_REFUSED, /* the host refused or closed the connection */
+	HOST_SILENT   /* the host did not answer in time */
 };
 
+/* A host of the system. */
 struct host {
-	char name[HOST_NAME_MAX_LEN + 1];
-	char zone[HOST_NAME_MAX_LEN + 1];
-	char control_addr[HOST_ADDR_MAX_LEN + 1];  /* frames of bgcontrold */
-	char operator_addr[HOST_ADDR_MAX_LEN + 1]; /* HTTP of bgcontrold */
-	char peer_addr[HOST_ADDR_MAX_LEN + 1];	   /* frames of bgentryd */
-	bool leaving;				   /* the list or the configuration says so */
-	bool listed_leaving;			   /* the list says so */
-	uint64_t seed;				   /* hash of the name */
-	int64_t suspect_until_us;		   /* passed over as a home until then */
-	int failures;				   /* in a row; lengthens the next suspicion */
+	char name[HOST_NAME_MAX_LEN + 1];	   /* name of the host */
+	char zone[HOST_NAME_MAX_LEN + 1];	   /* availability zone of the host */
+	char control_addr[HOST_ADDR_MAX_LEN + 1];  /* address of bgcontrold for frames */
+	char operator_addr[HOST_ADDR_MAX_LEN + 1]; /* address of bgcontrold for HTTP */
+	char peer_addr[HOST_ADDR_MAX_LEN + 1];	   /* address of bgentryd for frames */
+	bool leaving;		  /* whether the list or the configuration marks it as leaving */
+	bool listed_leaving;	  /* whether the list marks the host as leaving */
+	uint64_t seed;		  /* hash of the name */
+	int64_t suspect_until_us; /* time until which the host is no home, in microseconds */
+	int failures;		  /* failures in a row; more of them make suspicions longer */
 };
 
+/* Table of all hosts. */
 struct host_table {
-	GPtrArray *hosts; /* struct host, in order of name */
-	int64_t suspect_us;
+	GPtrArray *hosts;   /* struct host, sorted by name */
+	int64_t suspect_us; /* duration of the suspicion after one failure, in microseconds */
 };
 
 void host_table_init(struct host_table *table, int64_t suspect_us);
 void host_table_finish(struct host_table *table);
 
-/* Replaces the list; evidence about hosts that stay is kept. items is copied. */
+/* Replaces the list by a copy of items. Evidence about hosts that stay in the list is kept. */
 void host_on_list(struct host_table *table, const struct host *items, size_t n);
 
+/* Records an observation about a host: a failure starts a suspicion, an answer ends it. */
 void host_on_evidence(struct host_table *table, const char *name, enum host_evidence evidence,
 		      int64_t now_us);
 
+/* Returns the host of that name, or NULL. */
 struct host *host_find(const struct host_table *table, const char *name);
 
 /*
- * The rank-th home (0 first) of a key among the hosts that are neither leaving nor suspected, by
- * rendezvous hashing. When that leaves nobody, suspected and leaving hosts count too. NULL: no
- * host.
+ * Returns the rank-th home (0 is the first) of a key among the hosts that are neither leaving nor
+ * suspected, by rendezvous hashing. If there is none and rank is 0, the choice is made among
+ * suspected and leaving hosts. Returns NULL if no host is found.
  */
 const struct host *host_home(const struct host_table *table, const char *key, unsigned int rank,
 			     int64_t now_us);
 
 /*
- * The first homes of a key, the highest first: what host_home() gives for the ranks from 0 on,
- * where hosts are usable. Fills at most "most" of them; returns how many.
+ * Stores the first homes of a key, the one of the highest weight first: the same hosts that
+ * host_home() returns for the ranks from 0 on, but only hosts that are neither leaving nor
+ * suspected. Stores at most "max" hosts and returns their number.
  */
 unsigned int host_homes(const struct host_table *table, const char *key, const struct host **homes,
-			unsigned int most, int64_t now_us);
+			unsigned int max, int64_t now_us);
 
-/* Hosts that are not leaving by the list. */
+/* Returns the number of hosts that are not marked as leaving. */
 unsigned int host_live_count(const struct host_table *table);
 
-/* Weight of a host for a key; the highest is the home. */
+/* Returns the weight of a host for a key. The host of the highest weight is the key's home. */
 uint64_t host_weight(const struct host *host, uint64_t key_hash);
 
 G_END_DECLS
--- a/host/host_test.cc
+++ b/host/host_test.cc
@@ -41,7 +41,7 @@
 	host_table table_;
 };
 
-TEST_F(HostTest, KeysAreBalancedAndFewMove)
+TEST_F(HostTest, KeysAreBalancedAndOnlyThoseOfALostHostMove)
 {
 	constexpr int kKeys = 7000;
 	List(7);
@@ -61,12 +61,11 @@
 	}
 }
 
-TEST_F(HostTest, SuspectedHostsAreSteppedOverForAWhile)
+TEST_F(HostTest, SuspectedHostsAreNoHomesForAWhile)
 {
 	/*
-	 * Symptom: each request waits for the timeout of a dead home until the list drops it.
-	 * Sequence: the home dies; the list lags.
-	 * Cause: following the list alone.
+	 * Guards against a choice of homes by the list alone: the list still contains a dead home,
+	 * and each request waits for the timeout of that home until the list drops it.
 	 */
 	List(3);
 	std::string first = Home(1);
@@ -80,7 +79,7 @@
 	EXPECT_EQ(Home(1, 0, 2500), first);
 }
 
-TEST_F(HostTest, EvidenceOutlivesANewList)
+TEST_F(HostTest, EvidenceIsKeptWhenTheListIsReplaced)
 {
 	List(3);
 	std::string first = Home(1);
@@ -89,7 +88,7 @@
 	EXPECT_NE(Home(1, 0, 10), first);
 }
 
-TEST_F(HostTest, WithEverybodySuspectedSomebodyIsHome)
+TEST_F(HostTest, AHomeIsFoundEvenIfAllHostsAreSuspected)
 {
 	List(2);
 	for (const char *name : {"host-0", "host-1"})
@@ -97,7 +96,7 @@
 	EXPECT_NE(Home(1, 0, 10), "");
 	EXPECT_EQ(Home(1, 1, 10), "");
 	host_on_evidence(&table_, "host-0", HOST_REFUSED, 20);
-	EXPECT_EQ(Home(1, 0, 30), "host-1") << "the older suspicion is given the benefit";
+	EXPECT_EQ(Home(1, 0, 30), "host-1") << "the host of the older suspicion is preferred";
 }
 
 } // namespace
