--- a/sse/sse.c
+++ b/sse/sse.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-static const char *sse_end(const char *data, size_t len);
-static void sse_note_id(struct sse *sse, const char *event, size_t len);
+static const char *sse_event_end(const char *data, size_t len);
+static void sse_store_id(struct sse *sse, const char *event, size_t len);
 
 void sse_init(struct sse *sse)
 {
@@ -26,8 +26,8 @@
 	return sse->pending->len;
 }
 
-/* First byte after the empty line that ends an event, or NULL. */
-static const char *sse_end(const char *data, size_t len)
+/* Returns the first byte after the empty line that ends an event, or NULL if there is none. */
+static const char *sse_event_end(const char *data, size_t len)
 {
 	for (size_t i = 0; i + 1 < len; i++) {
 		if (data[i] != '\n')
@@ -40,7 +40,8 @@
 	return NULL;
 }
 
-static void sse_note_id(struct sse *sse, const char *event, size_t len)
+/* Stores the id of the event, if it has one, as the last id. */
+static void sse_store_id(struct sse *sse, const char *event, size_t len)
 {
 	const char *line = event;
 	const char *end = event + len;
@@ -69,10 +70,10 @@
 	g_string_append_len(sse->pending, data, (gssize)len);
 	start = sse->pending->str;
 	left = sse->pending->len;
-	while ((end = sse_end(start, left))) {
+	while ((end = sse_event_end(start, left))) {
 		size_t n = (size_t)(end - start);
 
-		sse_note_id(sse, start, n);
+		sse_store_id(sse, start, n);
 		fn(ctx, start, n);
 		start = end;
 		left -= n;
--- a/sse/sse.h
+++ b/sse/sse.h
@@ -8,37 +8,42 @@
 G_BEGIN_DECLS
 
 /*
- * Cuts a stream of server-sent events into whole events. An endpoint may stop in the middle of one;
- * handing on a part of an event would make it impossible to go on elsewhere without a doubled or
- * missing piece. Pure.
+ * Splits a stream of server-sent events into complete events. An endpoint may stop in the middle of
+ * an event. If a part of that event had been forwarded, the stream could not be resumed at another
+ * endpoint without duplicating or losing data. The module does no I/O.
  */
 enum {
-	SSE_ID_MAX = 64,
-	SSE_EVENT_MAX = 1 << 20 /* bytes; no event of a model comes near it */
+	SSE_ID_MAX = 64,	/* size of an event id with its terminating NUL, in bytes */
+	SSE_EVENT_MAX = 1 << 20 /* longest event, in bytes; events of models are far shorter */
 };
 
 enum sse_err {
-	SSE_ETOOLONG = -800
+	SSE_ETOOLONG = -800 /* an event is longer than SSE_EVENT_MAX */
 };
 
+/* State of the splitter for one stream. */
 struct sse {
-	GString *pending;	  /* of an event that is not whole */
-	char last_id[SSE_ID_MAX]; /* of the last whole event that had one */
-	bool has_id;
+	GString *pending;	  /* bytes of an event that is not complete */
+	char last_id[SSE_ID_MAX]; /* id of the last complete event that had one */
+	bool has_id;		  /* whether an event with an id was received */
 };
 
+/* Called for each complete event, with its bytes unchanged. */
 typedef void (*sse_event_fn)(void *ctx, const char *data, size_t len);
 
 void sse_init(struct sse *sse);
 void sse_finish(struct sse *sse);
 
-/* Forgets what is pending; the id stays. For an answer that goes on elsewhere. */
+/*
+ * Discards the bytes of an incomplete event and keeps the last id. To be called when the stream is
+ * resumed at another endpoint.
+ */
 void sse_drop(struct sse *sse);
 
-/* Calls fn for each event that is whole now, bytes unchanged. Returns 0 or SSE_ETOOLONG. */
+/* Adds data and calls fn for each event that is complete now. Returns 0 or SSE_ETOOLONG. */
 int sse_feed(struct sse *sse, const char *data, size_t len, sse_event_fn fn, void *ctx);
 
-/* Bytes of an event that is not whole. */
+/* Returns the number of bytes of the event that is not complete. */
 size_t sse_pending(const struct sse *sse);
 
 G_END_DECLS
--- a/sse/sse_test.cc
+++ b/sse/sse_test.cc
@@ -31,7 +31,7 @@
 	std::vector<std::string> events_;
 };
 
-TEST_F(SseTest, BytesOfEventsAreUnchangedHoweverTheyArrive)
+TEST_F(SseTest, EventsAreUnchangedWhateverTheSizeOfReads)
 {
 	const std::string stream =
 		"id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\n";
@@ -53,11 +53,10 @@
 }
 
 /*
- * Symptom: a stream that went on elsewhere had half an event twice.
- * Sequence: an endpoint breaks off in the middle of event 2; another one sends event 2 anew.
- * Cause: the half was handed on.
+ * Guards against duplicated data in a resumed stream: an endpoint stops in the middle of event 2,
+ * the first half is forwarded, and another endpoint sends the whole event 2 again.
  */
-TEST_F(SseTest, HalfAnEventIsKeptBackAndItsIdDoesNotCount)
+TEST_F(SseTest, AnIncompleteEventIsNotForwardedAndItsIdIsIgnored)
 {
 	Feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
 	EXPECT_EQ(events_.size(), 1u);
@@ -69,7 +68,7 @@
 	EXPECT_STREQ(sse_.last_id, "2");
 }
 
-TEST_F(SseTest, EventWithoutAnEndIsRefused)
+TEST_F(SseTest, AnEventOverTheSizeLimitIsAnError)
 {
 	EXPECT_EQ(Feed(std::string(SSE_EVENT_MAX + 1, 'x')), SSE_ETOOLONG);
 }
