--- a/path/path_test.cc
+++ b/path/path_test.cc
@@ -158,8 +158,8 @@
 }
 
 /*
- * Guards against a search that ignores nodes: it considered only the first 1,024, so that in a
- * deployment of 3,000 engines requests went to slow engines although fast ones were idle.
+ * Guards against a search that ignores nodes: it considered only the first 1,024 nodes, so that in
+ * a deployment of 3,000 engines requests went to slow engines although fast ones were idle.
  */
 TEST(PathTest, TheSearchConsidersAllOfManyNodes)
 {
