--- a/path/hop_test.cc
+++ b/path/hop_test.cc
@@ -30,7 +30,7 @@
 		}
 	}
 	/* Each pause is twice the cost of the stream's path, varied by a third, plus its hops. */
-	void Play(double seconds, double slow01, double slow12)
+	void Run(double seconds, double slow01, double slow12)
 	{
 		for (int64_t end = now_ + (int64_t)(seconds * 1e6); now_ < end; now_ += 25 * MS) {
 			for (const auto &path : paths_) {
@@ -55,7 +55,7 @@
 TEST(HopTest, FastLinksAddNoCost)
 {
 	Streams s;
-	s.Play(5, 0, 0);
+	s.Run(5, 0, 0);
 	EXPECT_LT(s.Cost(0, 1), 2);
 	EXPECT_LT(s.Cost(1, 2), 2);
 	EXPECT_EQ(s.Cost(0, 0), 0);
@@ -69,15 +69,15 @@
 TEST(HopTest, ASlowLinkRaisesOnlyItsOwnEstimate)
 {
 	Streams s;
-	s.Play(3, 0, 0);
-	s.Play(0.5, 0, 60);
+	s.Run(3, 0, 0);
+	s.Run(0.5, 0, 60);
 	printf("0.5 s after a link became slower by 60 ms per pause: it costs %.1f ms per token, the other "
 	       "%.1f\n",
 	       s.Cost(1, 2), s.Cost(0, 1));
 	EXPECT_GT(s.Cost(1, 2), 10);
 	EXPECT_LT(s.Cost(0, 1), s.Cost(1, 2) / 3);
 	EXPECT_EQ(s.Cost(2, 1), s.Cost(1, 2));
-	s.Play(2, 0, 0);
+	s.Run(2, 0, 0);
 	EXPECT_LT(s.Cost(1, 2), 4) << "the link is fast again and in use";
 }
 
@@ -85,7 +85,7 @@
 TEST(HopTest, AnUnusedEstimateDecays)
 {
 	Streams s;
-	s.Play(2, 0, 60);
+	s.Run(2, 0, 60);
 	double before = s.Cost(1, 2);
 	s.now_ += 6000 * MS;
 	EXPECT_LT(s.Cost(1, 2), before * 0.3);
@@ -95,7 +95,7 @@
 TEST(HopTest, ALongPauseOfOneStreamChangesLittle)
 {
 	Streams s;
-	s.Play(3, 0, 0);
+	s.Run(3, 0, 0);
 	hop_learn(&s.hop_, &s.paths_[2], 30000, s.now_);
 	EXPECT_LT(s.Cost(1, 2), 4);
 }
--- a/place/place_test.cc
+++ b/place/place_test.cc
@@ -45,13 +45,13 @@
 	}
 	std::vector<pl_move> Plan()
 	{
-		return Ask(pl_plan);
+		return Run(pl_plan);
 	}
 	std::vector<pl_move> Balance()
 	{
-		return Ask(pl_balance);
+		return Run(pl_balance);
 	}
-	std::vector<pl_move> Ask(void (*plan)(const rt_engine *, const pl_node *, int, GArray *))
+	std::vector<pl_move> Run(void (*plan)(const rt_engine *, const pl_node *, int, GArray *))
 	{
 		rt_engine engine = Engine(kv_bytes);
 		GArray *moves = g_array_new(FALSE, TRUE, sizeof(pl_move));
@@ -83,7 +83,7 @@
 };
 
 /* A deployment of 33 endpoints of three kinds in three availability zones. */
-Fleet Today()
+Fleet TypicalDeployment()
 {
 	Fleet f;
 	f.Add(1, LARGE, "a");
@@ -100,7 +100,7 @@
 
 TEST(PlaceTest, RangesFitIntoTheMemoryOfTheirEndpoints)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	for (const auto &n : f.nodes) {
 		EXPECT_GT(n.to, n.from);
@@ -111,7 +111,7 @@
 /* Every availability zone holds all layers, and the load still fits after the worst single loss. */
 TEST(PlaceTest, EveryZoneHoldsTheWholeModelAndTheLoadFitsAfterAnyLoss)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	pl_figures stats = f.Measure();
 	EXPECT_EQ(stats.zones_whole, 3);
@@ -122,7 +122,7 @@
 
 TEST(PlaceTest, RangesBeginAndEndAtCommonCutPoints)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	for (const auto &n : f.nodes) {
 		EXPECT_EQ(n.from % 8, 0);
@@ -132,7 +132,7 @@
 
 TEST(PlaceTest, EndpointsThatHoldLayersAreNotMoved)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	EXPECT_TRUE(f.Plan().empty());
 	Fleet g = f;
@@ -144,7 +144,7 @@
 
 TEST(PlaceTest, ANewEndpointIsAssignedTheWeakestLayers)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	/* Removes all holders of the first layer except one. */
 	std::vector<pl_node> left;
@@ -166,7 +166,7 @@
  */
 TEST(PlaceTest, AnEndpointIsMovedToLayersThatLostAllHolders)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	for (auto &n : f.nodes) {
 		if (n.from <= 32 && 32 < n.to)
@@ -216,8 +216,8 @@
 
 TEST(PlaceTest, ThePlanDoesNotDependOnTheOrderOfNodes)
 {
-	Fleet f = Today();
-	Fleet g = Today();
+	Fleet f = TypicalDeployment();
+	Fleet g = TypicalDeployment();
 	std::reverse(g.nodes.begin(), g.nodes.end());
 	auto a = f.Plan();
 	auto b = g.Plan();
@@ -234,9 +234,9 @@
  */
 TEST(PlaceTest, ComparedWithSimplerPlans)
 {
-	Fleet plan = Today();
-	Fleet round = Today();
-	Fleet full = Today();
+	Fleet plan = TypicalDeployment();
+	Fleet round = TypicalDeployment();
+	Fleet full = TypicalDeployment();
 	plan.Apply(plan.Plan());
 	int at[2] = {0, 0};
 	for (size_t i = 0; i < round.nodes.size(); i++) {
@@ -303,7 +303,7 @@
 
 TEST(PlaceTest, ABalancedPlacementIsNotChanged)
 {
-	Fleet f = Today();
+	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
 	EXPECT_TRUE(f.Balance().empty());
 	/* After the loss of any one endpoint, no other endpoint has to load layers. */
@@ -329,7 +329,7 @@
 	size_t most_moves = 0;
 	for (size_t a = 0; a < 4; a++) {
 		for (size_t b = a + 1; b < 4; b++) {
-			Fleet f = Today();
+			Fleet f = TypicalDeployment();
 			f.Apply(f.Plan());
 			Lose(f, a);
 			Lose(f, b);
