--- a/router/crash.c
+++ b/router/crash.c
@@ -52,7 +52,7 @@
 struct crash_check {
 	struct tf *tf;
 	struct tf_ep *ep;  /* the endpoint; the check holds a reference */
-	GArray *cuts;	   /* struct crash_cut, the attempts that were cut */
+	GArray *cuts;	   /* struct crash_attempt, the attempts that were cut */
 	struct tmr timer;  /* starts the next probe */
 	int64_t began_us;  /* time at which the last probe began, in microseconds */
 	int tries;	   /* number of probes begun */
@@ -69,9 +69,9 @@
 
 static const struct hc_ops crash_ops = {.on_head = crash_on_head, .on_done = crash_on_probed};
 
-static void crash_cut_clear(gpointer data)
+static void crash_attempt_clear(gpointer data)
 {
-	struct crash_cut *cut = data;
+	struct crash_attempt *cut = data;
 
 	g_free(cut->account);
 	g_free(cut->id);
@@ -84,8 +84,8 @@
 	check->tf = tf;
 	check->ep = ep;
 	ep->refs++;
-	check->cuts = g_array_new(FALSE, FALSE, sizeof(struct crash_cut));
-	g_array_set_clear_func(check->cuts, crash_cut_clear);
+	check->cuts = g_array_new(FALSE, FALSE, sizeof(struct crash_attempt));
+	g_array_set_clear_func(check->cuts, crash_attempt_clear);
 	return check;
 }
 
@@ -204,15 +204,16 @@
  * that had just been sent count less. A busy endpoint resets excess connections, also those of
  * requests that it has never begun.
  */
-static void crash_mark_unproved(struct crash_check *check)
+static void crash_mark_unconfirmed(struct crash_check *check)
 {
 	for (guint i = check->cuts->len; i > 0; i--) {
-		struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i - 1);
+		struct crash_attempt *cut =
+			&g_array_index(check->cuts, struct crash_attempt, i - 1);
 
 		if (cut->progress == CRASH_WAITING)
 			g_array_remove_index_fast(check->cuts, i - 1);
 		else
-			cut->unproved = true;
+			cut->unconfirmed = true;
 	}
 }
 
@@ -221,7 +222,7 @@
 	guint n = 0;
 
 	for (guint i = 0; i < check->cuts->len; i++)
-		n += g_array_index(check->cuts, struct crash_cut, i).progress == progress;
+		n += g_array_index(check->cuts, struct crash_attempt, i).progress == progress;
 	return n;
 }
 
@@ -240,7 +241,7 @@
 	jl_end();
 }
 
-static bool crash_is_suspect(const struct crash_cut *cut)
+static bool crash_is_suspect(const struct crash_attempt *cut)
 {
 	return cut->progress == CRASH_BEGUN || cut->progress == CRASH_SENT;
 }
@@ -248,7 +249,8 @@
 static void crash_log_suspects(const struct crash_check *check)
 {
 	for (guint i = 0; i < check->cuts->len; i++) {
-		const struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i);
+		const struct crash_attempt *cut =
+			&g_array_index(check->cuts, struct crash_attempt, i);
 		char content[QUAR_TEXT_LEN + 1];
 
 		if (!crash_is_suspect(cut))
@@ -283,7 +285,7 @@
 static void crash_count_cuts(struct crash_check *check, enum crash_finding finding)
 {
 	if (finding == CRASH_VANISHED)
-		crash_mark_unproved(check);
+		crash_mark_unconfirmed(check);
 	met_add(met_counter("bg_endpoints_ended_total", ""), 1);
 	crash_log_suspects(check);
 	tf_quar_crashed(check->tf, check->ep, check->cuts);
@@ -298,14 +300,14 @@
  */
 static void crash_confirm(struct crash_check *check)
 {
-	GArray *confirmed = g_array_new(FALSE, FALSE, sizeof(struct crash_cut));
+	GArray *confirmed = g_array_new(FALSE, FALSE, sizeof(struct crash_attempt));
 
 	for (guint i = 0; i < check->cuts->len; i++) {
-		struct crash_cut *cut = &g_array_index(check->cuts, struct crash_cut, i);
+		struct crash_attempt *cut = &g_array_index(check->cuts, struct crash_attempt, i);
 
-		if (i < check->n_counted && !cut->unproved)
+		if (i < check->n_counted && !cut->unconfirmed)
 			continue;
-		cut->unproved = false;
+		cut->unconfirmed = false;
 		g_array_append_val(confirmed, *cut);
 	}
 	check->n_counted = check->cuts->len;
@@ -394,9 +396,9 @@
 	return ep->rec->state != EP_READY || (!ep->listed && !crash_is_replaced(tf, ep));
 }
 
-void crash_on_cut(struct tf *tf, struct tf_ep *ep, const struct crash_cut *cut)
+void crash_on_attempt_cut(struct tf *tf, struct tf_ep *ep, const struct crash_attempt *cut)
 {
-	struct crash_cut copy = *cut;
+	struct crash_attempt copy = *cut;
 
 	if (crash_is_planned_end(tf, ep))
 		return;
--- a/router/crash.h
+++ b/router/crash.h
@@ -23,16 +23,16 @@
 };
 
 /* An attempt that was cut. */
-struct crash_cut {
+struct crash_attempt {
 	struct quar_key key; /* digest of client account, target and body */
 	char *account;	     /* client account; "" if there is none; owned */
 	char *id;	     /* id of the request; owned */
 	enum crash_progress progress;
 	int64_t lasted_us; /* time from the head of the answer to its last part, in microseconds */
-	bool unproved;	   /* not confirmed that the endpoint has ended; it may only be busy */
+	bool unconfirmed;  /* not confirmed that the endpoint has ended; it may only be busy */
 };
 
 /* Handles an attempt that was cut at that endpoint. The texts are copied. */
-void crash_on_cut(struct tf *tf, struct tf_ep *ep, const struct crash_cut *cut);
+void crash_on_attempt_cut(struct tf *tf, struct tf_ep *ep, const struct crash_attempt *cut);
 
 #endif
--- a/router/feed.c
+++ b/router/feed.c
@@ -136,7 +136,7 @@
 	const struct rc_host host = {ask->addr, ask->capacity, ask->zone};
 
 	if (ask->host[0] && ask->addr[0])
-		hosts_on_asked(feed->rc->host_list, ask->host, &host);
+		hosts_on_announced(feed->rc->host_list, ask->host, &host);
 }
 
 /* Processes the announcement of another host by a follower. */
@@ -149,7 +149,7 @@
 	if (msg->name[0] && msg->addr[0]) {
 		const struct rc_host host = {msg->addr, msg->capacity, msg->zone};
 
-		hosts_on_asked(feed->rc->host_list, msg->name, &host);
+		hosts_on_announced(feed->rc->host_list, msg->name, &host);
 	}
 	feed__host__free_unpacked(msg, NULL);
 	return 0;
@@ -280,7 +280,7 @@
 /* Whether this host has no current data of the store, so that others should not follow it. */
 static bool feed_has_no_source(const struct rc *rc)
 {
-	struct rank_host host;
+	struct rank_state host;
 
 	rc_rank_host(rc, &host);
 	return !rank_may_feed(&host);
@@ -322,10 +322,10 @@
 
 static void feed_add_hosts(struct feed_hosts *hosts, guint since, Feed__Update *msg)
 {
-	const struct hn *news = &hosts->rc->host_news;
+	const struct hdelta *news = &hosts->rc->host_news;
 
-	msg->hosts_whole = hn_needs_whole(news, since);
-	hn_each_since(news, msg->hosts_whole ? 0 : since, feed_add_host, hosts);
+	msg->hosts_whole = hdelta_needs_full(news, since);
+	hdelta_each_since(news, msg->hosts_whole ? 0 : since, feed_add_host, hosts);
 	for (guint i = 0; i < hosts->items->len; i++)
 		g_ptr_array_add(hosts->refs, &g_array_index(hosts->items, Feed__Host, i));
 	msg->hosts = (Feed__Host **)hosts->refs->pdata;
--- a/router/follow.c
+++ b/router/follow.c
@@ -170,11 +170,11 @@
 	ask.endpoints_next = rc->listed ? rc->endpoints.next : -1;
 	/* A host that is stopping must not be added to the list of hosts again. */
 	if (!rc->stopping)
-		ask.addr = (char *)member_addr(&rc->router->settings);
+		ask.addr = (char *)member_control_addr(&rc->router->settings);
 	ask.capacity = member_capacity(&rc->router->settings);
 	ask.zone = rc->router->settings.zone;
 	frm_send(follow->conn, MSG_FEED_ASK, &ask.base);
-	hosts_tell_feeder(rc->host_list);
+	hosts_announce_to_feeder(rc->host_list);
 	quarantine_send_all(rc->quarantine, follow->conn);
 	limits_send_all(rc->limits, follow->conn);
 	heard_send_all(rc, follow->conn);
@@ -204,12 +204,13 @@
 static int64_t follow_stale_limit_ms(const struct follow *follow)
 {
 	const struct rank *rank = &follow->rc->rank;
-	unsigned int all = RANK_FEEDERS + (rank->relayed ? RANK_RELAYS_TRIED : 0);
+	unsigned int all = RANK_FEEDERS_TRIED + (rank->follows_relay ? RANK_RELAYS_TRIED : 0);
 
 	if (follow->feeders_tried >= all)
 		return FOLLOW_STALE_OUTAGE_MS;
-	return rank->relayed && follow->feeders_tried < RANK_RELAYS_TRIED ? FOLLOW_STALE_RELAY_MS
-									  : FOLLOW_STALE_MS;
+	return rank->follows_relay && follow->feeders_tried < RANK_RELAYS_TRIED
+		       ? FOLLOW_STALE_RELAY_MS
+		       : FOLLOW_STALE_MS;
 }
 
 static bool follow_is_stale_too_long(const struct follow *follow, int64_t now_us)
@@ -239,7 +240,7 @@
 	const char *name = follow->rc->router->settings.name;
 	int64_t after_us = tmr_ms(FOLLOW_MOVE_DELAY_MS + g_str_hash(name) % FOLLOW_MOVE_SPREAD_MS);
 
-	if (!follow->rc->rank.relayed || !follow->fed || !feeder ||
+	if (!follow->rc->rank.follows_relay || !follow->fed || !feeder ||
 	    follow_is_connected_to(follow, feeder)) {
 		follow->misplaced_us = 0;
 		return false;
@@ -279,15 +280,15 @@
 		.hosts = g_hash_table_size(rc->hosts),
 		.turn = follow->feeders_tried,
 	};
-	struct rank_host host;
+	struct rank_state host;
 
 	rc->settled = now_us >= follow->settle_us;
 	if (follow->table_outdated)
 		follow_update_table(follow);
-	rank_choose(&follow->table, &self, now_us, &rc->rank);
+	rank_choose_roles(&follow->table, &self, now_us, &rc->rank);
 	follow_reconnect(follow, rank->feeder, now_us);
 	rc_rank_host(rc, &host);
-	rc_set_direct(rc, rank_reads(&host));
+	rc_set_direct(rc, rank_should_read_store(&host));
 	member_set_candidate(rc,
 			     rank->reader || (!follow->fed && rc->settled && sf_is_reached(rc)));
 }
@@ -396,7 +397,7 @@
 
 		g_array_append_val(loads, load);
 	}
-	loads_take(follow->rc, loads);
+	loads_publish(follow->rc, loads);
 }
 
 static int follow_on_update(struct follow *follow, const uint8_t *body, size_t len)
@@ -423,9 +424,9 @@
 	}
 	follow_apply_hosts(follow, msg);
 	follow_apply_loads(follow, msg);
-	rank_round_heard(&rc->round, msg->round, tmr_now());
+	rank_round_received(&rc->round, msg->round, tmr_now());
 	if (msg->generation > rc->lead.newest)
-		member_on_fence(rc, msg->generation);
+		member_on_remote_fence(rc, msg->generation);
 	feed__update__free_unpacked(msg, NULL);
 	rc_first_view(rc);
 	feed_flush(rc->feed);
--- a/router/host_news.h
+++ b/router/host_delta.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_HOST_NEWS_H
-#define ROUTER_HOST_NEWS_H
+#ifndef ROUTER_HOST_DELTA_H
+#define ROUTER_HOST_DELTA_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -19,35 +19,35 @@
 	 * Most removed hosts whose names are kept. About 310 hosts are restarted or replaced in a
 	 * day; the names take less than 64 KB.
 	 */
-	HN_REMOVED_MAX = 1024
+	HDELTA_REMOVED_MAX = 1024
 };
 
-struct hn {
+struct hdelta {
 	GHashTable *links; /* host name -> its link in "order" */
-	GQueue order;	   /* one struct hn_entry for each host, the latest change last */
+	GQueue order;	   /* one struct hdelta_entry for each host, the latest change last */
 	guint version;	   /* number of the latest change; 0: no change yet */
 	guint full_before; /* followers with an older version than this get the whole list */
 	guint n_removed;   /* number of entries of removed hosts */
 };
 
-void hn_init(struct hn *delta);
-void hn_finish(struct hn *delta);
+void hdelta_init(struct hdelta *delta);
+void hdelta_finish(struct hdelta *delta);
 
 /* Records that a host was added, was removed, or has changed its address. */
-void hn_on_change(struct hn *delta, const char *name, bool removed);
+void hdelta_on_change(struct hdelta *delta, const char *name, bool removed);
 
 /* The list was compared with the store's list: every follower gets the whole list once more. */
-void hn_on_compared(struct hn *delta);
+void hdelta_on_compared(struct hdelta *delta);
 
 /* Returns whether a follower that has the changes up to number "since" gets the whole list. */
-bool hn_needs_whole(const struct hn *delta, guint since);
+bool hdelta_needs_full(const struct hdelta *delta, guint since);
 
 /*
  * Calls "fn" once for each host that has changed after change number "since", the latest change
  * first. If "since" is 0, calls it for all hosts in the log.
  */
-typedef void (*hn_fn)(void *ctx, const char *name, bool removed);
-void hn_each_since(const struct hn *delta, guint since, hn_fn fn, void *ctx);
+typedef void (*hdelta_fn)(void *ctx, const char *name, bool removed);
+void hdelta_each_since(const struct hdelta *delta, guint since, hdelta_fn fn, void *ctx);
 
 G_END_DECLS
 
--- a/router/host_news_test.cc
+++ b/router/host_delta_test.cc
@@ -1,4 +1,4 @@
-#include "router/host_news.h"
+#include "router/host_delta.h"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -21,12 +21,12 @@
 		self->present.emplace(name, !removed);
 	}
 	/* The latest change of a host comes first, so an older entry does not replace it. */
-	void Update(const hn &delta)
+	void Update(const hdelta &delta)
 	{
 		std::map<std::string, bool> before;
 
 		before.swap(present);
-		hn_each_since(&delta, hn_needs_whole(&delta, since) ? 0 : since, Add, this);
+		hdelta_each_since(&delta, hdelta_needs_full(&delta, since) ? 0 : since, Add, this);
 		for (const auto &host : before)
 			present.insert(host);
 		since = delta.version;
@@ -38,17 +38,17 @@
       protected:
 	HostDeltaTest()
 	{
-		hn_init(&delta_);
+		hdelta_init(&delta_);
 	}
 	~HostDeltaTest() override
 	{
-		hn_finish(&delta_);
+		hdelta_finish(&delta_);
 	}
 	void Change(int host, bool removed = false)
 	{
-		hn_on_change(&delta_, ("host-" + std::to_string(host)).c_str(), removed);
+		hdelta_on_change(&delta_, ("host-" + std::to_string(host)).c_str(), removed);
 	}
-	hn delta_;
+	hdelta delta_;
 };
 
 TEST_F(HostDeltaTest, EachChangeIsSentOnceAndTheLatestIsInForce)
@@ -77,22 +77,22 @@
 	Change(1);
 	Change(2);
 	follower.Update(delta_);
-	hn_on_compared(&delta_);
-	EXPECT_TRUE(hn_needs_whole(&delta_, follower.since));
+	hdelta_on_compared(&delta_);
+	EXPECT_TRUE(hdelta_needs_full(&delta_, follower.since));
 	follower.Update(delta_);
 	EXPECT_EQ(follower.sent, 4U);
-	EXPECT_FALSE(hn_needs_whole(&delta_, follower.since));
+	EXPECT_FALSE(hdelta_needs_full(&delta_, follower.since));
 }
 
 TEST_F(HostDeltaTest, TheNumberOfRemovedHostsIsLimited)
 {
-	for (int i = 0; i < 3 * HN_REMOVED_MAX; i++) {
+	for (int i = 0; i < 3 * HDELTA_REMOVED_MAX; i++) {
 		Change(i);
 		Change(i, true);
 	}
 	Change(0);
-	EXPECT_EQ(delta_.n_removed, (guint)HN_REMOVED_MAX);
-	EXPECT_EQ(g_hash_table_size(delta_.links), (guint)HN_REMOVED_MAX + 1);
+	EXPECT_EQ(delta_.n_removed, (guint)HDELTA_REMOVED_MAX);
+	EXPECT_EQ(g_hash_table_size(delta_.links), (guint)HDELTA_REMOVED_MAX + 1);
 }
 
 /* All hosts register themselves over two seconds; a reader sends the changes to all its followers.
@@ -101,18 +101,18 @@
 {
 	for (int hosts : {30, 300, 984, 1968}) {
 		Follower follower;
-		hn delta;
+		hdelta delta;
 
-		hn_init(&delta);
+		hdelta_init(&delta);
 		for (int i = 0; i < hosts; i++) {
-			hn_on_change(&delta, ("host-" + std::to_string(i)).c_str(), false);
+			hdelta_on_change(&delta, ("host-" + std::to_string(i)).c_str(), false);
 			if (i % (hosts / 20 + 1) == 0)
 				follower.Update(delta);
 		}
 		follower.Update(delta);
 		EXPECT_EQ(follower.sent, (size_t)hosts);
 		EXPECT_EQ(follower.present.size(), (size_t)hosts);
-		hn_finish(&delta);
+		hdelta_finish(&delta);
 	}
 }
 
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -65,7 +65,7 @@
 		g_hash_table_remove(hosts->removed, name);
 		return;
 	}
-	if (g_hash_table_size(hosts->removed) >= HN_REMOVED_MAX)
+	if (g_hash_table_size(hosts->removed) >= HDELTA_REMOVED_MAX)
 		g_hash_table_remove_all(hosts->removed);
 	g_hash_table_add(hosts->removed, g_strdup(name));
 }
@@ -75,13 +75,13 @@
 	g_hash_table_replace(hosts->pending, g_strdup(name), GINT_TO_POINTER(op));
 }
 
-void hosts_on_return(struct hosts *hosts)
+void hosts_on_store_restored(struct hosts *hosts)
 {
 	hosts->compare_next = true;
 	hosts->comparing = false;
 }
 
-void hosts_on_listing(struct hosts *hosts)
+void hosts_on_listing_begin(struct hosts *hosts)
 {
 	hosts->comparing = hosts->compare_next;
 	g_hash_table_remove_all(hosts->listed);
@@ -104,7 +104,7 @@
 	rc_take_host(hosts->rc, name, text);
 }
 
-void hosts_on_listed(struct hosts *hosts)
+void hosts_on_listing_end(struct hosts *hosts)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -119,7 +119,7 @@
 			hosts_schedule_write(hosts, name, HOSTS_ADD);
 	}
 	/* Each follower gets the whole list and checks whether it is in there itself. */
-	hn_on_compared(&hosts->rc->host_news);
+	hdelta_on_compared(&hosts->rc->host_news);
 }
 
 /*
@@ -127,7 +127,7 @@
  * first reader writes, see hosts_on_tick(); an entry that is read from the store meanwhile cancels
  * the write.
  */
-void hosts_on_asked(struct hosts *hosts, const char *name, const struct rc_host *host)
+void hosts_on_announced(struct hosts *hosts, const char *name, const struct rc_host *host)
 {
 	char *text = rc_host_text(host);
 
@@ -139,7 +139,7 @@
 	g_free(text);
 }
 
-void hosts_tell_feeder(const struct hosts *hosts)
+void hosts_announce_to_feeder(const struct hosts *hosts)
 {
 	GHashTableIter iter;
 	gpointer name;
--- a/router/loads.c
+++ b/router/loads.c
@@ -21,7 +21,7 @@
 	return loads;
 }
 
-void loads_take(struct rc *rc, GArray *loads)
+void loads_publish(struct rc *rc, GArray *loads)
 {
 	g_array_unref(rc->loads);
 	rc->loads = loads;
@@ -89,7 +89,7 @@
 	}
 }
 
-void loads_free(gpointer data)
+void loads_free_entry(gpointer data)
 {
 	loads_clear_entry(data);
 	g_free(data);
@@ -101,12 +101,12 @@
  * were the largest part of a feed: 16 MB/s at a reader in a system of 300 hosts with 3,000 engines,
  * and changes of the configuration were queued behind them for 5 s.
  */
-void loads_take_round(struct rc *rc, GArray *loads)
+void loads_publish_round(struct rc *rc, GArray *loads)
 {
 	bool again = tmr_now() - rc->loads_us >= tmr_ms(LOADS_AGAIN_MS);
 	GArray *changed = loads_new();
 
-	rank_round_done(&rc->round);
+	rank_round_ended(&rc->round);
 	for (guint i = 0; i < loads->len; i++) {
 		const struct router_load *load = &g_array_index(loads, struct router_load, i);
 
@@ -117,7 +117,7 @@
 		loads_add_unusual(rc, changed);
 	g_array_unref(loads);
 	if (changed->len > 0)
-		loads_take(rc, changed);
+		loads_publish(rc, changed);
 	else
 		g_array_unref(changed);
 }
--- a/router/member.c
+++ b/router/member.c
@@ -1,5 +1,5 @@
 #include "base/jl.h"
-#include "router/listing.h"
+#include "router/reg_delay.h"
 #include "router/rc.h"
 
 #include <string.h>
@@ -67,7 +67,7 @@
 	return call;
 }
 
-const char *member_addr(const struct router_settings *s)
+const char *member_control_addr(const struct router_settings *s)
 {
 	return s->control_known_as[0] ? s->control_known_as : s->control;
 }
@@ -82,7 +82,7 @@
 {
 	const struct router_settings *s = &rc->router->settings;
 	const struct seam_store *store = &rc->router->seam->store;
-	const struct rc_host self = {(char *)member_addr(s), member_capacity(s), s->zone};
+	const struct rc_host self = {(char *)member_control_addr(s), member_capacity(s), s->zone};
 	char *text = rc_host_text(&self);
 	GString *record = store->make_record(s->name, listed ? str_of(text) : str_make(NULL, 0));
 	struct store_request request = {
@@ -161,7 +161,7 @@
 	const struct router_settings *s = &rc->router->settings;
 	const struct rc_host *own = g_hash_table_lookup(rc->hosts, s->name);
 
-	return own && strcmp(own->addr, member_addr(s)) == 0 && !rc->feed_lacks_self &&
+	return own && strcmp(own->addr, member_control_addr(s)) == 0 && !rc->feed_lacks_self &&
 	       !rc->list_failed;
 }
 
@@ -221,7 +221,7 @@
 	}
 }
 
-void member_on_fence(struct rc *rc, int64_t fence)
+void member_on_remote_fence(struct rc *rc, int64_t fence)
 {
 	lead_on_heard(&rc->lead, fence);
 	rc_view_due(rc);
@@ -229,7 +229,7 @@
 		loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
 }
 
-void member_on_return(struct rc *rc)
+void member_on_store_restored(struct rc *rc)
 {
 	lead_on_return(&rc->lead, tmr_boot_now());
 	if (!rc->candidate && member_has_left_recently(rc))
@@ -243,7 +243,7 @@
 }
 
 /* Uses a clock that also runs while the machine is suspended, so that a lease ends in time. */
-bool member_may_order(const struct rc *rc)
+bool member_may_give_orders(const struct rc *rc)
 {
 	return !rc->stopping && lead_may_order(&rc->lead, tmr_boot_now());
 }
@@ -293,7 +293,7 @@
  * starts again usually still has its entry. A copy of the store may lack the entry, and then hosts
  * that start later would not find this host.
  */
-void member_on_hosts(struct rc *rc)
+void member_on_host_list(struct rc *rc)
 {
 	int64_t delay_us = 0;
 
--- a/router/placer.c
+++ b/router/placer.c
@@ -133,7 +133,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!placer_is_settled(placer, now_us) || !rc->conf || !member_may_order(rc))
+	if (!placer_is_settled(placer, now_us) || !rc->conf || !member_may_give_orders(rc))
 		return;
 	if (!placer->plan_due && now_us < placer->next_plan_us)
 		return;
@@ -338,7 +338,7 @@
 	expect = report.sequence;
 	reborn = report.born_ms != 0 && report.born_ms != order->born_ms;
 	seam_report_finish(&report);
-	if (!busy && !reborn && member_may_order(placer->rc) &&
+	if (!busy && !reborn && member_may_give_orders(placer->rc) &&
 	    !heard_rests(placer->rc, order->incarnation, tmr_now()))
 		placer_send_order(order, expect);
 }
--- a/router/poll.c
+++ b/router/poll.c
@@ -211,7 +211,7 @@
 	poll_log_round(poll, loads->len);
 	poll->last_silent = g_hash_table_size(poll->misses);
 	if (loads->len > 0)
-		loads_take_round(poll->rc, loads);
+		loads_publish_round(poll->rc, loads);
 	else
 		g_array_unref(loads);
 }
--- a/router/rank.c
+++ b/router/rank.c
@@ -19,7 +19,7 @@
 
 /* Readers, spare feeders and relays, the host ranked first at index 0. */
 struct rank_list {
-	const struct host *hosts[RANK_FEEDERS + RANK_RELAYS_MAX];
+	const struct host *hosts[RANK_FEEDERS_TRIED + RANK_RELAYS_MAX];
 	unsigned int n;	      /* number of hosts in the list */
 	unsigned int readers; /* number of readers; they are the first hosts in the list */
 	unsigned int feeders; /* number of readers and spare feeders; the relays are listed next */
@@ -38,13 +38,13 @@
 {
 	unsigned int max_readers =
 		table->hosts->len <= RANK_SMALL_HOSTS ? RANK_READERS_SMALL : RANK_READERS;
-	unsigned int candidates = RANK_FEEDERS + rank_relay_count(hosts);
+	unsigned int candidates = RANK_FEEDERS_TRIED + rank_relay_count(hosts);
 	const struct host *fallback = host_home(table, rank_key, 0, now_us);
 
 	list->n = host_homes(table, rank_key, list->hosts, candidates, now_us);
 	if (list->n == 0 && fallback)
 		list->hosts[list->n++] = fallback;
-	list->feeders = MIN(list->n, (unsigned int)RANK_FEEDERS);
+	list->feeders = MIN(list->n, (unsigned int)RANK_FEEDERS_TRIED);
 	list->readers = MIN(list->n, max_readers);
 }
 
@@ -124,8 +124,8 @@
  * Readers follow the next reader, so that a reader that the store rejects has a feed. Spare feeders
  * and relays follow readers. All other hosts follow relays if there are any, otherwise readers.
  */
-void rank_choose(const struct host_table *table, const struct rank_self *self, int64_t now_us,
-		 struct rank *rank)
+void rank_choose_roles(const struct host_table *table, const struct rank_self *self, int64_t now_us,
+		       struct rank *rank)
 {
 	struct rank_list list;
 	unsigned int turn = self->turn;
@@ -137,13 +137,13 @@
 	if (list.n == 0)
 		return;
 	at = rank_set_roles(&list, self->name, rank);
-	rank->relayed = at == list.n && list.n > list.feeders;
-	if (rank->relayed && turn < RANK_RELAYS_TRIED) {
+	rank->follows_relay = at == list.n && list.n > list.feeders;
+	if (rank->follows_relay && turn < RANK_RELAYS_TRIED) {
 		rank->feeder = rank_relay_at(&list, self);
 		if (rank->feeder)
 			return;
 	}
-	if (rank->relayed)
+	if (rank->follows_relay)
 		turn -= MIN(turn, (unsigned int)RANK_RELAYS_TRIED);
 	start = rank->reader ? at + 1
 			     : (unsigned int)(str_hash(self->name, strlen(self->name), 0) %
@@ -151,30 +151,30 @@
 	rank->feeder = rank_feeder_at(&list, self->name, start, turn);
 }
 
-bool rank_reads(const struct rank_host *host)
+bool rank_should_read_store(const struct rank_state *host)
 {
 	if (host->reader)
 		return true;
 	if (!host->fed)
-		return !host->knows_all || !host->patient;
-	return host->first_start ? !host->settled : !host->knows_all;
+		return !host->can_serve || !host->awaits_feed;
+	return host->first_start ? !host->settled : !host->can_serve;
 }
 
-int64_t rank_patience_us(const struct rank *rank, int64_t apply_limit_us)
+int64_t rank_feed_wait_us(const struct rank *rank, int64_t apply_limit_us)
 {
 	if (rank->reader || rank->spare)
 		return 0;
 	return MAX(apply_limit_us - rank_feed_change_us, 0) / 2;
 }
 
-bool rank_may_feed(const struct rank_host *host)
+bool rank_may_feed(const struct rank_state *host)
 {
 	if (host->relay && host->fed)
 		return true;
 	return host->reached && (host->reader || host->settled);
 }
 
-bool rank_round_heard(struct rank_round *round, int64_t number, int64_t now_us)
+bool rank_round_received(struct rank_round *round, int64_t number, int64_t now_us)
 {
 	bool is_new = number > round->number;
 
@@ -185,12 +185,12 @@
 	return is_new;
 }
 
-int64_t rank_round_done(struct rank_round *round)
+int64_t rank_round_ended(struct rank_round *round)
 {
 	return ++round->number;
 }
 
-bool rank_round_is_ours(const struct rank_round *round, const struct rank *rank, int64_t now_us)
+bool rank_should_poll(const struct rank_round *round, const struct rank *rank, int64_t now_us)
 {
 	return rank->first || (rank->reader && now_us - round->heard_us > rank_round_timeout_us);
 }
--- a/router/rank.h
+++ b/router/rank.h
@@ -24,7 +24,7 @@
 	 * Spare feeders are the hosts ranked next to the readers: when the store rejects the
 	 * readers, the spare feeders have no feed, read the store themselves and can feed others.
 	 */
-	RANK_FEEDERS = 6,
+	RANK_FEEDERS_TRIED = 6,
 	/*
 	 * Number of followers that a host is meant to serve. If the readers would have more, relays
 	 * pass on the feed that they receive. There are so many relays that each has half of this
@@ -52,19 +52,19 @@
 	bool first;		   /* the host is the first of the readers */
 	bool spare;		   /* other hosts try this host as feeder after the readers */
 	bool relay;		   /* the host passes on the feed that it receives */
-	bool relayed;		   /* the host follows a relay, if a working one is found */
+	bool follows_relay;	   /* the host follows a relay, if a working one is found */
 	const struct host *feeder; /* the host to follow; NULL if there is none */
 };
 
 /* State of a host that decides whether it reads the store and whether it may feed others. */
-struct rank_host {
+struct rank_state {
 	bool reader;	  /* the host has the role of a reader */
 	bool first_start; /* the whole system starts for the first time */
 	bool settled;	  /* the host has had the time to find a feeder after its start */
 	bool fed;	  /* the host receives a working feed */
-	bool knows_all;	  /* the host has the configuration and endpoints that it serves with */
+	bool can_serve;	  /* the host has the configuration and endpoints that it serves with */
 	bool reached;	  /* the host's own reads of the store succeed */
-	bool patient;	  /* the feed was lost less than rank_patience_us() ago */
+	bool awaits_feed; /* the feed was lost less than rank_feed_wait_us() ago */
 	bool relay;	  /* the host has the role of a relay */
 };
 
@@ -79,14 +79,14 @@
  * reader, a third of all hosts lose their feeds at the same time although other feeders work: when
  * each of 984 hosts read the store meanwhile, the store received 28 calls per host in a minute.
  */
-bool rank_reads(const struct rank_host *host);
+bool rank_should_read_store(const struct rank_state *host);
 
 /*
  * Returns whether other hosts may follow the host. A host that is not a reader reads the store only
  * briefly when it starts, so its followers would soon lose their feed; therefore it must be
  * settled. A relay may feed others while it receives a feed itself.
  */
-bool rank_may_feed(const struct rank_host *host);
+bool rank_may_feed(const struct rank_state *host);
 
 /*
  * Returns for how long a host may wait for another feed before it reads the store, in microseconds.
@@ -95,14 +95,14 @@
  * rest. It is 0 for readers, and for spare feeders, which must read the store at once for others to
  * follow them.
  */
-int64_t rank_patience_us(const struct rank *rank, int64_t apply_limit_us);
+int64_t rank_feed_wait_us(const struct rank *rank, int64_t apply_limit_us);
 
 /* Returns the number of relays in a deployment of that many hosts; 0 if the readers feed all. */
 unsigned int rank_relay_count(unsigned int hosts);
 
 /* Sets the roles of the host "self" and the feeder that it should follow. */
-void rank_choose(const struct host_table *table, const struct rank_self *self, int64_t now_us,
-		 struct rank *rank);
+void rank_choose_roles(const struct host_table *table, const struct rank_self *self, int64_t now_us,
+		       struct rank *rank);
 
 /*
  * Decides which host polls all engines for their reports. The first reader does, in rounds of a
@@ -118,13 +118,13 @@
 };
 
 /* Handles the number of another host's round. Returns whether it is new and must be passed on. */
-bool rank_round_heard(struct rank_round *round, int64_t number, int64_t now_us);
+bool rank_round_received(struct rank_round *round, int64_t number, int64_t now_us);
 
 /* Records that a round of this host has ended. Returns the number of that round. */
-int64_t rank_round_done(struct rank_round *round);
+int64_t rank_round_ended(struct rank_round *round);
 
 /* Returns whether this host should poll the engines. */
-bool rank_round_is_ours(const struct rank_round *round, const struct rank *rank, int64_t now_us);
+bool rank_should_poll(const struct rank_round *round, const struct rank *rank, int64_t now_us);
 
 G_END_DECLS
 
--- a/router/rank_test.cc
+++ b/router/rank_test.cc
@@ -34,7 +34,7 @@
 		const rank_self who = {name.c_str(), "", (unsigned int)n_, turn};
 		rank r;
 
-		rank_choose(&table_, &who, now, &r);
+		rank_choose_roles(&table_, &who, now, &r);
 		return r;
 	}
 	host_table table_;
@@ -52,8 +52,8 @@
 {
 	const struct {
 		const char *what;
-		/* the fields of struct rank_host in their order */
-		rank_host host;
+		/* the fields of struct rank_state in their order */
+		rank_state host;
 		bool reads, feeds;
 	} cases[] = {
 		{"a reader", {true, false, false, true, true, true, false, false}, true, true},
@@ -109,7 +109,7 @@
 	};
 	Hosts(1);
 	for (const auto &c : cases) {
-		EXPECT_EQ(rank_reads(&c.host), c.reads) << c.what;
+		EXPECT_EQ(rank_should_read_store(&c.host), c.reads) << c.what;
 		EXPECT_EQ(rank_may_feed(&c.host), c.feeds) << c.what;
 	}
 }
@@ -190,11 +190,11 @@
 	for (int i = 0; i < 984; i++) {
 		std::set<std::string> asked;
 		rank first = Choose(i);
-		if (!first.relayed)
+		if (!first.follows_relay)
 			continue;
-		for (unsigned int turn = 0; turn < RANK_RELAYS_TRIED + RANK_FEEDERS; turn++)
+		for (unsigned int turn = 0; turn < RANK_RELAYS_TRIED + RANK_FEEDERS_TRIED; turn++)
 			asked.insert(Choose(i, turn).feeder->name);
-		EXPECT_EQ(asked.size(), (size_t)RANK_RELAYS_TRIED + RANK_FEEDERS);
+		EXPECT_EQ(asked.size(), (size_t)RANK_RELAYS_TRIED + RANK_FEEDERS_TRIED);
 	}
 }
 
@@ -208,7 +208,7 @@
 	Hosts(7);
 	for (int i = 0; i < 7; i++) {
 		std::set<std::string> asked;
-		for (unsigned int turn = 0; turn < RANK_FEEDERS; turn++)
+		for (unsigned int turn = 0; turn < RANK_FEEDERS_TRIED; turn++)
 			asked.insert(Choose(i, turn).feeder->name);
 		EXPECT_GE(asked.size(), 5u);
 		EXPECT_EQ(asked.count("host-" + std::to_string(i)), 0u);
@@ -249,7 +249,7 @@
 	};
 	Hosts(1);
 	for (const auto &c : cases)
-		EXPECT_EQ(rank_patience_us(&c.place, c.apply_limit_ms * 1000), c.wait_ms * 1000)
+		EXPECT_EQ(rank_feed_wait_us(&c.place, c.apply_limit_ms * 1000), c.wait_ms * 1000)
 			<< c.what;
 }
 
@@ -314,15 +314,15 @@
 	}
 	void Read(Host *h, const rank &place)
 	{
-		const rank_host state = {place.reader,
-					 false,
-					 true,
-					 h->fed,
-					 true,
-					 h->reached,
-					 now_ - h->fed_us < rank_patience_us(&place, limit_us_),
-					 place.relay};
-		bool reads = rank_reads(&state);
+		const rank_state state = {place.reader,
+					  false,
+					  true,
+					  h->fed,
+					  true,
+					  h->reached,
+					  now_ - h->fed_us < rank_feed_wait_us(&place, limit_us_),
+					  place.relay};
+		bool reads = rank_should_read_store(&state);
 
 		if (reads && !h->reads)
 			h->read_from_us = now_;
@@ -332,8 +332,8 @@
 			calls_++;
 		h->reached = reads && !h->rejected;
 		h->reads = reads;
-		const rank_host after = {place.reader, false,	   true,  h->fed,
-					 true,	       h->reached, false, place.relay};
+		const rank_state after = {place.reader, false,	    true,  h->fed,
+					  true,		h->reached, false, place.relay};
 		h->may_feed = rank_may_feed(&after);
 	}
 	void Follow(Host *h, const rank &place)
@@ -347,7 +347,7 @@
 			h->turn = 0;
 		} else if (h->stale_us == 0) {
 			h->stale_us = now_;
-		} else if (now_ - h->stale_us > (place.relayed ? STALE_RELAY_US : STALE_US)) {
+		} else if (now_ - h->stale_us > (place.follows_relay ? STALE_RELAY_US : STALE_US)) {
 			h->turn++;
 			h->stale_us = 0;
 		}
@@ -363,7 +363,7 @@
 					       (unsigned int)hosts_.size(), h->turn};
 			rank place;
 
-			rank_choose(&table_, &who, now_, &place);
+			rank_choose_roles(&table_, &who, now_, &place);
 			Follow(h, place);
 			Read(h, place);
 			if (h->fed || h->reached)
@@ -413,11 +413,11 @@
 	rank first{}, second{}, other{};
 	rank_round round{};
 	first.reader = first.first = second.reader = true;
-	EXPECT_TRUE(rank_round_heard(&round, 7, 10 * s));
-	EXPECT_TRUE(rank_round_is_ours(&round, &first, 10 * s));
-	EXPECT_FALSE(rank_round_is_ours(&round, &second, 13 * s));
-	EXPECT_TRUE(rank_round_is_ours(&round, &second, 13 * s + 1));
-	EXPECT_FALSE(rank_round_is_ours(&round, &other, 60 * s)) << "no reader";
+	EXPECT_TRUE(rank_round_received(&round, 7, 10 * s));
+	EXPECT_TRUE(rank_should_poll(&round, &first, 10 * s));
+	EXPECT_FALSE(rank_should_poll(&round, &second, 13 * s));
+	EXPECT_TRUE(rank_should_poll(&round, &second, 13 * s + 1));
+	EXPECT_FALSE(rank_should_poll(&round, &other, 60 * s)) << "no reader";
 }
 
 /* Two readers poll at once, with the same numbers: the second one receives a round and stops. */
@@ -427,19 +427,19 @@
 	rank second{};
 	rank_round round{};
 	second.reader = true;
-	EXPECT_EQ(rank_round_done(&round), 1);
-	EXPECT_FALSE(rank_round_heard(&round, 1, 20 * s)) << "a known number is not passed on";
-	EXPECT_FALSE(rank_round_is_ours(&round, &second, 21 * s));
+	EXPECT_EQ(rank_round_ended(&round), 1);
+	EXPECT_FALSE(rank_round_received(&round, 1, 20 * s)) << "a known number is not passed on";
+	EXPECT_FALSE(rank_should_poll(&round, &second, 21 * s));
 }
 
 /* A host that has just started counts from 0. Old rounds are not passed on, so none circulates. */
 TEST(RankRoundTest, OldRoundsAreNotPassedOn)
 {
 	rank_round round{};
-	EXPECT_TRUE(rank_round_heard(&round, 500, 1));
-	EXPECT_FALSE(rank_round_heard(&round, 1, 2));
+	EXPECT_TRUE(rank_round_received(&round, 500, 1));
+	EXPECT_FALSE(rank_round_received(&round, 1, 2));
 	EXPECT_EQ(round.heard_us, 1);
-	EXPECT_EQ(rank_round_done(&round), 501);
+	EXPECT_EQ(rank_round_ended(&round), 501);
 }
 
 } // namespace
--- a/router/rc.c
+++ b/router/rc.c
@@ -41,9 +41,9 @@
 	jl_int("fence", rc->lead.newest);
 	jl_end();
 	met_add(met_counter("bg_store_returns_total", ""), 1);
-	member_on_return(rc);
-	hosts_on_return(rc->host_list);
-	recall_on_return(rc->recall);
+	member_on_store_restored(rc);
+	hosts_on_store_restored(rc->host_list);
+	recall_on_store_restored(rc->recall);
 	quarantine_on_return(rc->quarantine);
 	if (rc->direct)
 		sf_on_return(rc);
@@ -85,7 +85,7 @@
 	rc->start_us = tmr_now();
 	rc->round.heard_us = tmr_now();
 	rc->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, rc_host_free);
-	hn_init(&rc->host_news);
+	hdelta_init(&rc->host_news);
 	ep_list_init(&rc->endpoints);
 	rc->conf_deflated = g_byte_array_new();
 	rc->seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -93,7 +93,7 @@
 	rc->rests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	rc->unreadable = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	rc->loads = loads_new();
-	rc->polled = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, loads_free);
+	rc->polled = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, loads_free_entry);
 	rc->placer = placer_new(rc);
 	rc->poll = poll_new(rc);
 	rc->feed = feed_new(rc);
@@ -128,7 +128,7 @@
 	g_hash_table_destroy(rc->store_calls);
 	ep_list_finish(&rc->endpoints);
 	g_hash_table_destroy(rc->hosts);
-	hn_finish(&rc->host_news);
+	hdelta_finish(&rc->host_news);
 	g_hash_table_destroy(rc->seen);
 	g_hash_table_destroy(rc->dead);
 	g_hash_table_destroy(rc->rests);
@@ -358,7 +358,7 @@
 		}
 		g_hash_table_replace(rc->hosts, g_strdup(name), host);
 	}
-	hn_on_change(&rc->host_news, name, !g_hash_table_contains(rc->hosts, name));
+	hdelta_on_change(&rc->host_news, name, !g_hash_table_contains(rc->hosts, name));
 	follow_on_hosts(rc->follow);
 	rc_view_due(rc);
 	return true;
@@ -367,7 +367,7 @@
 void rc_on_hosts_heard(struct rc *rc)
 {
 	rc->hosts_heard = true;
-	member_on_hosts(rc);
+	member_on_host_list(rc);
 }
 
 /*
@@ -404,7 +404,7 @@
 	if (rc->view_pending || rc->endpoints.changed)
 		rc_post_view(rc);
 	feed_flush(rc->feed);
-	state_gauges(rc, now_us);
+	state_update_gauges(rc, now_us);
 	loop_after(rc->loop, &rc->tick_timer, tmr_ms(RC_TICK_MS), rc_on_tick, rc);
 }
 
@@ -434,17 +434,17 @@
 	return tmr_ms(MIN(s->drain_ms, s->apply_ms));
 }
 
-void rc_rank_host(const struct rc *rc, struct rank_host *host)
+void rc_rank_host(const struct rc *rc, struct rank_state *host)
 {
-	*host = (struct rank_host){
+	*host = (struct rank_state){
 		.reader = rc->rank.reader,
 		.first_start = rc->router->settings.first_start,
 		.settled = rc->settled,
 		.fed = follow_is_fed(rc->follow),
-		.knows_all = rc->view_complete,
+		.can_serve = rc->view_complete,
 		.reached = sf_is_reached(rc),
-		.patient =
-			tmr_now() - rc->last_fed_us < rank_patience_us(&rc->rank, rc_news_us(rc)),
+		.awaits_feed =
+			tmr_now() - rc->last_fed_us < rank_feed_wait_us(&rc->rank, rc_news_us(rc)),
 		.relay = rc->rank.relay,
 	};
 }
@@ -458,5 +458,5 @@
 
 bool rc_polls(const struct rc *rc)
 {
-	return rank_round_is_ours(&rc->round, &rc->rank, tmr_now());
+	return rank_should_poll(&rc->round, &rc->rank, tmr_now());
 }
--- a/router/rc.h
+++ b/router/rc.h
@@ -6,7 +6,7 @@
 #include "lead/lead.h"
 #include "router/quarantine.h"
 #include "router/heard.h"
-#include "router/host_news.h"
+#include "router/host_delta.h"
 #include "router/limits.h"
 #include "router/rank.h"
 #include "router/router.h"
@@ -62,10 +62,10 @@
 	gsize conf_len;			  /* Length of that text before it was deflated, in bytes */
 	struct router_origin conf_origin; /* Digest and source of the configuration */
 	struct ep_list endpoints;	  /* Endpoints of the system */
-	bool listed;	     /* Whether the list of endpoints has been read completely */
-	bool hosts_heard;    /* Whether the list of hosts has been read completely */
-	GHashTable *hosts;   /* Host name -> struct rc_host */
-	struct hn host_news; /* Numbered changes of the list of hosts, for followers */
+	bool listed;		 /* Whether the list of endpoints has been read completely */
+	bool hosts_heard;	 /* Whether the list of hosts has been read completely */
+	GHashTable *hosts;	 /* Host name -> struct rc_host */
+	struct hdelta host_news; /* Numbered changes of the list of hosts, for followers */
 	struct sf_topic topics[SEAM_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
 	bool direct;				/* Whether this host reads the store itself */
 	bool settled; /* Whether the time to find a first feeder is over */
@@ -181,27 +181,27 @@
  */
 struct hosts *hosts_new(struct rc *rc);
 void hosts_free(struct hosts *hosts);
-void hosts_on_return(struct hosts *hosts);
+void hosts_on_store_restored(struct hosts *hosts);
 void hosts_on_tick(struct hosts *hosts, int64_t now_us);
 
 /*
- * Process the list as read from the store: hosts_on_listing() begins a full listing,
- * hosts_on_record() processes one record, hosts_on_listed() ends the listing. Records that are read
- * one by one later also go to hosts_on_record().
+ * Process the list as read from the store: hosts_on_listing_begin() begins a full listing,
+ * hosts_on_record() processes one record, hosts_on_listing_end() ends the listing. Records that are
+ * read one by one later also go to hosts_on_record().
  */
-void hosts_on_listing(struct hosts *hosts);
+void hosts_on_listing_begin(struct hosts *hosts);
 void hosts_on_record(struct hosts *hosts, const char *name, struct str text);
-void hosts_on_listed(struct hosts *hosts);
+void hosts_on_listing_end(struct hosts *hosts);
 
 /*
  * Processes the announcement of a host by a follower: the follower itself or one of its own
  * followers. The store's list may not contain it yet. New hosts are announced to the feeder in
  * turn, up to the first reader, which writes them to the store.
  */
-void hosts_on_asked(struct hosts *hosts, const char *name, const struct rc_host *host);
+void hosts_on_announced(struct hosts *hosts, const char *name, const struct rc_host *host);
 
 /* Announces all hosts that the store's list lacks to the feeder, after a new feed was opened. */
-void hosts_tell_feeder(const struct hosts *hosts);
+void hosts_announce_to_feeder(const struct hosts *hosts);
 
 /*
  * member.c: this host's entry in the list of hosts, and its membership in the group of hosts from
@@ -210,25 +210,25 @@
 void member_start(struct rc *rc);
 
 /* Returns the address at which other hosts reach this host's control thread. */
-const char *member_addr(const struct router_settings *s);
+const char *member_control_addr(const struct router_settings *s);
 
 /* Returns the capacity of this host: bandwidth of its link in Mbit/s times its cores. */
 double member_capacity(const struct router_settings *s);
 
 /* Called when the list of hosts is known: adds this host to it unless it is there already. */
-void member_on_hosts(struct rc *rc);
+void member_on_host_list(struct rc *rc);
 
 /* Leaves the group and removes this host from the list of hosts. */
 void member_stop(struct rc *rc);
 
 /* Whether this host holds the lead now, so that it may send orders to engines. */
-bool member_may_order(const struct rc *rc);
+bool member_may_give_orders(const struct rc *rc);
 
 /* Another host has reported this fencing number: requests the state of the group again. */
-void member_on_fence(struct rc *rc, int64_t fence);
+void member_on_remote_fence(struct rc *rc, int64_t fence);
 
 /* Requests the state of the group, after the store was restored from an older copy. */
-void member_on_return(struct rc *rc);
+void member_on_store_restored(struct rc *rc);
 
 /*
  * Sets whether this host is a candidate for leader. A host that has just started and will soon have
@@ -240,13 +240,13 @@
 GArray *loads_new(void);
 
 /* Replaces the newest load reports (struct router_load) and passes them on. Owns the array. */
-void loads_take(struct rc *rc, GArray *loads);
+void loads_publish(struct rc *rc, GArray *loads);
 
 /* Frees a single struct router_load that is not an element of an array. */
-void loads_free(gpointer load);
+void loads_free_entry(gpointer load);
 
 /* Processes a round of this host's own polling and passes on what changed. Owns the array. */
-void loads_take_round(struct rc *rc, GArray *loads);
+void loads_publish_round(struct rc *rc, GArray *loads);
 
 /* suspect.c: suspicions that an endpoint is at fault; feeds carry them in both directions. */
 
@@ -302,7 +302,7 @@
 void suspect_send(struct frm_conn *conn, const struct suspect *suspect);
 
 /* state.c: updates the gauges of the control thread in the metrics. */
-void state_gauges(const struct rc *rc, int64_t now_us);
+void state_update_gauges(const struct rc *rc, int64_t now_us);
 
 /*
  * recall.c: a copy of the list of endpoints in the store. While the store is unavailable, the
@@ -320,13 +320,13 @@
  * before the list is used; else the few endpoints that have registered so far would get all waiting
  * requests of all hosts.
  */
-bool recall_on_listed(struct recall *recall);
+bool recall_on_list_read(struct recall *recall);
 
 /* Saves the list again, after the store was restored from a copy that may lack it. */
-void recall_on_return(struct recall *recall);
+void recall_on_store_restored(struct recall *recall);
 
 /* Whether this host has saved the list in its present version. */
-bool recall_is_noted(const struct recall *recall);
+bool recall_is_saved(const struct recall *recall);
 
 /* placer.c: assignment of model layers to engines. */
 struct placer *placer_new(struct rc *rc);
@@ -341,8 +341,8 @@
 void poll_free(struct poll *poll);
 void poll_on_tick(struct poll *poll, int64_t now_us);
 
-/* Fills in the state of this host for rank_reads() and rank_may_feed(). */
-void rc_rank_host(const struct rc *rc, struct rank_host *host);
+/* Fills in the state of this host for rank_should_read_store() and rank_may_feed(). */
+void rc_rank_host(const struct rc *rc, struct rank_state *host);
 
 /* feed.c: sending the data of the store to followers. */
 struct feed *feed_new(struct rc *rc);
--- a/router/recall.c
+++ b/router/recall.c
@@ -52,7 +52,7 @@
 	g_free(recall);
 }
 
-bool recall_is_noted(const struct recall *recall)
+bool recall_is_saved(const struct recall *recall)
 {
 	return !recall->write && recall->saved_version == recall->rc->endpoints.version;
 }
@@ -65,7 +65,7 @@
 		return false;
 	if (recall->write || now_us < recall->next_write_us || now_us < ep_whole_us(&rc->endpoints))
 		return false;
-	return !recall_is_noted(recall);
+	return !recall_is_saved(recall);
 }
 
 /* Returns the record to save: the list, packed in the format of a feed. */
@@ -136,7 +136,7 @@
 		recall->saved_version = 0;
 }
 
-void recall_on_return(struct recall *recall)
+void recall_on_store_restored(struct recall *recall)
 {
 	recall->saved_version = 0;
 }
@@ -161,7 +161,7 @@
 	recall_write(recall);
 }
 
-bool recall_on_listed(struct recall *recall)
+bool recall_on_list_read(struct recall *recall)
 {
 	if (!recall->first_list_done && ep_is_returning(&recall->rc->endpoints, tmr_now()))
 		recall_read(recall);
--- a/router/listing.c
+++ b/router/reg_delay.c
@@ -1,4 +1,4 @@
-#include "router/listing.h"
+#include "router/reg_delay.h"
 #include "base/str.h"
 
 #include <stdbool.h>
--- a/router/listing.h
+++ b/router/reg_delay.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_LISTING_H
-#define ROUTER_LISTING_H
+#ifndef ROUTER_REG_DELAY_H
+#define ROUTER_REG_DELAY_H
 
 #include <glib.h>
 #include <stdint.h>
--- a/router/listing_test.cc
+++ b/router/reg_delay_test.cc
@@ -1,4 +1,4 @@
-#include "router/listing.h"
+#include "router/reg_delay.h"
 
 #include <gtest/gtest.h>
 #include <string>
--- a/router/rq_crash.c
+++ b/router/rq_crash.c
@@ -97,7 +97,7 @@
 
 void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep)
 {
-	const struct crash_cut cut = {
+	const struct crash_attempt cut = {
 		.key = rq->key,
 		.account = (char *)rq_account_name(rq),
 		.id = rq->request.id,
@@ -109,7 +109,7 @@
 		return;
 	rq->broken_at = ep;
 	rq->broken_progress = cut.progress;
-	crash_on_cut(rq->tf, ep, &cut);
+	crash_on_attempt_cut(rq->tf, ep, &cut);
 }
 
 void rq_on_part(struct rq *rq)
--- a/router/state.c
+++ b/router/state.c
@@ -119,7 +119,7 @@
 		(json_int_t)(rc->era.known ? rc->era.now : ERA_NONE), "generation",
 		(json_int_t)era_generation(rc->lead.newest), "fence", (json_int_t)rc->lead.newest,
 		"reads_store", rc->direct, "asks_engines", rc_polls(rc), "places_layers",
-		member_may_order(rc), "noted", recall_is_noted(rc->recall), "feeder",
+		member_may_give_orders(rc), "noted", recall_is_saved(rc->recall), "feeder",
 		follow_feeder(rc->follow), "fed", follow_is_fed(rc->follow), "store_age_ms",
 		(json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
 	state_add_origins(state->json, rc);
@@ -264,7 +264,7 @@
 	loop_post(router->rc->loop, state_clear_on_control, state);
 }
 
-void state_gauges(const struct rc *rc, int64_t now_us)
+void state_update_gauges(const struct rc *rc, int64_t now_us)
 {
 	met_set(met_gauge("bg_configuration_version", ""),
 		(uint64_t)(rc->conf ? rc->conf->version : 0));
@@ -272,7 +272,7 @@
 	met_set(met_gauge("bg_store_era", ""), (uint64_t)rc->era.now);
 	met_set(met_gauge("bg_reads_store", ""), rc->direct);
 	met_set(met_gauge("bg_fed", ""), follow_is_fed(rc->follow));
-	met_set(met_gauge("bg_places_layers", ""), member_may_order(rc));
+	met_set(met_gauge("bg_places_layers", ""), member_may_give_orders(rc));
 	met_set(met_gauge("bg_hosts", ""), g_hash_table_size(rc->hosts));
 	met_set(met_gauge("bg_endpoints", ""), g_hash_table_size(rc->endpoints.entries));
 }
--- a/router/store_follow.c
+++ b/router/store_follow.c
@@ -358,7 +358,7 @@
 
 	t->next = t->end;
 	if (t->topic == SEAM_HOSTS) {
-		hosts_on_listed(rc->host_list);
+		hosts_on_listing_end(rc->host_list);
 		rc_on_hosts_heard(rc);
 	}
 	if (t->topic == SEAM_ENDPOINTS) {
@@ -366,7 +366,7 @@
 		sf_log_compared(rc);
 		rc->endpoints.changed = true;
 		feed_on_listing(rc->feed);
-		if (!recall_on_listed(rc->recall))
+		if (!recall_on_list_read(rc->recall))
 			rc->listed = true;
 	}
 	sf_again(t, sf_pause_us(t));
@@ -385,7 +385,7 @@
 	if (first && t->topic == SEAM_ENDPOINTS)
 		ep_on_listing(&t->rc->endpoints);
 	if (first && t->topic == SEAM_HOSTS)
-		hosts_on_listing(t->rc->host_list);
+		hosts_on_listing_begin(t->rc->host_list);
 	if (t->rc->router->seam->store.parse_newest(body, sf_on_record, t, &read) < 0)
 		return false;
 	g_clear_pointer(&t->after, g_free);
--- a/router/tf_quar.c
+++ b/router/tf_quar.c
@@ -23,9 +23,9 @@
 	return progress == CRASH_BEGUN || progress == CRASH_SENT ? QUAR_STRONG : QUAR_WEAK;
 }
 
-static int tf_quar_cut_weight(const struct crash_cut *cut)
+static int tf_quar_cut_weight(const struct crash_attempt *cut)
 {
-	if (cut->progress == CRASH_SENT && cut->unproved)
+	if (cut->progress == CRASH_SENT && cut->unconfirmed)
 		return QUAR_WEAK;
 	return tf_quar_weight(cut->progress);
 }
@@ -35,7 +35,7 @@
  * before any response, because such a request may be sent to one host after the other, each of
  * which would detect only one crash.
  */
-static bool tf_quar_must_share(const struct quar_entry *entry, const struct crash_cut *cut)
+static bool tf_quar_must_share(const struct quar_entry *entry, const struct crash_attempt *cut)
 {
 	return quar_is_told(entry) || cut->progress == CRASH_SENT;
 }
@@ -80,7 +80,7 @@
 }
 
 /* Counts one crash; an entry that other hosts need is appended to shared. */
-static void tf_quar_count_crash(struct tf *tf, uint64_t endpoint, const struct crash_cut *cut,
+static void tf_quar_count_crash(struct tf *tf, uint64_t endpoint, const struct crash_attempt *cut,
 				GPtrArray *shared)
 {
 	const struct quar_id id = {cut->key, cut->account};
@@ -110,7 +110,7 @@
 	GPtrArray *shared = quarantine_list_new();
 
 	for (guint i = 0; i < cuts->len; i++)
-		tf_quar_count_crash(tf, endpoint, &g_array_index(cuts, struct crash_cut, i),
+		tf_quar_count_crash(tf, endpoint, &g_array_index(cuts, struct crash_attempt, i),
 				    shared);
 	if (shared->len > 0)
 		quarantine_post(tf->router->rc, g_ptr_array_ref(shared));
--- a/router/tf_quar.h
+++ b/router/tf_quar.h
@@ -11,7 +11,8 @@
 struct tf;
 struct tf_ep;
 
-/* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_cut. */
+/* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_attempt.
+ */
 void tf_quar_crashed(struct tf *tf, const struct tf_ep *ep, const GArray *cuts);
 
 /* Removes the crash of an endpoint that turned out to be alive from all entries, on all hosts. */
