--- a/router/feed.c
+++ b/router/feed.c
@@ -179,7 +179,7 @@
 	feed_send_update(feed, follower);
 	quarantine_send_all(feed->rc->quarantine, conn);
 	limits_send_all(feed->rc->limits, conn);
-	heard_send_all(feed->rc, conn);
+	notice_send_leaving(feed->rc, conn);
 	return 0;
 }
 
@@ -198,8 +198,8 @@
 	case MSG_FEED_LIMITS:
 		return limits_on_msg(((struct feed *)ctx)->rc->limits, conn, body, len);
 	case MSG_LIMIT_ASK:
-		return limit_home_on_msg(limits_home(((struct feed *)ctx)->rc->limits), conn, body,
-					 len);
+		return limit_home_on_msg(limits_get_home(((struct feed *)ctx)->rc->limits), conn,
+					 body, len);
 	default:
 		return BASE_EFRAME;
 	}
@@ -211,7 +211,7 @@
 	struct feed_follower *follower = frm_data(conn);
 
 	(void)err;
-	limit_home_on_close(limits_home(feed->rc->limits), conn);
+	limit_home_on_close(limits_get_home(feed->rc->limits), conn);
 	if (follower)
 		g_ptr_array_remove_fast(feed->followers, follower);
 }
--- a/router/follow.c
+++ b/router/follow.c
@@ -177,7 +177,7 @@
 	hosts_announce_to_feeder(rc->host_list);
 	quarantine_send_all(rc->quarantine, follow->conn);
 	limits_send_all(rc->limits, follow->conn);
-	heard_send_all(rc, follow->conn);
+	notice_send_leaving(rc, follow->conn);
 }
 
 /* Connects to the next seed; used while no other host is known. */
--- a/router/limits.c
+++ b/router/limits.c
@@ -300,7 +300,7 @@
 	limits_prune(limits, now_us);
 }
 
-bool limits_last(const struct limits *limits, const char *endpoint)
+bool limits_is_persistent(const struct limits *limits, const char *endpoint)
 {
 	const struct limit_known *known = g_hash_table_lookup(limits->known, endpoint);
 
@@ -308,12 +308,12 @@
 	       tmr_boot_now() - known->since_us > tmr_ms(LIMITS_PERSISTENT_MS);
 }
 
-struct limit_home *limits_home(const struct limits *limits)
+struct limit_home *limits_get_home(const struct limits *limits)
 {
 	return limits->home;
 }
 
-json_t *limits_state(const struct limits *limits)
+json_t *limits_to_json(const struct limits *limits)
 {
 	int64_t now_us = tmr_boot_now();
 	json_t *list = json_array();
--- a/router/limits.h
+++ b/router/limits.h
@@ -70,13 +70,13 @@
  * Returns whether the limit of the endpoint has been in force long enough for its layers to be
  * loaded on other endpoints.
  */
-bool limits_last(const struct limits *limits, const char *endpoint);
+bool limits_is_persistent(const struct limits *limits, const char *endpoint);
 
 /* Returns the home that runs on this host; it is idle while another host is the home. */
-struct limit_home *limits_home(const struct limits *limits);
+struct limit_home *limits_get_home(const struct limits *limits);
 
 /* Returns the limits in force, with the host that divides them, as a JSON array for operators. */
-json_t *limits_state(const struct limits *limits);
+json_t *limits_to_json(const struct limits *limits);
 
 /* Returns an array of struct limit_update that frees the endpoints of its elements. */
 GArray *limit_updates_new(void);
--- a/router/heard.c
+++ b/router/notice.c
@@ -1,4 +1,4 @@
-#include "router/heard.h"
+#include "router/notice.h"
 #include "base/jl.h"
 #include "router/rc.h"
 #include "router/tf_heard.h"
@@ -29,7 +29,7 @@
 	bool leaving;	  /* the endpoint is leaving; until_us and is_new are unused */
 };
 
-void heard_head(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers)
+void notice_read_headers(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers)
 {
 	struct seam_answer answer;
 
@@ -96,21 +96,21 @@
 	loop_post(msg->rc->loop, notice_on_post, msg);
 }
 
-void heard_post_rest(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new)
+void notice_post_backoff(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new)
 {
 	const struct notice_msg notice = {rc, (char *)endpoint, until_us, is_new, false};
 
 	notice_post(&notice);
 }
 
-void heard_post_leaving(struct rc *rc, const char *endpoint)
+void notice_post_leaving(struct rc *rc, const char *endpoint)
 {
 	const struct notice_msg notice = {.rc = rc, .endpoint = (char *)endpoint, .leaving = true};
 
 	notice_post(&notice);
 }
 
-bool heard_rests(const struct rc *rc, const char *endpoint, int64_t now_us)
+bool notice_in_backoff(const struct rc *rc, const char *endpoint, int64_t now_us)
 {
 	const int64_t *until_us = g_hash_table_lookup(rc->rests, endpoint);
 
@@ -147,7 +147,7 @@
 	follow_each(rc->follow, source, notice_send_to, (void *)&forwarded);
 }
 
-void heard_send_all(const struct rc *rc, struct frm_conn *conn)
+void notice_send_leaving(const struct rc *rc, struct frm_conn *conn)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/router/heard.h
+++ b/router/notice.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_HEARD_H
-#define ROUTER_HEARD_H
+#ifndef ROUTER_NOTICE_H
+#define ROUTER_NOTICE_H
 
 #include "base/frm.h"
 
@@ -22,16 +22,16 @@
 struct rc;
 
 /* Reads the response headers of a report or an order that the control thread requested. */
-void heard_head(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers);
+void notice_read_headers(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers);
 
 /*
  * Reports a back-off of an endpoint from the traffic thread. No calls may be sent before until_us.
  * is_new is false if this only extends a back-off that is still in force.
  */
-void heard_post_rest(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new);
+void notice_post_backoff(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new);
 
 /* Reports from the traffic thread that an endpoint has announced that it is leaving. */
-void heard_post_leaving(struct rc *rc, const char *endpoint);
+void notice_post_leaving(struct rc *rc, const char *endpoint);
 
 /*
  * Returns whether the rate limit for hints allows one more to be forwarded, and counts that one.
@@ -39,7 +39,7 @@
 bool notice_allow_hint(struct rc *rc, int64_t now_us);
 
 /* Returns whether the endpoint is in a back-off that it requested from this host. */
-bool heard_rests(const struct rc *rc, const char *endpoint, int64_t now_us);
+bool notice_in_backoff(const struct rc *rc, const char *endpoint, int64_t now_us);
 
 /*
  * Marks an endpoint as leaving and forwards that. hops is the number of hosts that have forwarded
@@ -48,7 +48,7 @@
 void notice_apply_leaving(struct rc *rc, const char *endpoint, int hops, const void *source);
 
 /* Sends all endpoints known to be leaving to a host that has just connected. */
-void heard_send_all(const struct rc *rc, struct frm_conn *conn);
+void notice_send_leaving(const struct rc *rc, struct frm_conn *conn);
 
 G_END_DECLS
 
--- a/router/placer.c
+++ b/router/placer.c
@@ -201,8 +201,8 @@
 	node->from = order ? order->from : rec->layer_from;
 	node->to = order ? order->to : rec->layer_to;
 	node->usable = kind && !order && rec->state == EP_READY &&
-		       !heard_rests(placer->rc, rec->incarnation, now_us);
-	node->limited = limits_last(placer->rc->limits, rec->incarnation);
+		       !notice_in_backoff(placer->rc, rec->incarnation, now_us);
+	node->limited = limits_is_persistent(placer->rc->limits, rec->incarnation);
 	if (suspect_is_dead(placer->rc, rec->incarnation, now_us)) {
 		node->to = node->from;
 		node->usable = false;
@@ -314,7 +314,7 @@
 {
 	const struct placer_order *order = ctx;
 
-	heard_head(order->placer->rc, order->incarnation, status, headers);
+	notice_read_headers(order->placer->rc, order->incarnation, status, headers);
 	return true;
 }
 
@@ -339,7 +339,7 @@
 	reborn = report.born_ms != 0 && report.born_ms != order->born_ms;
 	seam_report_finish(&report);
 	if (!busy && !reborn && member_may_give_orders(placer->rc) &&
-	    !heard_rests(placer->rc, order->incarnation, tmr_now()))
+	    !notice_in_backoff(placer->rc, order->incarnation, tmr_now()))
 		placer_send_order(order, expect);
 }
 
--- a/router/poll.c
+++ b/router/poll.c
@@ -164,7 +164,7 @@
 		const struct ep_rec *rec = poll_find_listed(poll, round->pdata[i]);
 
 		/* An engine that has requested a rest is left out until its rest is over. */
-		if (rec && !heard_rests(poll->rc, rec->incarnation, tmr_now()))
+		if (rec && !notice_in_backoff(poll->rc, rec->incarnation, tmr_now()))
 			poll_ask(poll, rec);
 	}
 	g_ptr_array_unref(round);
@@ -281,7 +281,7 @@
 {
 	const struct poll_call *call = ctx;
 
-	heard_head(call->poll->rc, call->endpoint, status, headers);
+	notice_read_headers(call->poll->rc, call->endpoint, status, headers);
 	return true;
 }
 
--- a/router/quar_note.c
+++ b/router/quar_store.c
@@ -17,7 +17,7 @@
 	HTTP_OK = 200
 };
 
-struct quar_note {
+struct quar_store {
 	struct rc *rc;
 	struct quarantine *quarantine;
 	GHashTable *due;    /* digest as text -> struct quar_entry to write, or NULL to remove it */
@@ -39,9 +39,9 @@
 		quar_entry_free(data);
 }
 
-struct quar_note *quar_store_new(struct rc *rc, struct quarantine *quarantine)
+struct quar_store *quar_store_new(struct rc *rc, struct quarantine *quarantine)
 {
-	struct quar_note *store = g_new0(struct quar_note, 1);
+	struct quar_store *store = g_new0(struct quar_store, 1);
 
 	store->rc = rc;
 	store->quarantine = quarantine;
@@ -52,7 +52,7 @@
 	return store;
 }
 
-void quar_store_free(struct quar_note *store)
+void quar_store_free(struct quar_store *store)
 {
 	if (store->write)
 		store_call_cancel(store->write);
@@ -64,7 +64,7 @@
 	g_free(store);
 }
 
-static void quar_store_schedule(struct quar_note *store, const struct quar_key *key,
+static void quar_store_schedule(struct quar_store *store, const struct quar_key *key,
 				struct quar_entry *entry)
 {
 	char text[QUAR_TEXT_LEN + 1];
@@ -73,13 +73,13 @@
 	g_hash_table_replace(store->due, g_strdup(text), entry);
 }
 
-void quar_store_put(struct quar_note *store, const struct quar_entry *entry)
+void quar_store_put(struct quar_store *store, const struct quar_entry *entry)
 {
 	if (quar_is_kept(entry))
 		quar_store_schedule(store, &entry->key, quar_entry_dup(entry));
 }
 
-void quar_store_remove(struct quar_note *store, const struct quar_entry *entry)
+void quar_store_remove(struct quar_store *store, const struct quar_entry *entry)
 {
 	quar_store_schedule(store, &entry->key, NULL);
 }
@@ -93,7 +93,7 @@
 	jl_end();
 }
 
-static void quar_store_add_record(const struct quar_note *store, const char *key,
+static void quar_store_add_record(const struct quar_store *store, const char *key,
 				  const struct quar_entry *entry, GString *body)
 {
 	const struct seam_store *seam = &store->rc->router->seam->store;
@@ -110,7 +110,7 @@
 		g_byte_array_unref(value);
 }
 
-static GString *quar_store_take_batch(struct quar_note *store)
+static GString *quar_store_take_batch(struct quar_store *store)
 {
 	GString *body = g_string_new(NULL);
 	GHashTableIter iter;
@@ -128,7 +128,7 @@
 	return body;
 }
 
-static void quar_store_write(struct quar_note *store)
+static void quar_store_write(struct quar_store *store)
 {
 	struct rc *rc = store->rc;
 	GString *body = quar_store_take_batch(store);
@@ -146,7 +146,7 @@
  * Schedules the entries of a failed write again, with their current contents, except those that
  * have been scheduled again since.
  */
-static void quar_store_reschedule(struct quar_note *store)
+static void quar_store_reschedule(struct quar_store *store)
 {
 	const struct quar *table = quarantine_table(store->quarantine);
 	GHashTableIter iter;
@@ -166,7 +166,7 @@
 
 static void quar_store_on_written(void *ctx, const struct store_answer *answer)
 {
-	struct quar_note *store = ctx;
+	struct quar_store *store = ctx;
 	bool good = answer->status == HTTP_OK;
 
 	store->write = NULL;
@@ -178,7 +178,7 @@
 	quar_store_reschedule(store);
 }
 
-static void quar_store_read(struct quar_note *store)
+static void quar_store_read(struct quar_store *store)
 {
 	struct rc *rc = store->rc;
 	struct store_request request = {
@@ -205,7 +205,7 @@
 	jl_end();
 }
 
-static bool quar_store_read_page(struct quar_note *store, struct str body)
+static bool quar_store_read_page(struct quar_store *store, struct str body)
 {
 	GPtrArray *entries = quarantine_list_new();
 	struct seam_read read;
@@ -228,7 +228,7 @@
 
 static void quar_store_on_read(void *ctx, const struct store_answer *answer)
 {
-	struct quar_note *store = ctx;
+	struct quar_store *store = ctx;
 
 	store->read = NULL;
 	if (answer->status == HTTP_OK && quar_store_read_page(store, answer->body))
@@ -241,7 +241,7 @@
  * Returns whether this host has to read the records now. Hosts with a feed receive the entries over
  * it; if all hosts read the store, a start of the system would cause one call for each host.
  */
-static bool quar_store_must_read(const struct quar_note *store, int64_t now_us)
+static bool quar_store_must_read(const struct quar_store *store, int64_t now_us)
 {
 	const struct rc *rc = store->rc;
 
@@ -250,7 +250,7 @@
 	return rc->rank.reader || rc->settled;
 }
 
-void quar_store_on_tick(struct quar_note *store, int64_t now_us)
+void quar_store_on_tick(struct quar_store *store, int64_t now_us)
 {
 	if (quar_store_must_read(store, now_us))
 		quar_store_read(store);
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -14,8 +14,8 @@
 struct quarantine {
 	struct rc *rc;
 	struct quar table;
-	struct quar_note *store; /* writes entries to the store and reads them from it */
-	int64_t expire_us;	 /* time of the next removal of expired entries */
+	struct quar_store *store; /* writes entries to the store and reads them from it */
+	int64_t expire_us;	  /* time of the next removal of expired entries */
 	/* All entries have to be written again: the store was restored from a copy that may lack
 	 * some. */
 	bool rewrite;
@@ -225,7 +225,7 @@
 	quar_store_put(quarantine->store, entry);
 }
 
-void quarantine_on_return(struct quarantine *quarantine)
+void quarantine_on_store_restored(struct quarantine *quarantine)
 {
 	quarantine->rewrite = true;
 }
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -34,7 +34,7 @@
 void quarantine_on_tick(struct quarantine *quarantine, int64_t now_us);
 
 /* Handles that the store was restored from a copy, in which entries may be missing. */
-void quarantine_on_return(struct quarantine *quarantine);
+void quarantine_on_store_restored(struct quarantine *quarantine);
 
 /*
  * Passes entries that have changed from the traffic thread to the control thread, which takes over
@@ -87,20 +87,20 @@
  */
 struct quar_entry *quar_msg_unpack_record(struct str value, int64_t now_us, int64_t unix_ms);
 
-/* quar_note.c: keeping entries in the store. */
-struct quar_note;
+/* quar_store.c: keeping entries in the store. */
+struct quar_store;
 
-struct quar_note *quar_store_new(struct rc *rc, struct quarantine *quarantine);
-void quar_store_free(struct quar_note *store);
+struct quar_store *quar_store_new(struct rc *rc, struct quarantine *quarantine);
+void quar_store_free(struct quar_store *store);
 
 /* Schedules a changed entry to be written, if it is one that is kept in the store. */
-void quar_store_put(struct quar_note *store, const struct quar_entry *entry);
+void quar_store_put(struct quar_store *store, const struct quar_entry *entry);
 
 /* Schedules the removal of an expired entry from the store. */
-void quar_store_remove(struct quar_note *store, const struct quar_entry *entry);
+void quar_store_remove(struct quar_store *store, const struct quar_entry *entry);
 
 /* Starts calls to the store that are due. */
-void quar_store_on_tick(struct quar_note *store, int64_t now_us);
+void quar_store_on_tick(struct quar_store *store, int64_t now_us);
 
 /* Passes entries from other hosts or from the store to the traffic thread. */
 void tf_quar_post(struct tf *tf, const GPtrArray *entries);
--- a/router/rc.c
+++ b/router/rc.c
@@ -44,7 +44,7 @@
 	member_on_store_restored(rc);
 	hosts_on_store_restored(rc->host_list);
 	recall_on_store_restored(rc->recall);
-	quarantine_on_return(rc->quarantine);
+	quarantine_on_store_restored(rc->quarantine);
 	if (rc->direct)
 		sf_on_return(rc);
 }
--- a/router/rc.h
+++ b/router/rc.h
@@ -5,7 +5,7 @@
 #include "era/era.h"
 #include "lead/lead.h"
 #include "router/quarantine.h"
-#include "router/heard.h"
+#include "router/notice.h"
 #include "router/host_delta.h"
 #include "router/limits.h"
 #include "router/rank.h"
@@ -95,7 +95,7 @@
 	GHashTable *seen;
 	/* Incarnation -> time until which the endpoint is regarded as dead (int64_t) */
 	GHashTable *dead;
-	double hints;	  /* Number of backoff hints that may be passed on now; see heard.c */
+	double hints;	  /* Number of backoff hints that may be passed on now; see notice.c */
 	int64_t hints_us; /* Time at which that number was last updated */
 	/* Incarnation -> time until which the endpoint accepts no requests (int64_t) */
 	GHashTable *rests;
--- a/router/state.c
+++ b/router/state.c
@@ -124,7 +124,7 @@
 		(json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
 	state_add_origins(state->json, rc);
 	json_object_set_new(state->json, "quarantine", state_quarantine(rc));
-	json_object_set_new(state->json, "limits", limits_state(rc->limits));
+	json_object_set_new(state->json, "limits", limits_to_json(rc->limits));
 	loop_post(&state->router->tf->loop, state_add_traffic_part, state);
 }
 
--- a/router/tf_heard.c
+++ b/router/tf_heard.c
@@ -1,7 +1,7 @@
 #include "router/tf_heard.h"
 #include "base/jl.h"
 #include "base/met.h"
-#include "router/heard.h"
+#include "router/notice.h"
 #include "router/tf_limit.h"
 #include "router/tf_rest.h"
 
@@ -69,7 +69,7 @@
 	jl_str("id", request);
 	jl_int("in_flight", ep->in_flight);
 	jl_end();
-	heard_post_leaving(tf->router->rc, ep->rec->incarnation);
+	notice_post_leaving(tf->router->rc, ep->rec->incarnation);
 }
 
 /* Handles what the answer to a request or to any other call may state about the endpoint. */
