--- a/adm/adm.c
+++ b/adm/adm.c
@@ -56,8 +56,8 @@
 	adm->decayed_us = now_us;
 }
 
-void adm_on_begun(struct adm *adm, const struct adm_limits *limits, int64_t waited_us,
-		  int64_t now_us)
+void adm_on_first_token(struct adm *adm, const struct adm_limits *limits, int64_t waited_us,
+			int64_t now_us)
 {
 	adm_apply_decay(adm, now_us);
 	adm->begun++;
@@ -104,7 +104,7 @@
 	return false;
 }
 
-int64_t adm_back_us(double chance)
+int64_t adm_retry_delay_us(double chance)
 {
 	return adm_retry_delay_min_us + (int64_t)((double)adm_retry_delay_spread_us * chance);
 }
--- a/adm/adm.h
+++ b/adm/adm.h
@@ -50,8 +50,8 @@
 void adm_init(struct adm *adm, int64_t now_us);
 
 /* A request received its first token after it had waited for waited_us. */
-void adm_on_begun(struct adm *adm, const struct adm_limits *limits, int64_t waited_us,
-		  int64_t now_us);
+void adm_on_first_token(struct adm *adm, const struct adm_limits *limits, int64_t waited_us,
+			int64_t now_us);
 
 /*
  * Returns whether the request may be sent to an engine. less_urgent ranges from 0 for a request of
@@ -65,7 +65,7 @@
  * Returns the delay in microseconds after which the caller of a refused request should retry.
  * chance is a random number from 0 to 1 that spreads the retries.
  */
-int64_t adm_back_us(double chance);
+int64_t adm_retry_delay_us(double chance);
 
 G_END_DECLS
 
--- a/adm/adm_test.cc
+++ b/adm/adm_test.cc
@@ -53,7 +53,8 @@
 		if (controlled_ && !adm_admits(&adm_, &queue, &LIMITS, 0, now_)) {
 			refused_++;
 			if (may_retry)
-				retries_.push_back({now_ + adm_back_us(rnd_unit(&seed_)), arrived});
+				retries_.push_back(
+					{now_ + adm_retry_delay_us(rnd_unit(&seed_)), arrived});
 			return;
 		}
 		queue_.push_back({now_, arrived});
@@ -66,7 +67,7 @@
 			auto r = queue_.front();
 			queue_.pop_front();
 			/* Engines notice a disconnection late, so the request uses capacity. */
-			adm_on_begun(&adm_, &LIMITS, now_ - r.at, now_);
+			adm_on_first_token(&adm_, &LIMITS, now_ - r.at, now_);
 			if (now_ - r.at > 2000 * MS)
 				continue;
 			served_++;
@@ -192,15 +193,15 @@
 	adm_init(&a, 100000 * MS);
 	const adm_queue queue = {8, 700 * MS};
 	for (int i = 0; i < 20; i++)
-		adm_on_begun(&a, &LIMITS, 800 * MS, 100900 * MS);
+		adm_on_first_token(&a, &LIMITS, 800 * MS, 100900 * MS);
 	EXPECT_TRUE(adm_admits(&a, &queue, &LIMITS, 0, 100950 * MS));
 	EXPECT_FALSE(a.strict);
 }
 
 TEST(AdmTest, ThoseRefusedComeBackSpread)
 {
-	EXPECT_GE(adm_back_us(0), 1000 * MS);
-	EXPECT_GE(adm_back_us(1) - adm_back_us(0), 2000 * MS);
+	EXPECT_GE(adm_retry_delay_us(0), 1000 * MS);
+	EXPECT_GE(adm_retry_delay_us(1) - adm_retry_delay_us(0), 2000 * MS);
 }
 
 } // namespace
--- a/back/back.c
+++ b/back/back.c
@@ -59,14 +59,14 @@
 	bk->refused++;
 }
 
-int64_t bk_heeded_us(int64_t left_us)
+int64_t bk_max_delay_us(int64_t left_us)
 {
 	return (int64_t)((double)left_us * bk_max_delay_ratio);
 }
 
-int64_t bk_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed)
+int64_t bk_retry_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed)
 {
-	int64_t max_delay_us = bk_heeded_us(left_us);
+	int64_t max_delay_us = bk_max_delay_us(left_us);
 	int64_t spread_end_us = MIN(bk_spread_max_us, max_delay_us);
 
 	bk_apply_decay(bk, now_us);
@@ -77,7 +77,7 @@
 	       (int64_t)((double)(spread_end_us - bk_spread_min_us) * rnd_unit(seed));
 }
 
-int64_t bk_park_us(int64_t deadline_ms)
+int64_t bk_wait_max_us(int64_t deadline_ms)
 {
 	if (deadline_ms < 0)
 		return bk_wait_default_us;
--- a/back/back.h
+++ b/back/back.h
@@ -27,13 +27,13 @@
 void bk_on_refused(struct bk *bk, int64_t now_us);
 
 /* Returns the longest delay that a caller obeys if its deadline is left_us away. */
-int64_t bk_heeded_us(int64_t left_us);
+int64_t bk_max_delay_us(int64_t left_us);
 
 /*
  * Returns the retry delay for a caller whose deadline is left_us away, in microseconds. seed is the
  * state of the random number generator that spreads the delays.
  */
-int64_t bk_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed);
+int64_t bk_retry_delay_us(struct bk *bk, int64_t left_us, int64_t now_us, uint32_t *seed);
 
 /*
  * Returns the time in microseconds for which a request may wait at a host that can't serve it yet,
@@ -42,7 +42,7 @@
  * the store returns. After a restart of all hosts many callers have already used their only retry,
  * and a further retry would reach another starting host.
  */
-int64_t bk_park_us(int64_t deadline_ms);
+int64_t bk_wait_max_us(int64_t deadline_ms);
 
 G_END_DECLS
 
--- a/back/back_test.cc
+++ b/back/back_test.cc
@@ -18,7 +18,7 @@
 	for (int i = 0; i < 10; i++)
 		bk_on_served(&b, i * 100 * MS);
 	bk_on_refused(&b, SEC);
-	EXPECT_EQ(bk_delay_us(&b, 20 * SEC, SEC, &seed), 300 * MS);
+	EXPECT_EQ(bk_retry_delay_us(&b, 20 * SEC, SEC, &seed), 300 * MS);
 }
 
 TEST(BackTest, WithoutRoomCallersAreSpread)
@@ -28,7 +28,7 @@
 	int64_t least = 20 * SEC, most = 0;
 	for (int i = 0; i < 200; i++) {
 		bk_on_refused(&b, i * 10 * MS);
-		int64_t delay = bk_delay_us(&b, 20 * SEC, i * 10 * MS, &seed);
+		int64_t delay = bk_retry_delay_us(&b, 20 * SEC, i * 10 * MS, &seed);
 		least = std::min(least, delay);
 		most = std::max(most, delay);
 	}
@@ -46,7 +46,7 @@
 	for (int i = 0; i < 20; i++)
 		bk_on_refused(&b, 0);
 	for (int64_t left : {300 * MS, 900 * MS, 4 * SEC, 10 * SEC})
-		EXPECT_LE(bk_delay_us(&b, left, 0, &seed), left / 3);
+		EXPECT_LE(bk_retry_delay_us(&b, left, 0, &seed), left / 3);
 }
 
 /*
@@ -86,7 +86,8 @@
 		}
 		bk_on_refused(&b, v.at);
 		if (!v.is_retry) {
-			int64_t wait = spread ? bk_delay_us(&b, 20 * SEC, v.at, &seed) : 400 * MS;
+			int64_t wait =
+				spread ? bk_retry_delay_us(&b, 20 * SEC, v.at, &seed) : 400 * MS;
 			visits.push({v.at + wait, true});
 		}
 	}
@@ -113,7 +114,7 @@
 		int64_t deadline_ms, wait_ms;
 	} cases[] = {{-1, 1000}, {0, 0}, {800, 100}, {4000, 500}, {12000, 1500}, {20000, 1500}};
 	for (const auto &c : cases)
-		EXPECT_EQ(bk_park_us(c.deadline_ms), c.wait_ms * MS) << c.deadline_ms;
+		EXPECT_EQ(bk_wait_max_us(c.deadline_ms), c.wait_ms * MS) << c.deadline_ms;
 }
 
 } // namespace
--- a/bud/bud.c
+++ b/bud/bud.c
@@ -71,7 +71,7 @@
 	bud->requests[bud->slot % BUD_SLOTS]++;
 }
 
-double bud_rate(struct bud *bud, int64_t now_us)
+double bud_request_rate(struct bud *bud, int64_t now_us)
 {
 	int64_t span_us = MIN(now_us - bud->first_us, bud->limits.window_us);
 	double requests = 0;
@@ -84,7 +84,7 @@
 	return requests * 1e6 / (double)MAX(span_us, bud_rate_span_min_us);
 }
 
-double bud_left(struct bud *bud, int64_t now_us)
+double bud_retries_left(struct bud *bud, int64_t now_us)
 {
 	double requests = 0;
 	double repeats = 0;
@@ -99,9 +99,9 @@
 	return MAX(allowed * bud_safety_factor - repeats, 0);
 }
 
-bool bud_take(struct bud *bud, int64_t now_us)
+bool bud_charge_retry(struct bud *bud, int64_t now_us)
 {
-	if (bud_left(bud, now_us) < 1)
+	if (bud_retries_left(bud, now_us) < 1)
 		return false;
 	bud->repeats[bud->slot % BUD_SLOTS]++;
 	return true;
--- a/bud/bud.h
+++ b/bud/bud.h
@@ -60,13 +60,13 @@
 void bud_on_request(struct bud *bud, int64_t now_us);
 
 /* Returns the requests per second over the window or, if shorter, since the first request. */
-double bud_rate(struct bud *bud, int64_t now_us);
+double bud_request_rate(struct bud *bud, int64_t now_us);
 
 /* Returns the number of retries that may be sent now. */
-double bud_left(struct bud *bud, int64_t now_us);
+double bud_retries_left(struct bud *bud, int64_t now_us);
 
 /* Charges one retry to the budget. Returns false if the budget is exhausted. */
-bool bud_take(struct bud *bud, int64_t now_us);
+bool bud_charge_retry(struct bud *bud, int64_t now_us);
 
 G_END_DECLS
 
--- a/bud/bud_test.cc
+++ b/bud/bud_test.cc
@@ -12,7 +12,7 @@
 {
 	int charged = 0;
 	for (int i = 0; i < n; i++)
-		charged += bud_take(b, now);
+		charged += bud_charge_retry(b, now);
 	return charged;
 }
 
@@ -86,11 +86,11 @@
 	bud b;
 	bud_limits limits = {0.2, 0, 10 * SEC, 1, 0};
 	bud_init(&b, &limits);
-	EXPECT_DOUBLE_EQ(bud_rate(&b, SEC), 0);
+	EXPECT_DOUBLE_EQ(bud_request_rate(&b, SEC), 0);
 	for (int i = 0; i < 400; i++)
 		bud_on_request(&b, 5 * SEC + i * SEC / 20);
-	EXPECT_NEAR(bud_rate(&b, 25 * SEC), 20, 1.5);
-	EXPECT_DOUBLE_EQ(bud_rate(&b, 60 * SEC), 0);
+	EXPECT_NEAR(bud_request_rate(&b, 25 * SEC), 20, 1.5);
+	EXPECT_DOUBLE_EQ(bud_request_rate(&b, 60 * SEC), 0);
 }
 
 /*
@@ -111,7 +111,7 @@
 			for (int i = 0; i < per_s; i++) {
 				int64_t now = s * SEC + i * SEC / per_s;
 				bud_on_request(&host_bud, now);
-				repeats[s] += bud_take(&host_bud, now);
+				repeats[s] += bud_charge_retry(&host_bud, now);
 			}
 		}
 	}
--- a/fwd/fwd.c
+++ b/fwd/fwd.c
@@ -35,7 +35,7 @@
 	[FWD_BROKEN] = "broken",
 	[FWD_SILENT] = "silent",
 	[FWD_DEADLINE] = "deadline",
-	[FWD_CALLER_GONE] = "caller_gone",
+	[FWD_CALLER_DISCONNECTED] = "caller_gone",
 	[FWD_BUDGET] = "budget",
 	[FWD_FAILED] = "endpoint_failed",
 	[FWD_CRASHES] = "crashes_endpoints",
@@ -115,7 +115,7 @@
 	g_string_truncate(fwd->body, 0);
 	sse_drop(&fwd->sse);
 	err = fwd->ops->send(fwd->ctx, fwd->sends, fwd->parts > 0 ? fwd->sse.last_id : NULL);
-	if (err == FWD_ECRASHES) {
+	if (err == FWD_EQUARANTINED) {
 		fwd_end_with_cause(fwd, FWD_CRASHES);
 		return;
 	}
@@ -197,22 +197,22 @@
 static int64_t fwd_endpoint_wait_until(const struct fwd *fwd, int err)
 {
 	switch (err) {
-	case FWD_ELIMIT:
+	case FWD_ENOPERMIT:
 		return fwd->rules.limit_us;
-	case FWD_ELIMITED:
+	case FWD_EPERMITQUEUE:
 		return 0;
-	case FWD_ERESTS:
+	case FWD_ERESTING:
 		return fwd->rules.rest_us < fwd->rules.limit_us ? fwd->rules.limit_us : 0;
 	default:
-		return fwd->rules.listing_us;
+		return fwd->rules.list_wait_until_us;
 	}
 }
 
 static enum fwd_cause fwd_cause_of_error(int err)
 {
-	if (err == FWD_ELIMIT || err == FWD_ELIMITED)
+	if (err == FWD_ENOPERMIT || err == FWD_EPERMITQUEUE)
 		return FWD_LIMITED;
-	return err == FWD_ERESTS ? FWD_RESTING : FWD_NO_ENDPOINT;
+	return err == FWD_ERESTING ? FWD_RESTING : FWD_NO_ENDPOINT;
 }
 
 /*
@@ -231,7 +231,7 @@
 	}
 	fwd->state = FWD_WAITING;
 	fwd->resend_us = now_us + FWD_LOOKUP_INTERVAL_US;
-	if (err == FWD_ERESTS)
+	if (err == FWD_ERESTING)
 		fwd->resend_us = MAX(fwd->resend_us, fwd->rules.rest_us);
 	fwd->resend_us = MIN(fwd->resend_us, until_us);
 	fwd_set_timer(fwd);
@@ -239,11 +239,11 @@
 
 static void fwd_send_again(struct fwd *fwd, int64_t now_us)
 {
-	int err = fwd->sends > 0 ? fwd->ops->take_repeat(fwd->ctx) : 0;
+	int err = fwd->sends > 0 ? fwd->ops->charge_retry(fwd->ctx) : 0;
 
 	if (err == FWD_EBUDGET)
 		fwd->failure = FWD_BUDGET;
-	if (err == FWD_ECRASHES)
+	if (err == FWD_EQUARANTINED)
 		fwd_end_with_cause(fwd, FWD_CRASHES);
 	else if (err < 0)
 		fwd_wait_or_end(fwd, now_us);
@@ -265,14 +265,14 @@
 /* Returns whether the answer may be passed to the caller. */
 static bool fwd_is_deliverable(const struct fwd_head *head)
 {
-	return head->ours && !head->encoded && head->sealed;
+	return head->id_matches && !head->encoded && head->sealed;
 }
 
 bool fwd_on_head(struct fwd *fwd, const struct fwd_head *head, int64_t now_us)
 {
 	fwd->head = *head;
 	fwd->last_received_us = now_us;
-	if (!head->ours) {
+	if (!head->id_matches) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return false;
@@ -351,7 +351,7 @@
 	fwd->failure = FWD_FAILED;
 	fwd->runs++;
 	if (may_rerun && fwd_may_send_again(fwd, fwd->runs, now_us) &&
-	    fwd->ops->take_repeat(fwd->ctx) == 0) {
+	    fwd->ops->charge_retry(fwd->ctx) == 0) {
 		fwd_send(fwd, now_us);
 		return;
 	}
@@ -363,7 +363,7 @@
 		fwd_end_unanswered(fwd);
 		return;
 	} else {
-		fwd->ops->answer_whole(fwd->ctx, fwd->body->str, fwd->body->len);
+		fwd->ops->answer_complete(fwd->ctx, fwd->body->str, fwd->body->len);
 	}
 	fwd_end(fwd, FWD_FAILED);
 }
@@ -385,7 +385,7 @@
 	if (fwd->begun)
 		fwd->ops->answer_end(fwd->ctx);
 	else
-		fwd->ops->answer_whole(fwd->ctx, fwd->body->str, fwd->body->len);
+		fwd->ops->answer_complete(fwd->ctx, fwd->body->str, fwd->body->len);
 	fwd_end(fwd, FWD_OK);
 }
 
@@ -416,7 +416,7 @@
 		fwd_on_failure_answer(fwd, now_us);
 }
 
-void fwd_on_sign(struct fwd *fwd, int64_t now_us)
+void fwd_restart_silence(struct fwd *fwd, int64_t now_us)
 {
 	if (fwd->state == FWD_ENDED)
 		return;
@@ -424,7 +424,7 @@
 	fwd_set_timer(fwd);
 }
 
-bool fwd_may_give_up(const struct fwd *fwd, int64_t now_us)
+bool fwd_can_abandon_attempt(const struct fwd *fwd, int64_t now_us)
 {
 	return fwd_may_send_again(fwd, fwd->runs + 1, now_us);
 }
@@ -433,11 +433,11 @@
  * The retry budget is charged before the attempt is cancelled. In the opposite order, a stream that
  * is only slow would be aborted when the budget is exhausted.
  */
-void fwd_give_up_attempt(struct fwd *fwd, int64_t now_us)
+void fwd_abandon_attempt(struct fwd *fwd, int64_t now_us)
 {
 	if (fwd->state != FWD_SENT && fwd->state != FWD_ANSWERING)
 		return;
-	if (!fwd_may_give_up(fwd, now_us) || fwd->ops->take_repeat(fwd->ctx) < 0) {
+	if (!fwd_can_abandon_attempt(fwd, now_us) || fwd->ops->charge_retry(fwd->ctx) < 0) {
 		fwd_set_timer(fwd);
 		return;
 	}
@@ -462,16 +462,16 @@
 		fwd_cancel_and_end(fwd, FWD_CRASHES);
 }
 
-void fwd_on_caller_gone(struct fwd *fwd)
+void fwd_on_caller_disconnected(struct fwd *fwd)
 {
 	if (fwd->state == FWD_ENDED)
 		return;
 	fwd->ops->cancel(fwd->ctx);
 	fwd->ops->answer_abort(fwd->ctx);
-	fwd_end(fwd, FWD_CALLER_GONE);
+	fwd_end(fwd, FWD_CALLER_DISCONNECTED);
 }
 
-void fwd_on_time(struct fwd *fwd, int64_t now_us)
+void fwd_on_timer(struct fwd *fwd, int64_t now_us)
 {
 	int64_t silence = fwd->parts > 0 ? fwd->rules.gap_us : fwd->rules.first_us;
 
@@ -496,5 +496,5 @@
 	if (fwd->ops->on_silent(fwd->ctx))
 		fwd_set_timer(fwd);
 	else
-		fwd_give_up_attempt(fwd, now_us);
+		fwd_abandon_attempt(fwd, now_us);
 }
--- a/fwd/fwd.h
+++ b/fwd/fwd.h
@@ -13,8 +13,8 @@
  * State machine that forwards one request to endpoints and returns the answer to the caller. It
  * decides when the request is sent again and when and how it ends. It does no I/O: the owner passes
  * in events and the current time, and the state machine acts through the callbacks in struct
- * fwd_ops. Every request ends with exactly one of answer_whole(), answer_end(), answer_abort() and
- * refuse().
+ * fwd_ops. Every request ends with exactly one of answer_complete(), answer_end(), answer_abort()
+ * and refuse().
  *
  *   waiting --send--> sent --head--> answering --end--> ended
  *      ^                |                |
@@ -26,20 +26,20 @@
  * endpoint is refused immediately.
  */
 
-/* Error codes of the callbacks send() and take_repeat(). */
+/* Error codes of the callbacks send() and charge_retry(). */
 enum fwd_err {
 	/* No usable endpoint exists at present. */
 	FWD_ENOENDPOINT = -900,
 	/* The retry budget is exhausted. */
 	FWD_EBUDGET = -901,
 	/* Endpoints crashed while they ran this request; it must not be sent to another one. */
-	FWD_ECRASHES = -902,
+	FWD_EQUARANTINED = -902,
 	/* The limits of all endpoints are reached; one may accept the request shortly. */
-	FWD_ELIMIT = -903,
-	/* As FWD_ELIMIT, but too many requests wait already, so this one must not wait. */
-	FWD_ELIMITED = -904,
+	FWD_ENOPERMIT = -903,
+	/* As FWD_ENOPERMIT, but too many requests wait already, so this one must not wait. */
+	FWD_EPERMITQUEUE = -904,
 	/* All endpoints for the request asked this host to send nothing for some time (a rest). */
-	FWD_ERESTS = -905
+	FWD_ERESTING = -905
 };
 
 /* Reason why a request ended. fwd_cause_name() returns the text for the log. */
@@ -59,7 +59,7 @@
 	/* The deadline of the caller or of the route passed. */
 	FWD_DEADLINE,
 	/* The caller disconnected. */
-	FWD_CALLER_GONE,
+	FWD_CALLER_DISCONNECTED,
 	/* The request could have been sent again, but the retry budget was exhausted. */
 	FWD_BUDGET,
 	/* An endpoint answered with an error status, which was passed to the caller. */
@@ -91,10 +91,10 @@
 	/* Silence allowed between two events; 0 if unlimited. */
 	int64_t gap_us;
 	/* Time until which the request waits if no endpoint for it is listed. */
-	int64_t listing_us;
+	int64_t list_wait_until_us;
 	/* Time until which the request waits if limits or rests exclude all endpoints. */
 	int64_t limit_us;
-	/* Time at which the first endpoint may be used again; valid after FWD_ERESTS. */
+	/* Time at which the first endpoint may be used again; valid after FWD_ERESTING. */
 	int64_t rest_us;
 };
 
@@ -107,7 +107,7 @@
 	/* Whether the answer bears the endpoint's seal, which proves its origin. */
 	bool sealed;
 	/* Whether the answer bears the id of this request. */
-	bool ours;
+	bool id_matches;
 	/* Whether the body has a content encoding and so isn't the original body. */
 	bool encoded;
 };
@@ -121,7 +121,7 @@
 	int (*send)(void *ctx, int attempt, const char *resume_after);
 
 	/* Charges one more attempt to the retry budget. Returns 0 or a negative FWD_E code. */
-	int (*take_repeat)(void *ctx);
+	int (*charge_retry)(void *ctx);
 
 	/* Cancels the current attempt; fwd_on_done() must not be called for it. */
 	void (*cancel)(void *ctx);
@@ -140,7 +140,7 @@
 	bool (*on_silent)(void *ctx);
 
 	/* Sends the complete body of the endpoint's answer to the caller, unchanged. */
-	void (*answer_whole)(void *ctx, const char *body, size_t len);
+	void (*answer_complete)(void *ctx, const char *body, size_t len);
 
 	/* Send the endpoint's answer to the caller in parts. */
 	void (*answer_begin)(void *ctx);
@@ -156,7 +156,7 @@
 	 */
 	void (*refuse)(void *ctx, int status, bool not_run);
 
-	/* Schedules a call of fwd_on_time() at due_us; replaces the previous schedule. */
+	/* Schedules a call of fwd_on_timer() at due_us; replaces the previous schedule. */
 	void (*set_timer)(void *ctx, int64_t due_us);
 
 	/* The request has ended. No callback is called after this one. */
@@ -232,13 +232,13 @@
  * Returns whether the request could be sent again if the current attempt, which may run, is
  * abandoned.
  */
-bool fwd_may_give_up(const struct fwd *fwd, int64_t now_us);
+bool fwd_can_abandon_attempt(const struct fwd *fwd, int64_t now_us);
 
 /* Restarts the allowed silence, after a sign of progress other than data of the answer. */
-void fwd_on_sign(struct fwd *fwd, int64_t now_us);
+void fwd_restart_silence(struct fwd *fwd, int64_t now_us);
 
 /* Abandons the current attempt and sends the request again, if possible; else does nothing. */
-void fwd_give_up_attempt(struct fwd *fwd, int64_t now_us);
+void fwd_abandon_attempt(struct fwd *fwd, int64_t now_us);
 
 /*
  * Ends the request because it was put in quarantine. An attempt that is still queued would crash
@@ -248,10 +248,10 @@
 void fwd_on_quarantine(struct fwd *fwd);
 
 /* The caller disconnected. */
-void fwd_on_caller_gone(struct fwd *fwd);
+void fwd_on_caller_disconnected(struct fwd *fwd);
 
 /* The timer set by set_timer() expired. */
-void fwd_on_time(struct fwd *fwd, int64_t now_us);
+void fwd_on_timer(struct fwd *fwd, int64_t now_us);
 
 G_END_DECLS
 
--- a/fwd/fwd_test.cc
+++ b/fwd/fwd_test.cc
@@ -26,7 +26,7 @@
 		rules.deadline_us = 10000 * MS;
 		rules.first_us = 300 * MS;
 		rules.gap_us = 100 * MS;
-		rules.listing_us = listing_us_;
+		rules.list_wait_until_us = listing_us_;
 		rules.limit_us = limit_us_;
 		rules.rest_us = rest_us_;
 		fwd_init(&fwd_, &rules, &ops_, this);
@@ -38,10 +38,10 @@
 		if (started_)
 			fwd_finish(&fwd_);
 	}
-	void Head(int status, bool sealed = true, bool ours = true, bool not_run = false,
+	void Head(int status, bool sealed = true, bool id_matches = true, bool not_run = false,
 		  bool encoded = false)
 	{
-		fwd_head head{status, not_run, sealed, ours, encoded};
+		fwd_head head{status, not_run, sealed, id_matches, encoded};
 		fwd_on_head(&fwd_, &head, now_);
 	}
 	void Data(const std::string &data)
@@ -55,7 +55,7 @@
 	void Wait(int64_t us)
 	{
 		now_ += us;
-		fwd_on_time(&fwd_, now_);
+		fwd_on_timer(&fwd_, now_);
 	}
 	std::string Actions()
 	{
@@ -424,7 +424,7 @@
 {
 	Start(true, true);
 	Head(200);
-	fwd_on_caller_gone(&fwd_);
+	fwd_on_caller_disconnected(&fwd_);
 	EXPECT_EQ(Actions(), "send cancel abort caller_gone");
 	Done(false);
 	Wait(20000 * MS);
@@ -464,7 +464,7 @@
 				break;
 			default:
 				if (draw(10) == 0)
-					fwd_on_caller_gone(&fwd_);
+					fwd_on_caller_disconnected(&fwd_);
 			}
 		}
 		Wait(30000 * MS);
@@ -604,10 +604,10 @@
 		int64_t available_us, limit_us;
 		const char *actions;
 	} cases[] = {
-		{"one comes", FWD_ELIMIT, 100 * MS, 300 * MS, "send"},
-		{"none comes", FWD_ELIMIT, 9000 * MS, 300 * MS, "refuse503! limited"},
-		{"others wait", FWD_ELIMITED, 100 * MS, 300 * MS, "refuse503! limited"},
-		{"no time", FWD_ELIMIT, 100 * MS, 0, "refuse503! limited"},
+		{"one comes", FWD_ENOPERMIT, 100 * MS, 300 * MS, "send"},
+		{"none comes", FWD_ENOPERMIT, 9000 * MS, 300 * MS, "refuse503! limited"},
+		{"others wait", FWD_EPERMITQUEUE, 100 * MS, 300 * MS, "refuse503! limited"},
+		{"no time", FWD_ENOPERMIT, 100 * MS, 0, "refuse503! limited"},
 	};
 	for (const auto &c : cases) {
 		now_ = 1000 * MS;
@@ -616,7 +616,7 @@
 		send_error_ = c.err;
 		repeat_error_ = FWD_EBUDGET; /* A wait must not charge the budget. */
 		Start(false, false);
-		EXPECT_EQ(fwd_.state == FWD_WAITING, c.err == FWD_ELIMIT && c.limit_us > 0)
+		EXPECT_EQ(fwd_.state == FWD_WAITING, c.err == FWD_ENOPERMIT && c.limit_us > 0)
 			<< c.name;
 		for (int lookups = 0; fwd_.state == FWD_WAITING && lookups < 100; lookups++) {
 			if (now_ >= 1000 * MS + c.available_us)
@@ -652,7 +652,7 @@
 		now_ = 1000 * MS;
 		limit_us_ = now_ + c.limit_us;
 		rest_us_ = now_ + c.ends_us;
-		send_error_ = FWD_ERESTS;
+		send_error_ = FWD_ERESTING;
 		Start(false, false);
 		for (int lookups = 0; fwd_.state == FWD_WAITING && lookups < 100; lookups++) {
 			if (!follows)
@@ -742,7 +742,7 @@
 		if (parts)
 			Data("id: 1\n\n");
 		Actions();
-		repeat_error_ = FWD_ECRASHES;
+		repeat_error_ = FWD_EQUARANTINED;
 		Done(false);
 		EXPECT_EQ(Actions(),
 			  parts ? "abort crashes_endpoints" : "refuse502? crashes_endpoints");
@@ -755,7 +755,7 @@
 /* The request is refused while it looks for an endpoint, so it was not sent to any. */
 TEST_F(FwdTest, WhatIsRefusedBeforeItIsSentHasNotRun)
 {
-	send_error_ = FWD_ECRASHES;
+	send_error_ = FWD_EQUARANTINED;
 	Start(true, true);
 	EXPECT_EQ(Actions(), "refuse503! crashes_endpoints");
 }
--- a/lim/fair.c
+++ b/lim/fair.c
@@ -45,7 +45,7 @@
 	return usage->permits_used * exp2(-age_s / lim_usage_half_life_s);
 }
 
-bool lim_fair_may_take(const struct lim_fair *fair, const char *account, int64_t now_us)
+bool lim_fair_may_use_permit(const struct lim_fair *fair, const char *account, int64_t now_us)
 {
 	const struct lim_usage *own = g_hash_table_lookup(fair->accounts, account);
 	double permits_used = own ? lim_current_usage(own, now_us) : 0;
@@ -65,7 +65,7 @@
 	return true;
 }
 
-void lim_fair_took(struct lim_fair *fair, const char *account, int64_t now_us)
+void lim_fair_count_permit(struct lim_fair *fair, const char *account, int64_t now_us)
 {
 	struct lim_usage *usage = lim_fair_find_or_add(fair, account);
 
@@ -74,7 +74,7 @@
 	usage->shortage_us = 0;
 }
 
-void lim_fair_lacked(struct lim_fair *fair, const char *account, int64_t now_us)
+void lim_fair_count_shortage(struct lim_fair *fair, const char *account, int64_t now_us)
 {
 	lim_fair_find_or_add(fair, account)->shortage_us = now_us;
 }
--- a/lim/fair.h
+++ b/lim/fair.h
@@ -21,13 +21,13 @@
 void lim_fair_finish(struct lim_fair *fair);
 
 /* Returns whether the account may use a permit now. */
-bool lim_fair_may_take(const struct lim_fair *fair, const char *account, int64_t now_us);
+bool lim_fair_may_use_permit(const struct lim_fair *fair, const char *account, int64_t now_us);
 
 /* Counts a permit that the account used. */
-void lim_fair_took(struct lim_fair *fair, const char *account, int64_t now_us);
+void lim_fair_count_permit(struct lim_fair *fair, const char *account, int64_t now_us);
 
 /* Records that a request of the account found no endpoint with a permit. */
-void lim_fair_lacked(struct lim_fair *fair, const char *account, int64_t now_us);
+void lim_fair_count_shortage(struct lim_fair *fair, const char *account, int64_t now_us);
 
 G_END_DECLS
 
--- a/lim/home.c
+++ b/lim/home.c
@@ -57,17 +57,17 @@
 /* Adds the permits that the limit has allowed since the last update. */
 static void lim_home_accrue(struct lim_home *home, double part, int64_t now_us)
 {
-	double rate = lim_rate(&home->news, now_us) * part;
+	double rate = lim_current_rate(&home->news, now_us) * part;
 
 	home->saved += rate * (double)MAX(now_us - home->updated_us, 0) / 1e6;
 	home->saved = MIN(home->saved, lim_home_saved_max(rate));
 	home->updated_us = now_us;
 }
 
-void lim_home_set(struct lim_home *home, const struct lim_news *notice, int64_t now_us)
+void lim_home_set_limit(struct lim_home *home, const struct lim_notice *notice, int64_t now_us)
 {
 	home->news = *notice;
-	home->saved = MIN(home->saved, lim_home_saved_max(lim_rate(notice, now_us)));
+	home->saved = MIN(home->saved, lim_home_saved_max(lim_current_rate(notice, now_us)));
 }
 
 static double lim_demand_now(const struct lim_demand *demand, int64_t now_us)
@@ -77,12 +77,13 @@
 	return demand->wanted * exp2(-age_s / lim_demand_half_life_s);
 }
 
-void lim_home_ask(struct lim_home *home, const char *host, int wanted, int returned, int64_t now_us)
+void lim_home_report_demand(struct lim_home *home, const char *host, int wanted, int returned,
+			    int64_t now_us)
 {
 	struct lim_demand *demand = g_hash_table_lookup(home->demands, host);
 
-	home->saved =
-		MIN(home->saved + returned, lim_home_saved_max(lim_rate(&home->news, now_us)));
+	home->saved = MIN(home->saved + returned,
+			  lim_home_saved_max(lim_current_rate(&home->news, now_us)));
 	if (!demand && wanted <= 0)
 		return;
 	if (!demand) {
@@ -95,7 +96,7 @@
 	demand->updated_us = now_us;
 }
 
-void lim_home_leave(struct lim_home *home, const char *host)
+void lim_home_remove_host(struct lim_home *home, const char *host)
 {
 	g_hash_table_remove(home->demands, host);
 }
@@ -126,7 +127,7 @@
 	return first;
 }
 
-const char *lim_home_next(struct lim_home *home, double part, int64_t now_us)
+const char *lim_home_grant_next(struct lim_home *home, double part, int64_t now_us)
 {
 	struct lim_demand *demand;
 	const char *host = NULL;
@@ -145,9 +146,9 @@
 	return host;
 }
 
-int64_t lim_home_wait_us(const struct lim_home *home, double part, int64_t now_us)
+int64_t lim_home_grant_delay_us(const struct lim_home *home, double part, int64_t now_us)
 {
-	double rate = lim_rate(&home->news, now_us) * part;
+	double rate = lim_current_rate(&home->news, now_us) * part;
 	double missing = 1 - home->saved;
 
 	if (g_hash_table_size(home->demands) == 0)
--- a/lim/home.h
+++ b/lim/home.h
@@ -1,7 +1,7 @@
 #ifndef LIM_HOME_H
 #define LIM_HOME_H
 
-#include "lim/part.h"
+#include "lim/permits.h"
 
 G_BEGIN_DECLS
 
@@ -16,7 +16,7 @@
  * half a second, or one permit.
  */
 struct lim_home {
-	struct lim_news news;
+	struct lim_notice news;
 	/* Number of permits that may be granted now, including fractions. */
 	double saved;
 	/* Time up to which permits are accrued, in microseconds. */
@@ -31,26 +31,26 @@
 void lim_home_finish(struct lim_home *home);
 
 /* Changes the limit. Saved permits in excess of the new limit's maximum are dropped. */
-void lim_home_set(struct lim_home *home, const struct lim_news *notice, int64_t now_us);
+void lim_home_set_limit(struct lim_home *home, const struct lim_notice *notice, int64_t now_us);
 
 /*
  * Records the demand of a host. wanted is the number of requests that it would have sent to the
  * endpoint since its last call, returned the number of permits that it returns unused.
  */
-void lim_home_ask(struct lim_home *home, const char *host, int wanted, int returned,
-		  int64_t now_us);
+void lim_home_report_demand(struct lim_home *home, const char *host, int wanted, int returned,
+			    int64_t now_us);
 
 /* Removes a host that has ended or uses another home. */
-void lim_home_leave(struct lim_home *home, const char *host);
+void lim_home_remove_host(struct lim_home *home, const char *host);
 
 /*
  * Grants one permit. Returns the host that receives it, or NULL if no permit is available or no
  * host needs one. part is the part of the limit that this home may divide, from 0 to 1.
  */
-const char *lim_home_next(struct lim_home *home, double part, int64_t now_us);
+const char *lim_home_grant_next(struct lim_home *home, double part, int64_t now_us);
 
 /* Returns the time in microseconds until the next permit may be available; -1 without demand. */
-int64_t lim_home_wait_us(const struct lim_home *home, double part, int64_t now_us);
+int64_t lim_home_grant_delay_us(const struct lim_home *home, double part, int64_t now_us);
 
 G_END_DECLS
 
--- a/lim/lim_sim_test.cc
+++ b/lim/lim_sim_test.cc
@@ -1,7 +1,7 @@
 #include "base/rnd.h"
 #include "lim/home.h"
 #include "lim/members.h"
-#include "lim/part.h"
+#include "lim/permits.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -62,7 +62,7 @@
 };
 
 struct Host {
-	lim_part part;
+	lim_permits part;
 	int64_t last_request = 0; /* Time of the last request for permits. */
 	/* Arrival times of the last messages, since a connection keeps their order. */
 	int64_t last_sent = 0;
@@ -87,24 +87,24 @@
 	Simulation(Method method, const Scenario &scenario, uint32_t seed)
 		: method_(method), scenario_(scenario), seed_(seed)
 	{
-		const lim_news news = {true, scenario.limit, 1};
+		const lim_notice news = {true, scenario.limit, 1};
 
 		lim_home_init(&home_, 0);
-		lim_home_set(&home_, &news, 0);
+		lim_home_set_limit(&home_, &news, 0);
 		lim_members_init(&members_);
 		hosts_.resize((size_t)scenario.hosts);
 		GPtrArray *names = g_ptr_array_new();
 		for (int i = 0; i < scenario.hosts; i++) {
 			names_.push_back("host-" + std::to_string(i));
 			number_[names_.back()] = i;
-			memset(&hosts_[(size_t)i].part, 0, sizeof(lim_part));
-			lim_part_hear(&hosts_[(size_t)i].part, &news);
+			memset(&hosts_[(size_t)i].part, 0, sizeof(lim_permits));
+			lim_permits_update_limit(&hosts_[(size_t)i].part, &news);
 			/* Hosts must not save their first request all at the same time. */
 			hosts_[(size_t)i].saved = rnd_unit(&seed_);
 		}
 		for (auto &name : names_)
 			g_ptr_array_add(names, (gpointer)name.c_str());
-		lim_members_list(&members_, names, 0);
+		lim_members_set_hosts(&members_, names, 0);
 		g_ptr_array_unref(names);
 	}
 	~Simulation()
@@ -159,8 +159,8 @@
 		At(i).part.permits = At(i).part.returned = At(i).part.wanted = 0;
 		At(i).waiting.clear();
 		At(i).known_home_time = 0;
-		lim_home_leave(&home_, names_[(size_t)i].c_str());
-		lim_members_left(&members_, names_[(size_t)i].c_str());
+		lim_home_remove_host(&home_, names_[(size_t)i].c_str());
+		lim_members_end_lease(&members_, names_[(size_t)i].c_str());
 	}
 	void Deliver()
 	{
@@ -192,8 +192,8 @@
 			return;
 		}
 		if (m.stamp > 0)
-			lim_members_heard(&members_, name, m.stamp);
-		lim_home_ask(&home_, name, m.wanted, m.returned, now_);
+			lim_members_renew_lease(&members_, name, m.stamp);
+		lim_home_report_demand(&home_, name, m.wanted, m.returned, now_);
 		last_requests_[m.host] = m.at;
 		Send({0, m.host, false, 0, 0, 0, now_, 0}, At(m.host).last_received);
 	}
@@ -201,7 +201,8 @@
 	{
 		const char *name;
 
-		while ((name = lim_home_next(&home_, lim_members_part(&members_, now_), now_)))
+		while ((name = lim_home_grant_next(&home_, lim_members_limit_ratio(&members_, now_),
+						   now_)))
 			Send({0, number_[name], false, 0, 0, 1, now_, 0},
 			     At(number_[name]).last_received);
 	}
@@ -216,14 +217,14 @@
 		}
 		host.known_home_time = std::max(host.known_home_time, m.stamp);
 		if (m.permits > 0)
-			lim_part_grant(&host.part, m.permits, host.last_request, now_);
+			lim_permits_add(&host.part, m.permits, host.last_request, now_);
 	}
 	bool UsePermit(Host &host)
 	{
 		if (method_ == PERMITS) {
-			if (!lim_part_is_open(&host.part, now_))
+			if (!lim_permits_may_send(&host.part, now_))
 				return false;
-			lim_part_take(&host.part, now_);
+			lim_permits_use(&host.part, now_);
 		} else {
 			if (host.saved < 1)
 				return false;
@@ -268,7 +269,7 @@
 			Send({0, i, true, (int)(host.demand * 100), 0, 0, 0, 0}, host.last_sent);
 			return;
 		}
-		lim_part_is_open(&host.part, now_);
+		lim_permits_may_send(&host.part, now_);
 		bool due = host.part.wanted > 0 || host.part.returned > 0;
 		if (now_ - host.last_request < (due ? REQUEST_INTERVAL_MIN : SECOND))
 			return;
--- a/lim/lim_test.cc
+++ b/lim/lim_test.cc
@@ -1,8 +1,8 @@
 #include "lim/fair.h"
 #include "lim/home.h"
 #include "lim/members.h"
-#include "lim/part.h"
-#include "lim/turn.h"
+#include "lim/permits.h"
+#include "lim/retry.h"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -19,7 +19,7 @@
 {
 	const struct {
 		const char *name;
-		lim_news before, news;
+		lim_notice before, news;
 		bool is_news, named;
 		double rate;
 	} cases[] = {
@@ -36,9 +36,9 @@
 		{"zero", {true, 3, 10}, {true, 0, 20}, true, true, 0},
 	};
 	for (const auto &c : cases) {
-		lim_part part{};
+		lim_permits part{};
 		part.news = c.before;
-		EXPECT_EQ(lim_part_hear(&part, &c.news), c.is_news) << c.name;
+		EXPECT_EQ(lim_permits_update_limit(&part, &c.news), c.is_news) << c.name;
 		EXPECT_EQ(part.news.named, c.named) << c.name;
 		EXPECT_DOUBLE_EQ(part.news.rate, c.rate) << c.name;
 	}
@@ -46,56 +46,56 @@
 
 TEST(LimPartTest, NobodyIsSentToWithoutAPermit)
 {
-	const lim_news news = {true, 2.9, SECOND};
-	lim_part part{};
+	const lim_notice news = {true, 2.9, SECOND};
+	lim_permits part{};
 	int64_t now = SECOND;
 
-	EXPECT_TRUE(lim_part_is_open(&part, now));
-	lim_part_hear(&part, &news);
-	EXPECT_FALSE(lim_part_is_open(&part, now));
-	lim_part_grant(&part, 1, now, now);
-	EXPECT_TRUE(lim_part_is_open(&part, now));
-	lim_part_take(&part, now);
-	EXPECT_FALSE(lim_part_is_open(&part, now));
+	EXPECT_TRUE(lim_permits_may_send(&part, now));
+	lim_permits_update_limit(&part, &news);
+	EXPECT_FALSE(lim_permits_may_send(&part, now));
+	lim_permits_add(&part, 1, now, now);
+	EXPECT_TRUE(lim_permits_may_send(&part, now));
+	lim_permits_use(&part, now);
+	EXPECT_FALSE(lim_permits_may_send(&part, now));
 	EXPECT_EQ(part.returned, 0);
 }
 
 TEST(LimPartTest, PermitsBecomeVoidAndAreGivenBack)
 {
-	const lim_news news = {true, 2.9, 1};
-	lim_part part{};
+	const lim_notice news = {true, 2.9, 1};
+	lim_permits part{};
 	int64_t now = SECOND;
 
-	lim_part_hear(&part, &news);
-	lim_part_grant(&part, 2, now, now);
-	EXPECT_FALSE(lim_part_is_open(&part, now + 500 * MS));
+	lim_permits_update_limit(&part, &news);
+	lim_permits_add(&part, 2, now, now);
+	EXPECT_FALSE(lim_permits_may_send(&part, now + 500 * MS));
 	EXPECT_EQ(part.returned, 2);
 	/* Repeated grants must not extend the validity of older permits without bound. */
 	for (int i = 0; i < 5; i++)
-		lim_part_grant(&part, 1, now + i * 300 * MS, now + i * 300 * MS);
+		lim_permits_add(&part, 1, now + i * 300 * MS, now + i * 300 * MS);
 	EXPECT_LE(part.permits, 4);
 	EXPECT_GE(part.returned, 3);
 	/* A permit that arrives after seconds is counted as expired. */
 	int returned = part.returned;
-	lim_part_is_open(&part, now + 10 * SECOND);
-	lim_part_grant(&part, 1, now, now + 10 * SECOND);
-	EXPECT_FALSE(lim_part_is_open(&part, now + 10 * SECOND));
+	lim_permits_may_send(&part, now + 10 * SECOND);
+	lim_permits_add(&part, 1, now, now + 10 * SECOND);
+	EXPECT_FALSE(lim_permits_may_send(&part, now + 10 * SECOND));
 	EXPECT_GT(part.returned, returned);
 }
 
 TEST(LimPartTest, ALimitThatIsLiftedGrowsBeforeItIsForgotten)
 {
-	const lim_news named = {true, 2, SECOND};
-	const lim_news lifted = {false, 0, 2 * SECOND};
-	lim_part part{};
-
-	lim_part_hear(&part, &named);
-	lim_part_hear(&part, &lifted);
-	EXPECT_FALSE(lim_part_is_open(&part, 2 * SECOND));
-	EXPECT_DOUBLE_EQ(lim_rate(&part.news, 2 * SECOND), 2);
-	EXPECT_DOUBLE_EQ(lim_rate(&part.news, 3 * SECOND), 8);
-	EXPECT_FALSE(lim_part_is_open(&part, 5 * SECOND));
-	EXPECT_TRUE(lim_part_is_open(&part, 6 * SECOND));
+	const lim_notice named = {true, 2, SECOND};
+	const lim_notice lifted = {false, 0, 2 * SECOND};
+	lim_permits part{};
+
+	lim_permits_update_limit(&part, &named);
+	lim_permits_update_limit(&part, &lifted);
+	EXPECT_FALSE(lim_permits_may_send(&part, 2 * SECOND));
+	EXPECT_DOUBLE_EQ(lim_current_rate(&part.news, 2 * SECOND), 2);
+	EXPECT_DOUBLE_EQ(lim_current_rate(&part.news, 3 * SECOND), 8);
+	EXPECT_FALSE(lim_permits_may_send(&part, 5 * SECOND));
+	EXPECT_TRUE(lim_permits_may_send(&part, 6 * SECOND));
 }
 
 /*
@@ -112,9 +112,10 @@
 
 		if ((now - from) % (100 * MS) == 0) {
 			for (const auto &demand : demands)
-				lim_home_ask(home, demand.first.c_str(), demand.second, 0, now);
+				lim_home_report_demand(home, demand.first.c_str(), demand.second, 0,
+						       now);
 		}
-		while ((host = lim_home_next(home, part, now)))
+		while ((host = lim_home_grant_next(home, part, now)))
 			granted[host]++;
 	}
 	return granted;
@@ -139,11 +140,11 @@
 		{40, 1, 3900, 4020}, {2.9, 0, 0, 1},
 	};
 	for (const auto &c : cases) {
-		const lim_news news = {true, c.rate, 1};
+		const lim_notice news = {true, c.rate, 1};
 		lim_home home;
 
 		lim_home_init(&home, 0);
-		lim_home_set(&home, &news, 0);
+		lim_home_set_limit(&home, &news, 0);
 		int granted = Sum(GrantAll(&home, 0, 100 * SECOND, c.part, {{"a", 10}, {"b", 10}}));
 		EXPECT_GE(granted, c.least) << c.rate << " " << c.part;
 		EXPECT_LE(granted, c.most) << c.rate << " " << c.part;
@@ -153,11 +154,11 @@
 
 TEST(LimHomeTest, HostsGetByNeed)
 {
-	const lim_news news = {true, 12, 1};
+	const lim_notice news = {true, 12, 1};
 	lim_home home;
 
 	lim_home_init(&home, 0);
-	lim_home_set(&home, &news, 0);
+	lim_home_set_limit(&home, &news, 0);
 	auto granted = GrantAll(&home, 0, 60 * SECOND, 1, {{"a", 20}, {"b", 10}, {"c", 0}});
 	EXPECT_EQ(granted["c"], 0);
 	EXPECT_NEAR((double)granted["a"] / granted["b"], 2, 0.2);
@@ -171,33 +172,33 @@
 
 TEST(LimHomeTest, NothingIsSavedUpForLong)
 {
-	const lim_news high = {true, 40, 1};
-	const lim_news low = {true, 2, 2};
+	const lim_notice high = {true, 40, 1};
+	const lim_notice low = {true, 2, 2};
 	lim_home home;
 
 	lim_home_init(&home, 0);
-	lim_home_set(&home, &high, 0);
+	lim_home_set_limit(&home, &high, 0);
 	EXPECT_LE(Sum(GrantAll(&home, 60 * SECOND, 60 * SECOND + 10 * MS, 1, {{"a", 100}})), 20);
 	/* A lower limit applies immediately: permits saved at the higher limit are dropped. */
 	GrantAll(&home, 70 * SECOND, 70 * SECOND + 10 * MS);
-	lim_home_set(&home, &low, 80 * SECOND);
+	lim_home_set_limit(&home, &low, 80 * SECOND);
 	EXPECT_LE(Sum(GrantAll(&home, 80 * SECOND, 81 * SECOND, 1, {{"a", 100}})), 3);
 	lim_home_finish(&home);
 }
 
 TEST(LimHomeTest, WhatHostsGiveBackIsGivenAgain)
 {
-	const lim_news news = {true, 1, 1};
+	const lim_notice news = {true, 1, 1};
 	lim_home home;
 	int granted = 0;
 
 	lim_home_init(&home, 0);
-	lim_home_set(&home, &news, 0);
+	lim_home_set_limit(&home, &news, 0);
 	for (int64_t now = 0; now < 10 * SECOND; now += 100 * MS) {
-		lim_home_ask(&home, "a", 1, 0, now);
-		while (lim_home_next(&home, 1, now)) {
+		lim_home_report_demand(&home, "a", 1, 0, now);
+		while (lim_home_grant_next(&home, 1, now)) {
 			granted++;
-			lim_home_ask(&home, "a", 0, granted % 2, now);
+			lim_home_report_demand(&home, "a", 0, granted % 2, now);
 		}
 	}
 	EXPECT_GE(granted, 18);
@@ -228,17 +229,18 @@
 
 		for (auto &name : names_)
 			g_ptr_array_add(names, (gpointer)name.c_str());
-		lim_members_list(members, names, now);
+		lim_members_set_hosts(members, names, now);
 		g_ptr_array_unref(names);
 	}
 	void Renew(int home, int from, int to, int64_t now)
 	{
 		for (int i = from; i < to; i++)
-			lim_members_heard(&members_[(size_t)home], names_[(size_t)i].c_str(), now);
+			lim_members_renew_lease(&members_[(size_t)home], names_[(size_t)i].c_str(),
+						now);
 	}
 	double Part(int home, int64_t now)
 	{
-		return lim_members_part(&members_[(size_t)home], now);
+		return lim_members_limit_ratio(&members_[(size_t)home], now);
 	}
 
 	std::vector<std::string> names_;
@@ -298,8 +300,8 @@
 	lim_members members;
 
 	lim_members_init(&members);
-	lim_members_heard(&members, "host-0", SECOND);
-	EXPECT_EQ(lim_members_part(&members, SECOND), 0);
+	lim_members_renew_lease(&members, "host-0", SECOND);
+	EXPECT_EQ(lim_members_limit_ratio(&members, SECOND), 0);
 	lim_members_finish(&members);
 }
 
@@ -322,14 +324,15 @@
 	int64_t now = SECOND;
 
 	lim_fair_init(&fair);
-	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now));
+	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now));
 	for (int i = 0; i < 5; i++)
-		lim_fair_took(&fair, "flood", now);
-	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now)) << "no one else needs one";
-	lim_fair_lacked(&fair, "small", now);
-	EXPECT_FALSE(lim_fair_may_take(&fair, "flood", now));
-	EXPECT_TRUE(lim_fair_may_take(&fair, "small", now));
-	EXPECT_TRUE(lim_fair_may_take(&fair, "flood", now + SECOND)) << "the other one is gone";
+		lim_fair_count_permit(&fair, "flood", now);
+	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now)) << "no one else needs one";
+	lim_fair_count_shortage(&fair, "small", now);
+	EXPECT_FALSE(lim_fair_may_use_permit(&fair, "flood", now));
+	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "small", now));
+	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now + SECOND))
+		<< "the other one is gone";
 	lim_fair_finish(&fair);
 }
 
@@ -346,12 +349,12 @@
 		for (const char *account : {"flood", "small", "other"}) {
 			if (account[0] != 'f' && now % (200 * MS) != 0)
 				continue;
-			if (permit && lim_fair_may_take(&fair, account, now)) {
-				lim_fair_took(&fair, account, now);
+			if (permit && lim_fair_may_use_permit(&fair, account, now)) {
+				lim_fair_count_permit(&fair, account, now);
 				got[account]++;
 				permit = false;
 			} else {
-				lim_fair_lacked(&fair, account, now);
+				lim_fair_count_shortage(&fair, account, now);
 			}
 		}
 	}
@@ -362,16 +365,16 @@
 
 TEST(LimTurnTest, CallersAreToldTurnsAsFarApartAsTheLimitsAllow)
 {
-	lim_turn turn{};
+	lim_retry turn{};
 	const int64_t now = 10 * SECOND;
 
-	EXPECT_EQ(lim_turn_wait_us(&turn, 2, 6 * SECOND, now), 500 * MS);
-	EXPECT_EQ(lim_turn_wait_us(&turn, 2, 6 * SECOND, now), SECOND);
-	EXPECT_EQ(lim_turn_wait_us(&turn, 2, 6 * SECOND, now), 1500 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 500 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), SECOND);
+	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 1500 * MS);
 	for (int i = 0; i < 100; i++)
-		EXPECT_LE(lim_turn_wait_us(&turn, 2, 6 * SECOND, now), 6 * SECOND);
-	EXPECT_EQ(lim_turn_wait_us(&turn, 2, 450 * MS, now + 60 * SECOND), 450 * MS);
-	EXPECT_EQ(lim_turn_wait_us(&turn, 0, SECOND, now + 90 * SECOND), SECOND);
+		EXPECT_LE(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 6 * SECOND);
+	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 450 * MS, now + 60 * SECOND), 450 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&turn, 0, SECOND, now + 90 * SECOND), SECOND);
 }
 
 } // namespace
--- a/lim/members.c
+++ b/lim/members.c
@@ -30,7 +30,7 @@
 	return member;
 }
 
-void lim_members_list(struct lim_members *members, const GPtrArray *names, int64_t now_us)
+void lim_members_set_hosts(struct lim_members *members, const GPtrArray *names, int64_t now_us)
 {
 	GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
@@ -54,7 +54,7 @@
 	g_hash_table_destroy(listed);
 }
 
-void lim_members_heard(struct lim_members *members, const char *name, int64_t heard_us)
+void lim_members_renew_lease(struct lim_members *members, const char *name, int64_t heard_us)
 {
 	struct lim_member *member = g_hash_table_lookup(members->hosts, name);
 
@@ -63,7 +63,7 @@
 	member->lease_end_us = MAX(member->lease_end_us, heard_us + LIM_LEASE_US);
 }
 
-void lim_members_left(struct lim_members *members, const char *name)
+void lim_members_end_lease(struct lim_members *members, const char *name)
 {
 	struct lim_member *member = g_hash_table_lookup(members->hosts, name);
 
@@ -76,7 +76,7 @@
 	return now_us - MAX(member->lease_end_us, member->added_us) > LIM_RECLAIM_US;
 }
 
-unsigned int lim_members_count(const struct lim_members *members, int64_t now_us)
+unsigned int lim_members_leased_count(const struct lim_members *members, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -88,10 +88,10 @@
 	return n;
 }
 
-double lim_members_part(const struct lim_members *members, int64_t now_us)
+double lim_members_limit_ratio(const struct lim_members *members, int64_t now_us)
 {
 	unsigned int all = g_hash_table_size(members->hosts);
-	unsigned int present = lim_members_count(members, now_us);
+	unsigned int present = lim_members_leased_count(members, now_us);
 	GHashTableIter iter;
 	gpointer value;
 
--- a/lim/members.h
+++ b/lim/members.h
@@ -43,22 +43,22 @@
 void lim_members_finish(struct lim_members *members);
 
 /* Sets the list of all hosts. names is an array of char *. */
-void lim_members_list(struct lim_members *members, const GPtrArray *names, int64_t now_us);
+void lim_members_set_hosts(struct lim_members *members, const GPtrArray *names, int64_t now_us);
 
 /*
  * Renews the lease of a host that requested permits. heard_us is the time by the clock of this
  * home at which it sent the newest message that the host has received.
  */
-void lim_members_heard(struct lim_members *members, const char *name, int64_t heard_us);
+void lim_members_renew_lease(struct lim_members *members, const char *name, int64_t heard_us);
 
 /* Ends the lease of a host. */
-void lim_members_left(struct lim_members *members, const char *name);
+void lim_members_end_lease(struct lim_members *members, const char *name);
 
 /* Returns the number of hosts that have a lease now. */
-unsigned int lim_members_count(const struct lim_members *members, int64_t now_us);
+unsigned int lim_members_leased_count(const struct lim_members *members, int64_t now_us);
 
 /* Returns the part of each limit that this home may divide, from 0 to 1. */
-double lim_members_part(const struct lim_members *members, int64_t now_us);
+double lim_members_limit_ratio(const struct lim_members *members, int64_t now_us);
 
 G_END_DECLS
 
--- a/lim/part.c
+++ b/lim/permits.c
@@ -1,4 +1,4 @@
-#include "lim/part.h"
+#include "lim/permits.h"
 
 #include <math.h>
 
@@ -30,11 +30,11 @@
 /* Lowest rate from which a lifted limit grows, in requests per second. */
 static const double lim_lifted_rate_min = 1;
 
-bool lim_part_hear(struct lim_part *held, const struct lim_news *notice)
+bool lim_permits_update_limit(struct lim_permits *held, const struct lim_notice *notice)
 {
-	const struct lim_news previous = held->news;
+	const struct lim_notice previous = held->news;
 
-	if (notice->said_us <= previous.said_us)
+	if (notice->stated_us <= previous.stated_us)
 		return false;
 	if (!notice->named && !previous.named)
 		return false;
@@ -45,29 +45,29 @@
 	return notice->named != previous.named || (notice->named && notice->rate != previous.rate);
 }
 
-bool lim_binds(const struct lim_news *notice, int64_t now_us)
+bool lim_is_in_force(const struct lim_notice *notice, int64_t now_us)
 {
 	return notice->named ||
-	       (notice->said_us > 0 && now_us - notice->said_us < lim_lifted_duration_us);
+	       (notice->stated_us > 0 && now_us - notice->stated_us < lim_lifted_duration_us);
 }
 
-double lim_rate(const struct lim_news *notice, int64_t now_us)
+double lim_current_rate(const struct lim_notice *notice, int64_t now_us)
 {
 	double doublings =
-		(double)MAX(now_us - notice->said_us, 0) / (double)lim_lifted_doubling_us;
+		(double)MAX(now_us - notice->stated_us, 0) / (double)lim_lifted_doubling_us;
 
 	if (notice->named)
 		return notice->rate > 0 ? notice->rate : lim_probe_rate;
 	return MAX(notice->rate, lim_lifted_rate_min) * exp2(doublings);
 }
 
-bool lim_part_binds(const struct lim_part *held, int64_t now_us)
+bool lim_permits_are_required(const struct lim_permits *held, int64_t now_us)
 {
-	return lim_binds(&held->news, now_us);
+	return lim_is_in_force(&held->news, now_us);
 }
 
 /* Drops expired permits and counts them as permits to return. */
-static void lim_permits_expire(struct lim_part *held, int64_t now_us)
+static void lim_permits_expire(struct lim_permits *held, int64_t now_us)
 {
 	if (held->permits == 0 || now_us < held->expires_us)
 		return;
@@ -75,20 +75,20 @@
 	held->permits = 0;
 }
 
-bool lim_part_is_open(struct lim_part *held, int64_t now_us)
+bool lim_permits_may_send(struct lim_permits *held, int64_t now_us)
 {
 	lim_permits_expire(held, now_us);
-	return !lim_part_binds(held, now_us) || held->permits > 0;
+	return !lim_permits_are_required(held, now_us) || held->permits > 0;
 }
 
-void lim_part_take(struct lim_part *held, int64_t now_us)
+void lim_permits_use(struct lim_permits *held, int64_t now_us)
 {
 	lim_permits_expire(held, now_us);
 	if (held->permits > 0)
 		held->permits--;
 }
 
-void lim_part_grant(struct lim_part *held, int permits, int64_t asked_us, int64_t now_us)
+void lim_permits_add(struct lim_permits *held, int permits, int64_t asked_us, int64_t now_us)
 {
 	lim_permits_expire(held, now_us);
 	if (now_us - asked_us > lim_grant_age_max_us) {
--- a/lim/part.h
+++ b/lim/permits.h
@@ -1,5 +1,5 @@
-#ifndef LIM_PART_H
-#define LIM_PART_H
+#ifndef LIM_PERMITS_H
+#define LIM_PERMITS_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -15,18 +15,18 @@
  */
 
 /* Statement of an endpoint about its limit. */
-struct lim_news {
+struct lim_notice {
 	/* Whether the endpoint states a limit; false if the limit was lifted. */
 	bool named;
 	/* Limit in requests per second; after the limit was lifted, its last value. */
 	double rate;
 	/* Time of the statement in microseconds; 0 if there is none. */
-	int64_t said_us;
+	int64_t stated_us;
 };
 
-struct lim_part {
+struct lim_permits {
 	/* Newest statement of the endpoint. */
-	struct lim_news news;
+	struct lim_notice news;
 	/* Number of permits that this host holds. */
 	int permits;
 	/* Time at which the oldest of these permits was received, in microseconds. */
@@ -43,28 +43,28 @@
  * Records a statement of the endpoint if it is newer than the known one. Returns whether it changes
  * the limit.
  */
-bool lim_part_hear(struct lim_part *held, const struct lim_news *notice);
+bool lim_permits_update_limit(struct lim_permits *held, const struct lim_notice *notice);
 
 /*
  * Returns whether requests to the endpoint need a permit. They do for some time after the limit was
  * lifted, because otherwise all hosts would send to the idle endpoint at the same time.
  */
-bool lim_part_binds(const struct lim_part *held, int64_t now_us);
+bool lim_permits_are_required(const struct lim_permits *held, int64_t now_us);
 
 /* Returns whether a request may be sent to the endpoint now. */
-bool lim_part_is_open(struct lim_part *held, int64_t now_us);
+bool lim_permits_may_send(struct lim_permits *held, int64_t now_us);
 
 /* Uses a permit, if there is one, for a request that is sent to the endpoint. */
-void lim_part_take(struct lim_part *held, int64_t now_us);
+void lim_permits_use(struct lim_permits *held, int64_t now_us);
 
 /* Adds permits that answer a request for permits sent at asked_us. */
-void lim_part_grant(struct lim_part *held, int permits, int64_t asked_us, int64_t now_us);
+void lim_permits_add(struct lim_permits *held, int permits, int64_t asked_us, int64_t now_us);
 
 /* Returns the requests per second that the statement allows now; always greater than 0. */
-double lim_rate(const struct lim_news *notice, int64_t now_us);
+double lim_current_rate(const struct lim_notice *notice, int64_t now_us);
 
 /* Returns whether the statement requires permits now. */
-bool lim_binds(const struct lim_news *notice, int64_t now_us);
+bool lim_is_in_force(const struct lim_notice *notice, int64_t now_us);
 
 G_END_DECLS
 
--- a/lim/turn.c
+++ b/lim/retry.c
@@ -1,9 +1,9 @@
-#include "lim/turn.h"
+#include "lim/retry.h"
 
 /* Shortest retry delay in microseconds; an earlier retry would be refused for the same reason. */
 static const int64_t lim_retry_delay_min_us = 100000;
 
-int64_t lim_turn_wait_us(struct lim_turn *retry, double rate, int64_t most_us, int64_t now_us)
+int64_t lim_retry_delay_us(struct lim_retry *retry, double rate, int64_t most_us, int64_t now_us)
 {
 	double interval_us = rate > 0 ? 1e6 / rate : (double)most_us;
 	int64_t wait_us;
--- a/lim/turn.h
+++ b/lim/retry.h
@@ -1,5 +1,5 @@
-#ifndef LIM_TURN_H
-#define LIM_TURN_H
+#ifndef LIM_RETRY_H
+#define LIM_RETRY_H
 
 #include <glib.h>
 #include <stdint.h>
@@ -11,7 +11,7 @@
  * spaced at the rate of the limits, so that callers don't all retry at once. This module does no
  * I/O.
  */
-struct lim_turn {
+struct lim_retry {
 	/* Retry time that was last assigned to a caller, in microseconds. */
 	int64_t next_us;
 };
@@ -20,7 +20,7 @@
  * Returns the retry delay of the next caller in microseconds. rate is the number of requests per
  * second that the limits allow this host, most_us the longest delay that the caller obeys.
  */
-int64_t lim_turn_wait_us(struct lim_turn *retry, double rate, int64_t most_us, int64_t now_us);
+int64_t lim_retry_delay_us(struct lim_retry *retry, double rate, int64_t most_us, int64_t now_us);
 
 G_END_DECLS
 
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -72,12 +72,12 @@
 
 unsigned int limit_home_host_count(const struct limit_home *home)
 {
-	return lim_members_count(&home->members, tmr_boot_now());
+	return lim_members_leased_count(&home->members, tmr_boot_now());
 }
 
 double limit_home_fraction(const struct limit_home *home)
 {
-	return lim_members_part(&home->members, tmr_boot_now());
+	return lim_members_limit_ratio(&home->members, tmr_boot_now());
 }
 
 static struct limit_divided *
@@ -90,8 +90,8 @@
 		lim_home_init(&divided->home, now_us);
 		g_hash_table_insert(home->divided, g_strdup(update->endpoint), divided);
 	}
-	if (update->news.said_us > divided->home.news.said_us)
-		lim_home_set(&divided->home, &update->news, now_us);
+	if (update->news.stated_us > divided->home.news.stated_us)
+		lim_home_set_limit(&divided->home, &update->news, now_us);
 	divided->asked_us = now_us;
 	return divided;
 }
@@ -132,7 +132,7 @@
 	int64_t now_us = tmr_boot_now();
 	const char *host;
 
-	while ((host = lim_home_next(divided, fraction, now_us))) {
+	while ((host = lim_home_grant_next(divided, fraction, now_us))) {
 		const struct limit_asker *asker = g_hash_table_lookup(home->askers, host);
 
 		if (asker)
@@ -145,7 +145,7 @@
 {
 	struct limit_home *home = ctx;
 	int64_t boot_us = tmr_boot_now();
-	double fraction = lim_members_part(&home->members, boot_us);
+	double fraction = lim_members_limit_ratio(&home->members, boot_us);
 	int64_t next_us = -1;
 	GHashTableIter iter;
 	gpointer name;
@@ -158,7 +158,7 @@
 		int64_t wait_us;
 
 		limit_home_issue_for(home, name, &divided->home, fraction);
-		wait_us = lim_home_wait_us(&divided->home, fraction, boot_us);
+		wait_us = lim_home_grant_delay_us(&divided->home, fraction, boot_us);
 		if (wait_us >= 0 && (next_us < 0 || wait_us < next_us))
 			next_us = wait_us;
 	}
@@ -183,12 +183,13 @@
 	 * lease that began at that time ends.
 	 */
 	if (home_time_us > 0 && home_time_us <= now_us)
-		lim_members_heard(&home->members, host, home_time_us);
+		lim_members_renew_lease(&home->members, host, home_time_us);
 	for (guint i = 0; i < updates->len; i++) {
 		const struct limit_update *update = &g_array_index(updates, struct limit_update, i);
 		struct limit_divided *divided = limit_home_get_divided(home, update, now_us);
 
-		lim_home_ask(&divided->home, host, update->wanted, update->returned, now_us);
+		lim_home_report_demand(&divided->home, host, update->wanted, update->returned,
+				       now_us);
 	}
 	limit_home_send(home, asker, NULL);
 	limit_home_issue(home, tmr_now());
@@ -236,8 +237,8 @@
 			continue;
 		g_hash_table_iter_init(&each, home->divided);
 		while (g_hash_table_iter_next(&each, NULL, &divided))
-			lim_home_leave(&((struct limit_divided *)divided)->home, name);
-		lim_members_left(&home->members, name);
+			lim_home_remove_host(&((struct limit_divided *)divided)->home, name);
+		lim_members_end_lease(&home->members, name);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -251,7 +252,7 @@
 	g_hash_table_iter_init(&iter, home->rc->hosts);
 	while (g_hash_table_iter_next(&iter, &name, NULL))
 		g_ptr_array_add(names, name);
-	lim_members_list(&home->members, names, now_us);
+	lim_members_set_hosts(&home->members, names, now_us);
 	g_ptr_array_unref(names);
 }
 
--- a/router/limit_msg.c
+++ b/router/limit_msg.c
@@ -23,7 +23,7 @@
 		item->endpoint = update->endpoint;
 		item->named = update->news.named;
 		item->rate = update->news.rate;
-		item->age_ms = (now_us - update->news.said_us) / TMR_US_PER_MS;
+		item->age_ms = (now_us - update->news.stated_us) / TMR_US_PER_MS;
 		item->wanted = update->wanted;
 		item->returned = update->returned;
 		item->permits = update->permits;
@@ -45,7 +45,7 @@
 	update->news.named = from->named;
 	update->news.rate = readable ? from->rate : 0;
 	/* A limit announced before this host was booted is valid; 0 would mean that none was. */
-	update->news.said_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
+	update->news.stated_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
 	update->wanted = CLAMP(from->wanted, 0, LIMIT_COUNT_MAX);
 	update->returned = CLAMP(from->returned, 0, LIMIT_COUNT_MAX);
 	update->permits = CLAMP(from->permits, 0, LIMIT_COUNT_MAX);
--- a/router/limit_msg_test.cc
+++ b/router/limit_msg_test.cc
@@ -32,7 +32,7 @@
 	EXPECT_STREQ(unpacked.endpoint, "i-1@7");
 	EXPECT_TRUE(unpacked.news.named);
 	EXPECT_DOUBLE_EQ(unpacked.news.rate, 2.9);
-	EXPECT_NEAR((double)unpacked.news.said_us, 98.0 * SECOND, SECOND);
+	EXPECT_NEAR((double)unpacked.news.stated_us, 98.0 * SECOND, SECOND);
 	EXPECT_EQ(unpacked.wanted, 3);
 	EXPECT_EQ(unpacked.returned, 1);
 	limit_items_finish(&items);
@@ -63,9 +63,9 @@
 	item.rate = 2.9;
 	item.age_ms = 60000;
 	const limit_update update = Unpack(item, 5 * SECOND);
-	lim_part part{};
-	EXPECT_TRUE(lim_part_hear(&part, &update.news));
-	EXPECT_FALSE(lim_part_is_open(&part, 5 * SECOND));
+	lim_permits part{};
+	EXPECT_TRUE(lim_permits_update_limit(&part, &update.news));
+	EXPECT_FALSE(lim_permits_may_send(&part, 5 * SECOND));
 }
 
 } // namespace
--- a/router/limits.c
+++ b/router/limits.c
@@ -24,7 +24,7 @@
 
 /* The limit of one endpoint, and the demand for it on this host. */
 struct limit_known {
-	struct lim_part
+	struct lim_permits
 		part; /* the limit; its permits are unused, as the traffic thread holds them */
 	int wanted;   /* number of permits needed and not yet asked for */
 	int returned; /* number of unused permits not yet returned to the home */
@@ -128,7 +128,7 @@
 	if (!update->news.named && !g_hash_table_contains(limits->known, update->endpoint))
 		return;
 	known = limits_get(limits, update->endpoint);
-	if (!lim_part_hear(&known->part, &update->news))
+	if (!lim_permits_update_limit(&known->part, &update->news))
 		return;
 	if (!update->news.named)
 		known->since_us = 0;
@@ -205,7 +205,7 @@
 					      .wanted = known->wanted,
 					      .returned = known->returned};
 
-		if (!lim_part_binds(&known->part, now_us))
+		if (!lim_permits_are_required(&known->part, now_us))
 			continue;
 		update.endpoint = g_strdup(name);
 		g_array_append_val(updates, update);
@@ -246,7 +246,7 @@
 
 	g_hash_table_iter_init(&iter, limits->known);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		if (lim_part_binds(&((const struct limit_known *)value)->part, now_us))
+		if (lim_permits_are_required(&((const struct limit_known *)value)->part, now_us))
 			return true;
 	}
 	return false;
@@ -282,7 +282,8 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const struct limit_known *known = value;
 
-		if (g_hash_table_contains(listed, name) && lim_part_binds(&known->part, now_us))
+		if (g_hash_table_contains(listed, name) &&
+		    lim_permits_are_required(&known->part, now_us))
 			continue;
 		if (now_us - known->touched_us > tmr_ms(LIMITS_KEEP_MS))
 			g_hash_table_iter_remove(&iter);
@@ -323,15 +324,15 @@
 
 	g_hash_table_iter_init(&iter, limits->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		const struct lim_news *news = &((const struct limit_known *)value)->part.news;
+		const struct lim_notice *news = &((const struct limit_known *)value)->part.news;
 
-		if (!lim_binds(news, now_us))
+		if (!lim_is_in_force(news, now_us))
 			continue;
 		json_array_append_new(
 			list,
 			json_pack("{s:s, s:b, s:f, s:I, s:s?, s:i, s:f}", "endpoint", name, "named",
-				  news->named, "rate", lim_rate(news, now_us), "age_ms",
-				  (json_int_t)((now_us - news->said_us) / TMR_US_PER_MS), "home",
+				  news->named, "rate", lim_current_rate(news, now_us), "age_ms",
+				  (json_int_t)((now_us - news->stated_us) / TMR_US_PER_MS), "home",
 				  limit_ask_home_name(limits->ask), "asked_by",
 				  (int)limit_home_host_count(limits->home), "part",
 				  limit_home_fraction(limits->home)));
--- a/router/pick.c
+++ b/router/pick.c
@@ -20,7 +20,7 @@
 static double pick_zone_crossing_ms(struct tf *tf, const struct rt_service *service, double prompt)
 {
 	const struct rt_engine *engine = &service->engine;
-	double rate = bud_rate(tf_budget(tf, service->name), tmr_now()) * tf->view->hosts;
+	double rate = bud_request_rate(tf_budget(tf, service->name), tmr_now()) * tf->view->hosts;
 	double transfer_s;
 
 	if (engine->zone_link_mbps <= 0)
@@ -282,7 +282,7 @@
 		return 0;
 	tf_limit_lacked(tf, first);
 	pick_close_without_permit(pick, tf, args->account);
-	return pick_search(pick, tf, args->service) < 0 ? FWD_ELIMIT : 0;
+	return pick_search(pick, tf, args->service) < 0 ? FWD_ENOPERMIT : 0;
 }
 
 static int pick_pipeline(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
@@ -295,7 +295,7 @@
 	pick.ask.trust = args->trust;
 	err = pick_search_permitted(&pick, tf, args);
 	if (err == FWD_ENOENDPOINT && pick.resting > 0)
-		err = FWD_ERESTS;
+		err = FWD_ERESTING;
 	if (err == 0) {
 		target->layered = true;
 		target->tokens = pick.ask.prompt + pick.ask.answer / 2;
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -96,11 +96,11 @@
 			pick_keep_better(&permitted, value, trust, cost);
 	}
 	if (!best.ep)
-		return resting > 0 ? FWD_ERESTS : FWD_ENOENDPOINT;
+		return resting > 0 ? FWD_ERESTING : FWD_ENOENDPOINT;
 	if (best.ep != permitted.ep)
 		tf_limit_lacked(tf, best.ep);
 	if (!permitted.ep)
-		return FWD_ELIMIT;
+		return FWD_ENOPERMIT;
 	pick_add_stage(target, pick_trial(tf, args, permitted.ep, now_us), 0, 0);
 	return 0;
 }
--- a/router/rq.c
+++ b/router/rq.c
@@ -29,11 +29,11 @@
 
 static const struct fwd_ops rq_fwd_ops = {
 	.send = rq_send,
-	.take_repeat = rq_take_repeat,
+	.charge_retry = rq_take_repeat,
 	.cancel = rq_cancel,
 	.on_wait = rq_on_wait,
 	.on_silent = rq_on_silent,
-	.answer_whole = rq_answer_whole,
+	.answer_complete = rq_answer_whole,
 	.answer_begin = rq_answer_begin,
 	.answer_data = rq_answer_data,
 	.answer_end = rq_answer_end,
@@ -183,7 +183,7 @@
 
 /*
  * No endpoint was found for the first attempt, which may wait. Sets the time at which rest periods
- * leave enough endpoints; returns FWD_ERESTS, or FWD_ENOENDPOINT if there is no such time.
+ * leave enough endpoints; returns FWD_ERESTING, or FWD_ENOENDPOINT if there is no such time.
  */
 static int rq_wait_for_rest_end(struct rq *rq, enum pa_trust trust)
 {
@@ -191,7 +191,7 @@
 
 	rq_fill_pick_args(rq, trust, &args);
 	rq->fwd.rules.rest_us = tf_pick_rest_end_us(rq->tf, &args);
-	return rq->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTS;
+	return rq->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
 }
 
 int64_t rq_rest_left_us(const struct rq *rq)
@@ -226,12 +226,12 @@
 
 	tf_target_release(&rq->target);
 	if (rq_quarantine_us(rq, tmr_now()) > 0)
-		return FWD_ECRASHES;
+		return FWD_EQUARANTINED;
 	err = rq_pick(rq, trust, &rq->target);
-	if (err == FWD_ERESTS && attempt == 0)
+	if (err == FWD_ERESTING && attempt == 0)
 		err = rq_wait_for_rest_end(rq, trust);
-	if (err == FWD_ELIMIT && !tf_limit_waits(tf, rq->service->name, rq_account_name(rq)))
-		return FWD_ELIMITED;
+	if (err == FWD_ENOPERMIT && !tf_limit_waits(tf, rq->service->name, rq_account_name(rq)))
+		return FWD_EPERMITQUEUE;
 	if (err < 0)
 		return err;
 	if (rq->target.layered)
@@ -280,11 +280,11 @@
 	struct tf_target target;
 
 	if (rq_reaches_crash_limit(rq))
-		return FWD_ECRASHES;
+		return FWD_EQUARANTINED;
 	if (rq_pick(rq, PA_DOUBTED, &target) < 0)
 		return FWD_ENOENDPOINT;
 	tf_target_release(&target);
-	return bud_take(tf_budget(rq->tf, rq->service->name), tmr_now()) ? 0 : FWD_EBUDGET;
+	return bud_charge_retry(tf_budget(rq->tf, rq->service->name), tmr_now()) ? 0 : FWD_EBUDGET;
 }
 
 static void rq_cancel_call(struct hc_call **call)
@@ -454,7 +454,7 @@
 {
 	struct rq *rq = ctx;
 
-	fwd_on_time(&rq->fwd, now_us);
+	fwd_on_timer(&rq->fwd, now_us);
 }
 
 static void rq_set_timer(void *ctx, int64_t due_us)
@@ -467,7 +467,7 @@
 void rq_on_sweep(struct rq *rq)
 {
 	if (rq->fwd.state != FWD_ENDED && hd_gone(rq->call))
-		fwd_on_caller_gone(&rq->fwd);
+		fwd_on_caller_disconnected(&rq->fwd);
 }
 
 static void rq_record_times(const struct rq *rq, int64_t now_us)
@@ -495,7 +495,7 @@
 {
 	struct rq *rq = ctx;
 	int64_t now_us = tmr_now();
-	bool bad = cause != FWD_OK && cause != FWD_CALLER_GONE;
+	bool bad = cause != FWD_OK && cause != FWD_CALLER_DISCONNECTED;
 	char labels[64];
 
 	jl_begin(bad ? JL_KEEP : JL_INFO, "ended");
--- a/router/rq_admit.c
+++ b/router/rq_admit.c
@@ -49,8 +49,10 @@
 	rules->deadline_us = rq->began_us + tmr_ms(deadline_ms);
 	rules->first_us = MAX(RQ_FIRST_MIN_MS, route->target_ms / 2) * TMR_US_PER_MS;
 	rules->gap_us = MAX(RQ_GAP_MIN_MS, route->gap_ms * 6 / 10) * TMR_US_PER_MS;
-	rules->limit_us = rq->began_us + MIN(bk_park_us(deadline_ms), (int64_t)RQ_LIMIT_WAIT_US);
-	rules->listing_us = MIN(rq->tf->view->whole_us, rq->began_us + bk_park_us(deadline_ms));
+	rules->limit_us =
+		rq->began_us + MIN(bk_wait_max_us(deadline_ms), (int64_t)RQ_LIMIT_WAIT_US);
+	rules->list_wait_until_us =
+		MIN(rq->tf->view->whole_us, rq->began_us + bk_wait_max_us(deadline_ms));
 }
 
 static bool rq_is_past_stop_window(const struct rq *rq)
@@ -142,7 +144,8 @@
 bool rq_admit_by_load(struct rq *rq)
 {
 	struct adm *adm = tf_admission(rq->tf, rq->service->name);
-	double less_urgent = (double)(rq->urgency - SH_USUAL) / (SH_LEAST_URGENT - SH_USUAL);
+	double less_urgent = (double)(rq->urgency - SH_URGENCY_DEFAULT) /
+			     (SH_URGENCY_LOWEST - SH_URGENCY_DEFAULT);
 	struct adm_limits limits;
 	struct adm_queue queue;
 
@@ -153,7 +156,7 @@
 	if (adm_admits(adm, &queue, &limits, CLAMP(less_urgent, 0, 1), tmr_now()))
 		return true;
 	rq_log_overload(rq, &queue);
-	rq_deny(rq, STATUS_UNAVAILABLE, "overload", adm_back_us(rnd_unit(&rq->tf->seed)));
+	rq_deny(rq, STATUS_UNAVAILABLE, "overload", adm_retry_delay_us(rnd_unit(&rq->tf->seed)));
 	return false;
 }
 
--- a/router/rq_answer.c
+++ b/router/rq_answer.c
@@ -64,8 +64,8 @@
 
 	rq_set_answer_headers(rq);
 	rq_fill_limits(rq, &limits);
-	adm_on_begun(tf_admission(rq->tf, rq->service->name), &limits, rq->first_us - rq->sent_us,
-		     rq->first_us);
+	adm_on_first_token(tf_admission(rq->tf, rq->service->name), &limits,
+			   rq->first_us - rq->sent_us, rq->first_us);
 	hd_begin(rq->call, rq->status, rq->answer.type);
 }
 
@@ -97,11 +97,11 @@
 	bk_on_refused(back, now_us);
 	if (rq->fwd.failure == FWD_LIMITED)
 		return tf_limit_back_us(tf, rq->service->name, rq->request.id,
-					bk_heeded_us(left_us));
+					bk_max_delay_us(left_us));
 	rest_us = rq_rest_left_us(rq);
 	if (rest_us > 0)
 		return tf_rest_retry_us(tf, rq->service->name, rq->request.id, rest_us);
-	return bk_delay_us(back, left_us, now_us, &tf->seed);
+	return bk_retry_delay_us(back, left_us, now_us, &tf->seed);
 }
 
 void rq_refuse(void *ctx, int status, bool not_run)
--- a/router/rq_repair.c
+++ b/router/rq_repair.c
@@ -130,7 +130,7 @@
 	jl_int("parts", (int64_t)rq->fwd.parts);
 	jl_int("silent_ms", (tmr_now() - rq->last_activity_us) / TMR_US_PER_MS);
 	jl_end();
-	fwd_give_up_attempt(&rq->fwd, tmr_now());
+	fwd_abandon_attempt(&rq->fwd, tmr_now());
 }
 
 /* Chooses replacements for faulty stages after the first into rq->repair; returns false if none. */
@@ -260,7 +260,7 @@
 	tf_target_release(&rq->target);
 	rq->target = rq->repair;
 	memset(&rq->repair, 0, sizeof(rq->repair));
-	fwd_on_sign(&rq->fwd, tmr_now());
+	fwd_restart_silence(&rq->fwd, tmr_now());
 }
 
 void rq_on_faulty(struct rq *rq, const struct tf_ep *ep)
--- a/router/state.c
+++ b/router/state.c
@@ -197,7 +197,7 @@
 	g_hash_table_iter_init(&iter, tf->share.accounts);
 	while (g_hash_table_iter_next(&iter, &name, &value))
 		json_array_append_new(list, json_pack("{s:s, s:f}", "name", name, "tokens",
-						      sh_used(value, now_us)));
+						      sh_tokens_used(value, now_us)));
 	return list;
 }
 
@@ -210,9 +210,10 @@
 
 	g_hash_table_iter_init(&iter, tf->budgets);
 	while (g_hash_table_iter_next(&iter, &name, &value))
-		json_array_append_new(list, json_pack("{s:s, s:f, s:f}", "service", name, "left",
-						      bud_left(value, now_us), "requests_per_s",
-						      bud_rate(value, now_us)));
+		json_array_append_new(list,
+				      json_pack("{s:s, s:f, s:f}", "service", name, "left",
+						bud_retries_left(value, now_us), "requests_per_s",
+						bud_request_rate(value, now_us)));
 	return list;
 }
 
--- a/router/tf.c
+++ b/router/tf.c
@@ -107,7 +107,8 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		char *labels = g_strdup_printf("service=\"%s\"", (const char *)name);
 
-		met_set(met_gauge("bg_repeats_left", labels), (uint64_t)bud_left(value, now_us));
+		met_set(met_gauge("bg_repeats_left", labels),
+			(uint64_t)bud_retries_left(value, now_us));
 		g_free(labels);
 	}
 }
@@ -338,7 +339,7 @@
 
 	seam_request_init(&reader.request);
 	hd_each_header(call, tf_on_header, &reader);
-	wait_us = bk_park_us(reader.request.deadline_ms);
+	wait_us = bk_wait_max_us(reader.request.deadline_ms);
 	seam_request_finish(&reader.request);
 	return wait_us;
 }
--- a/router/tf.h
+++ b/router/tf.h
@@ -7,8 +7,8 @@
 #include "ep/failing.h"
 #include "ep/rest.h"
 #include "lim/fair.h"
-#include "lim/part.h"
-#include "lim/turn.h"
+#include "lim/permits.h"
+#include "lim/retry.h"
 #include "path/hop.h"
 #include "path/path.h"
 #include "quar/quar.h"
@@ -47,7 +47,7 @@
 				 * endpoint answered */
 	struct crash_check *crash; /* check whether the endpoint has crashed, started when attempts
 				    * broke off there; NULL: none */
-	struct lim_part limit;	   /* rate limit set by the endpoint, and this host's permits */
+	struct lim_permits limit;  /* rate limit set by the endpoint, and this host's permits */
 	int64_t limit_used;	   /* number of requests sent to the endpoint with a permit */
 	bool limit_unreadable;	   /* an unparsable rate limit of the endpoint has been logged */
 	int64_t limit_told_us; /* time of the last report of the limit to the control thread, in us
@@ -100,7 +100,7 @@
 	GHashTable *admissions;	     /* overload admission by service: char * -> struct adm */
 	struct lim_fair limit_fair;  /* shares scarce permits among client accounts */
 	GHashTable *limit_turns;     /* retry times given to callers refused for rate limits, by
-				      * service: char * -> struct lim_turn */
+				      * service: char * -> struct lim_retry */
 	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
 	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
 	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
--- a/router/tf_limit.c
+++ b/router/tf_limit.c
@@ -40,8 +40,8 @@
 /* Sets the gauges of one endpoint, which exist from the first limit that it announces. */
 static void tf_limit_set_gauges(const struct tf_ep *ep, int64_t now_us)
 {
-	bool binds = lim_part_binds(&ep->limit, now_us);
-	double rate = binds ? lim_rate(&ep->limit.news, now_us) : 0;
+	bool binds = lim_permits_are_required(&ep->limit, now_us);
+	double rate = binds ? lim_current_rate(&ep->limit.news, now_us) : 0;
 	char *labels = g_strdup_printf("endpoint=\"%s\"", ep->rec->id);
 
 	met_set(met_gauge("bg_limit_per_1000_s", labels), (uint64_t)(rate * 1000));
@@ -86,12 +86,12 @@
 }
 
 /* Applies a limit, or the lifting of one. Returns whether that is a change. */
-static bool tf_limit_apply(struct tf_ep *ep, const struct lim_news *news, const char *request,
+static bool tf_limit_apply(struct tf_ep *ep, const struct lim_notice *news, const char *request,
 			   const char *from)
 {
 	double before = ep->limit.news.named ? ep->limit.news.rate : -1;
 
-	if (!lim_part_hear(&ep->limit, news))
+	if (!lim_permits_update_limit(&ep->limit, news))
 		return false;
 	tf_limit_log(ep, news->named ? "limit_named" : "limit_lifted", before, request, from);
 	met_add(met_counter(news->named ? "bg_limits_named_total" : "bg_limits_lifted_total", ""),
@@ -109,16 +109,16 @@
 			       int64_t sent_us)
 {
 	return answer->limit == SEAM_LIMIT_NONE && answer->head.sealed && ep->limit.news.named &&
-	       sent_us > ep->limit.news.said_us;
+	       sent_us > ep->limit.news.stated_us;
 }
 
 void tf_limit_on_answer(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
 			int64_t sent_us, const char *request)
 {
-	struct lim_news news = {answer->limit == SEAM_LIMIT_RATE, answer->limit_rate,
-				tmr_boot_now()};
+	struct lim_notice news = {answer->limit == SEAM_LIMIT_RATE, answer->limit_rate,
+				  tmr_boot_now()};
 
-	if (!answer->head.ours || answer->head.status == TF_LIMIT_STATUS_MISDIRECTED)
+	if (!answer->head.id_matches || answer->head.status == TF_LIMIT_STATUS_MISDIRECTED)
 		return;
 	if (answer->limit_values > 1 || answer->limit == SEAM_LIMIT_UNREADABLE)
 		tf_limit_log_unreadable(ep, answer, request);
@@ -136,7 +136,7 @@
  */
 static bool tf_limit_never_announced(const struct tf_ep *ep)
 {
-	return ep->limit.news.said_us == 0;
+	return ep->limit.news.stated_us == 0;
 }
 
 bool tf_limit_is_open(struct tf *tf, struct tf_ep *ep, const char *account)
@@ -146,10 +146,10 @@
 	if (tf_limit_never_announced(ep))
 		return true;
 	now_us = tmr_boot_now();
-	if (!lim_part_is_open(&ep->limit, now_us))
+	if (!lim_permits_may_send(&ep->limit, now_us))
 		return false;
-	return !lim_part_binds(&ep->limit, now_us) ||
-	       lim_fair_may_take(&tf->limit_fair, account, now_us);
+	return !lim_permits_are_required(&ep->limit, now_us) ||
+	       lim_fair_may_use_permit(&tf->limit_fair, account, now_us);
 }
 
 /* Counts a permit as needed, and reports the demand unless one was reported just before. */
@@ -170,11 +170,11 @@
 {
 	int64_t now_us = tmr_boot_now();
 
-	if (tf_limit_never_announced(ep) || !lim_part_binds(&ep->limit, now_us))
+	if (tf_limit_never_announced(ep) || !lim_permits_are_required(&ep->limit, now_us))
 		return;
-	lim_part_take(&ep->limit, now_us);
+	lim_permits_use(&ep->limit, now_us);
 	ep->limit_used++;
-	lim_fair_took(&tf->limit_fair, account, now_us);
+	lim_fair_count_permit(&tf->limit_fair, account, now_us);
 	met_add(met_counter("bg_limit_sent_total", ""), 1);
 	tf_limit_add_demand(tf, ep);
 }
@@ -195,8 +195,8 @@
 		const struct tf_ep *ep = value;
 
 		if (ep->listed && strcmp(ep->rec->service, service) == 0 &&
-		    lim_part_binds(&ep->limit, now_us))
-			rate += lim_rate(&ep->limit.news, now_us);
+		    lim_permits_are_required(&ep->limit, now_us))
+			rate += lim_current_rate(&ep->limit.news, now_us);
 	}
 	return rate / MAX(tf->view->hosts, 1);
 }
@@ -206,7 +206,7 @@
 	double most = 1 + tf_limit_queue_s * tf_limit_host_rate(tf, service);
 	int waiting = 0;
 
-	lim_fair_lacked(&tf->limit_fair, account, tmr_boot_now());
+	lim_fair_count_shortage(&tf->limit_fair, account, tmr_boot_now());
 	for (guint i = 0; i < tf->reqs->len; i++)
 		waiting += rq_waits_for_limit(tf->reqs->pdata[i], service);
 	return waiting < most;
@@ -226,15 +226,15 @@
 
 int64_t tf_limit_back_us(struct tf *tf, const char *service, const char *request, int64_t most_us)
 {
-	struct lim_turn *turn = g_hash_table_lookup(tf->limit_turns, service);
+	struct lim_retry *turn = g_hash_table_lookup(tf->limit_turns, service);
 	double rate = tf_limit_host_rate(tf, service);
 	int64_t back_us;
 
 	if (!turn) {
-		turn = g_new0(struct lim_turn, 1);
+		turn = g_new0(struct lim_retry, 1);
 		g_hash_table_insert(tf->limit_turns, g_strdup(service), turn);
 	}
-	back_us = lim_turn_wait_us(turn, rate, most_us, tmr_boot_now());
+	back_us = lim_retry_delay_us(turn, rate, most_us, tmr_boot_now());
 	tf_limit_log_refused(service, request, rate, back_us);
 	return back_us;
 }
@@ -253,11 +253,11 @@
 		if (tf_limit_never_announced(ep))
 			continue;
 		tf_limit_set_gauges(ep, now_us);
-		if (!lim_part_binds(&ep->limit, now_us))
+		if (!lim_permits_are_required(&ep->limit, now_us))
 			continue;
 		named++;
 		/* This call removes expired permits and counts them as returned. */
-		lim_part_is_open(&ep->limit, now_us);
+		lim_permits_may_send(&ep->limit, now_us);
 		if (ep->limit.wanted > 0 || ep->limit.returned > 0)
 			tf_limit_report_demand(tf, ep);
 	}
@@ -270,8 +270,8 @@
 	struct tf_ep *ep = g_hash_table_lookup(msg->tf->eps, msg->update.endpoint);
 
 	if (ep && msg->update.permits > 0)
-		lim_part_grant(&ep->limit, msg->update.permits, msg->update.asked_us,
-			       tmr_boot_now());
+		lim_permits_add(&ep->limit, msg->update.permits, msg->update.asked_us,
+				tmr_boot_now());
 	else if (ep)
 		tf_limit_apply(ep, &msg->update.news, NULL, "another host");
 	g_free(msg->update.endpoint);
--- a/share/share.c
+++ b/share/share.c
@@ -29,7 +29,7 @@
 	g_hash_table_destroy(sh->accounts);
 }
 
-double sh_used(const struct sh_account *account, int64_t now_us)
+double sh_tokens_used(const struct sh_account *account, int64_t now_us)
 {
 	double age_s = (double)(now_us - account->used_us) / 1e6;
 
@@ -38,7 +38,7 @@
 
 static void sh_apply_decay(struct sh_account *account, int64_t now_us)
 {
-	account->used = sh_used(account, now_us);
+	account->used = sh_tokens_used(account, now_us);
 	account->used_us = now_us;
 }
 
@@ -77,12 +77,13 @@
 {
 	struct sh_account *account = sh_find_or_add_account(sh, name, now_us);
 	double equal_share = sh_equal_share(sh, now_us);
-	int urgency = SH_USUAL - SH_PRIORITY_MAX + (int)CLAMP(priority, 0, SH_PRIORITY_MAX);
+	int urgency =
+		SH_URGENCY_DEFAULT - SH_PRIORITY_MAX + (int)CLAMP(priority, 0, SH_PRIORITY_MAX);
 
 	account->used += tokens;
 	if (account->used > sh_first_step_multiple * equal_share + tokens)
 		urgency += SH_URGENCY_STEP;
 	if (account->used > sh_second_step_multiple * equal_share + tokens)
 		urgency += SH_URGENCY_STEP;
-	return MIN(urgency, (int)SH_LEAST_URGENT);
+	return MIN(urgency, (int)SH_URGENCY_LOWEST);
 }
--- a/share/share.h
+++ b/share/share.h
@@ -19,8 +19,8 @@
 enum {
 	SH_URGENCY_HIGHEST = 0,
 	/* Urgency of a request that states none. */
-	SH_USUAL = 5,
-	SH_LEAST_URGENT = 9
+	SH_URGENCY_DEFAULT = 5,
+	SH_URGENCY_LOWEST = 9
 };
 
 struct sh_account {
@@ -45,7 +45,7 @@
 int sh_charge(struct sh *sh, const char *account, double tokens, int64_t priority, int64_t now_us);
 
 /* Returns the token usage of the account with the decay applied up to now_us. */
-double sh_used(const struct sh_account *account, int64_t now_us);
+double sh_tokens_used(const struct sh_account *account, int64_t now_us);
 
 G_END_DECLS
 
