--- a/ep/doubt.h
+++ b/ep/avoid.h
@@ -1,5 +1,5 @@
-#ifndef EP_DOUBT_H
-#define EP_DOUBT_H
+#ifndef EP_AVOID_H
+#define EP_AVOID_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -17,26 +17,26 @@
  * listed, it rejected 411 requests. Each of them was sent again, which used up the retry budget of
  * all other requests.
  */
-struct dbt {
+struct avoid_period {
 	int faults;	  /* number of consecutive reported faults */
 	int64_t fault_us; /* time at which the last fault was counted, in microseconds */
 	int64_t until_us; /* end of the period in which the endpoint is avoided, in microseconds */
 };
 
 /* The endpoint was reported at fault. Returns the length of the new period, or 0 if one runs. */
-int64_t dbt_on_fault(struct dbt *avoid, int64_t now_us);
+int64_t avoid_on_fault(struct avoid_period *avoid, int64_t now_us);
 
 /* The endpoint served a request that was sent to it at sent_us. */
-void dbt_on_served(struct dbt *avoid, int64_t sent_us);
+void avoid_on_served(struct avoid_period *avoid, int64_t sent_us);
 
 /*
  * Avoids the endpoint until now_us + for_us, for a reason other than a fault. Returns false, and
  * changes nothing, if this would not extend the present period by more than half a second.
  */
-bool dbt_set(struct dbt *avoid, int64_t for_us, int64_t now_us);
+bool avoid_extend(struct avoid_period *avoid, int64_t for_us, int64_t now_us);
 
 /* Whether the endpoint is avoided now. */
-bool dbt_is_set(const struct dbt *avoid, int64_t now_us);
+bool avoid_is_active(const struct avoid_period *avoid, int64_t now_us);
 
 G_END_DECLS
 
--- a/ep/ep.c
+++ b/ep/ep.c
@@ -89,7 +89,7 @@
 	g_hash_table_destroy(list->addr_owners);
 }
 
-bool ep_is_returning(const struct ep_list *list, int64_t now_us)
+bool ep_may_lack_entries(const struct ep_list *list, int64_t now_us)
 {
 	if (list->store_failing)
 		return true;
@@ -205,7 +205,7 @@
  */
 static void ep_lapse_or_remove(struct ep_list *list, struct ep_entry *entry, int64_t now_us)
 {
-	if (entry->rec->state == EP_READY && ep_is_returning(list, now_us)) {
+	if (entry->rec->state == EP_READY && ep_may_lack_entries(list, now_us)) {
 		entry->lapsed = true;
 		return;
 	}
@@ -331,7 +331,7 @@
 		ep_record_removal(list, id, place, entry, now_us);
 		if (entry)
 			ep_lapse_or_remove(list, entry, now_us);
-		return EP_NEWS;
+		return EP_CHANGED;
 	}
 	if (era_of_place(place) < list->era || ep_is_outdated(list, place, rec)) {
 		ep_rec_unref(rec);
@@ -351,15 +351,16 @@
 	entry->seen = true;
 	g_hash_table_replace(list->entries, rec->id, entry);
 	list->changed = list->changed || !heartbeat;
-	return heartbeat ? EP_HEARTBEAT : EP_NEWS;
+	return heartbeat ? EP_HEARTBEAT : EP_CHANGED;
 }
 
-bool ep_on_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us)
+bool ep_add_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us)
 {
 	struct ep_entry *entry;
 
-	if (!ep_is_returning(list, now_us) || rec->state != EP_READY || ep_has_left(list, rec) ||
-	    g_hash_table_contains(list->entries, rec->id) || ep_is_outdated(list, place, rec)) {
+	if (!ep_may_lack_entries(list, now_us) || rec->state != EP_READY ||
+	    ep_has_left(list, rec) || g_hash_table_contains(list->entries, rec->id) ||
+	    ep_is_outdated(list, place, rec)) {
 		ep_rec_unref(rec);
 		return false;
 	}
@@ -374,7 +375,7 @@
 	return true;
 }
 
-void ep_on_listing(struct ep_list *list)
+void ep_begin_listing(struct ep_list *list)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -385,7 +386,7 @@
 		((struct ep_entry *)value)->seen = false;
 }
 
-void ep_on_listed(struct ep_list *list, int64_t end, int64_t now_us)
+void ep_end_listing(struct ep_list *list, int64_t end, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -405,12 +406,12 @@
 		list->listed_us = now_us;
 }
 
-int64_t ep_whole_us(const struct ep_list *list)
+int64_t ep_complete_us(const struct ep_list *list)
 {
 	return MAX(list->listed_us, list->store_back_us) + EP_REREGISTER_US;
 }
 
-void ep_on_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us)
+void ep_on_store_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us)
 {
 	list->era = era;
 	list->store_has_eras = true;
@@ -420,12 +421,12 @@
 	list->store_back_us = now_us;
 }
 
-void ep_on_away(struct ep_list *list)
+void ep_on_store_failure(struct ep_list *list)
 {
 	list->store_failing = true;
 }
 
-void ep_on_reached(struct ep_list *list, int64_t now_us)
+void ep_on_store_success(struct ep_list *list, int64_t now_us)
 {
 	if (list->store_failing)
 		list->store_back_us = now_us;
@@ -469,7 +470,7 @@
 	}
 }
 
-int ep_lapsed(const struct ep_list *list)
+int ep_count_lapsed(const struct ep_list *list)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -481,7 +482,7 @@
 	return n;
 }
 
-bool ep_on_time(struct ep_list *list, int64_t now_us)
+bool ep_drop_expired(struct ep_list *list, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -490,7 +491,7 @@
 	ep_drop_old_tombstones(list, list->departures, now_us);
 	ep_drop_old_tombstones(list, list->removals, now_us);
 	ep_drop_old_addr_owners(list, now_us);
-	if (ep_is_returning(list, now_us))
+	if (ep_may_lack_entries(list, now_us))
 		return false;
 	g_hash_table_iter_init(&iter, list->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -527,7 +528,7 @@
 	return snapshot;
 }
 
-GHashTable *ep_incarnations(const struct ep_list *list)
+GHashTable *ep_incarnation_set(const struct ep_list *list)
 {
 	GHashTable *set = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
--- a/ep/ep.h
+++ b/ep/ep.h
@@ -96,7 +96,7 @@
 void ep_list_init(struct ep_list *list);
 
 /* Returns a new set of the listed incarnations. The strings belong to the list. */
-GHashTable *ep_incarnations(const struct ep_list *list);
+GHashTable *ep_incarnation_set(const struct ep_list *list);
 
 /* Frees the content of the list. */
 void ep_list_finish(struct ep_list *list);
@@ -105,7 +105,7 @@
 enum ep_record_effect {
 	EP_OUTDATED,  /* nothing: a newer record of the endpoint or of its address is known */
 	EP_HEARTBEAT, /* the endpoint still runs, and its record is otherwise unchanged */
-	EP_NEWS	      /* an entry was added, changed or removed */
+	EP_CHANGED    /* an entry was added, changed or removed */
 };
 
 /* Processes one record of the log and takes ownership of rec. NULL as rec removes the entry. */
@@ -123,21 +123,21 @@
  * that the listing lacks are removed, or kept as lapsed, at its end. end: place of the first record
  * after the listing.
  */
-void ep_on_listing(struct ep_list *list);
-void ep_on_listed(struct ep_list *list, int64_t end, int64_t now_us);
+void ep_begin_listing(struct ep_list *list);
+void ep_end_listing(struct ep_list *list, int64_t end, int64_t now_us);
 
 /*
  * Sets the store's era. restored: the store has just been restored from a copy. Entries that the
  * copy lacks are then treated as after an outage, and an entry that it contains counts as a change
  * only if the endpoint's counters are higher than the known ones.
  */
-void ep_on_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us);
+void ep_on_store_era(struct ep_list *list, int64_t era, bool restored, int64_t now_us);
 
 /* A call to the store failed. Entries that expire from now on may belong to running endpoints. */
-void ep_on_away(struct ep_list *list);
+void ep_on_store_failure(struct ep_list *list);
 
 /* A call to the store succeeded. Must be called before the records that the call returned. */
-void ep_on_reached(struct ep_list *list, int64_t now_us);
+void ep_on_store_success(struct ep_list *list, int64_t now_us);
 
 /*
  * Adds one entry that a host of this system knew before an outage of the store. The entry is added
@@ -145,16 +145,16 @@
  * newer is known of the endpoint or of its address. Takes ownership of rec. Returns whether it was
  * added.
  */
-bool ep_on_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us);
+bool ep_add_recalled(struct ep_list *list, int64_t place, struct ep_rec *rec, int64_t now_us);
 
 /* Whether running endpoints may be missing: the store is unreachable or only just came back. */
-bool ep_is_returning(const struct ep_list *list, int64_t now_us);
+bool ep_may_lack_entries(const struct ep_list *list, int64_t now_us);
 
 /* Number of entries that are missing in the store but still kept. */
-int ep_lapsed(const struct ep_list *list);
+int ep_count_lapsed(const struct ep_list *list);
 
 /* Drops lapsed entries and old tombstones that are due. Returns whether an entry was dropped. */
-bool ep_on_time(struct ep_list *list, int64_t now_us);
+bool ep_drop_expired(struct ep_list *list, int64_t now_us);
 
 /*
  * Time until which running endpoints may be missing from the list. A starting host can't know
@@ -162,7 +162,7 @@
  * which all hosts were killed during an outage, 2,208 requests were refused in the two seconds
  * until the endpoints had registered again, and nearly all of them had used their only retry.
  */
-int64_t ep_whole_us(const struct ep_list *list);
+int64_t ep_complete_us(const struct ep_list *list);
 
 /* New array of the entries (struct ep_rec with a reference each), sorted by id. */
 GPtrArray *ep_snapshot(const struct ep_list *list);
--- a/ep/ep_era_test.cc
+++ b/ep/ep_era_test.cc
@@ -38,7 +38,7 @@
 	HostView()
 	{
 		ep_list_init(&list);
-		ep_on_era(&list, 1, false, 0);
+		ep_on_store_era(&list, 1, false, 0);
 	}
 	~HostView()
 	{
@@ -158,18 +158,18 @@
 	};
 	for (const auto &c : cases) {
 		HostView v;
-		v.Process(era_place(1, 20), c.before, 0);
+		v.Process(era_make_place(1, 20), c.before, 0);
 		if (c.removed)
-			v.Process(era_place(1, 21), Entry{c.before.id}, 0);
-		ep_on_era(&v.list, 2, true, 10 * SEC);
-		ep_on_listing(&v.list);
+			v.Process(era_make_place(1, 21), Entry{c.before.id}, 0);
+		ep_on_store_era(&v.list, 2, true, 10 * SEC);
+		ep_begin_listing(&v.list);
 		if (c.copy.heartbeat > 0)
-			v.Process(era_place(2, 5), c.copy, 10 * SEC);
-		ep_on_listed(&v.list, era_place(2, 6), 10 * SEC);
+			v.Process(era_make_place(2, 5), c.copy, 10 * SEC);
+		ep_end_listing(&v.list, era_make_place(2, 6), 10 * SEC);
 		EXPECT_EQ(v.Shown(), c.at_once) << c.what;
 		if (c.then.heartbeat > 0)
-			v.Process(era_place(2, 9), c.then, 11 * SEC);
-		ep_on_time(&v.list, 13 * SEC);
+			v.Process(era_make_place(2, 9), c.then, 11 * SEC);
+		ep_drop_expired(&v.list, 13 * SEC);
 		EXPECT_EQ(v.Shown(), c.after) << c.what;
 	}
 }
@@ -178,11 +178,11 @@
 TEST(EpEraTest, ARecordOfAnEarlierEraIsIgnored)
 {
 	HostView v;
-	ep_on_era(&v.list, 2, true, 10 * SEC);
-	EXPECT_FALSE(v.Process(era_place(1, 900), {"e1", 7, 9, 4}, 10 * SEC));
+	ep_on_store_era(&v.list, 2, true, 10 * SEC);
+	EXPECT_FALSE(v.Process(era_make_place(1, 900), {"e1", 7, 9, 4}, 10 * SEC));
 	EXPECT_EQ(v.Shown(), "");
-	EXPECT_TRUE(v.Process(era_place(2, 3), {"e1", 7, 10, 4}, 10 * SEC));
-	EXPECT_FALSE(v.Process(era_place(1, 901), Entry{"e1"}, 11 * SEC));
+	EXPECT_TRUE(v.Process(era_make_place(2, 3), {"e1", 7, 10, 4}, 10 * SEC));
+	EXPECT_FALSE(v.Process(era_make_place(1, 901), Entry{"e1"}, 11 * SEC));
 	EXPECT_EQ(v.Shown(), "e1:10/4");
 }
 
@@ -192,13 +192,13 @@
 	HostView v;
 	Entry old_one{"e1", 7, 9, 4};
 	Entry new_one{"f1", 8, 2, 4};
-	v.Process(era_place(1, 20), old_one, 0);
-	v.Process(era_place(1, 21), new_one, 0);
+	v.Process(era_make_place(1, 20), old_one, 0);
+	v.Process(era_make_place(1, 21), new_one, 0);
 	EXPECT_EQ(v.Shown(), "f1:2/4");
-	ep_on_era(&v.list, 2, true, 10 * SEC);
-	ep_on_listing(&v.list);
-	v.Process(era_place(2, 5), old_one, 10 * SEC);
-	ep_on_listed(&v.list, era_place(2, 6), 10 * SEC);
+	ep_on_store_era(&v.list, 2, true, 10 * SEC);
+	ep_begin_listing(&v.list);
+	v.Process(era_make_place(2, 5), old_one, 10 * SEC);
+	ep_end_listing(&v.list, era_make_place(2, 6), 10 * SEC);
 	EXPECT_EQ(v.Shown(), "f1:2/4");
 }
 
@@ -245,7 +245,7 @@
 
 	void Write(const Entry &e)
 	{
-		log_.push_back({era_place(era_, (int64_t)log_.size()), e});
+		log_.push_back({era_make_place(era_, (int64_t)log_.size()), e});
 		all_records_.push_back(log_.back());
 	}
 
@@ -296,7 +296,7 @@
 			else
 				Write(Entry{e.id});
 		}
-		ep_on_era(&view_.list, era_, true, now_);
+		ep_on_store_era(&view_.list, era_, true, now_);
 		listed_ = false;
 	}
 
@@ -318,10 +318,10 @@
 		for (const auto &n : NewestRecords())
 			items.push_back(n.second);
 		std::shuffle(items.begin(), items.end(), rng_);
-		ep_on_listing(&view_.list);
+		ep_begin_listing(&view_.list);
 		for (const Record &r : items)
 			Deliver(r);
-		ep_on_listed(&view_.list, era_place(era_, (int64_t)log_.size()), now_);
+		ep_end_listing(&view_.list, era_make_place(era_, (int64_t)log_.size()), now_);
 		listed_ = true;
 	}
 
@@ -329,7 +329,7 @@
 	{
 		if (!listed_)
 			return List();
-		size_t from = (size_t)era_offset(view_.list.next);
+		size_t from = (size_t)era_offset_of_place(view_.list.next);
 		for (size_t i = from; i < log_.size() && n-- > 0; i++)
 			Deliver(log_[i]);
 	}
@@ -398,7 +398,7 @@
 		Read((int)log_.size());
 		now_ += 10 * SEC;
 		List();
-		ep_on_time(&view_.list, now_);
+		ep_drop_expired(&view_.list, now_);
 	}
 
 	std::string Expected() const
--- a/ep/ep_test.cc
+++ b/ep/ep_test.cc
@@ -80,15 +80,15 @@
 		SetUp();
 		offset_ = 100;
 		if (c.away)
-			ep_on_away(&list_);
-		ep_on_reached(&list_, 10 * SEC);
-		ep_on_listing(&list_);
+			ep_on_store_failure(&list_);
+		ep_on_store_success(&list_, 10 * SEC);
+		ep_begin_listing(&list_);
 		Put("b", 10 * SEC);
-		ep_on_listed(&list_, 101, 10 * SEC);
+		ep_end_listing(&list_, 101, 10 * SEC);
 		for (const char *id : {"a", "b", "c"})
-			ep_on_recalled(&list_, 50, Rec(id), c.at * SEC);
+			ep_add_recalled(&list_, 50, Rec(id), c.at * SEC);
 		EXPECT_EQ(Ids(), c.ids) << c.what;
-		ep_on_time(&list_, c.until * SEC);
+		ep_drop_expired(&list_, c.until * SEC);
 		EXPECT_EQ(Ids(), c.later) << c.what;
 	}
 }
@@ -96,37 +96,37 @@
 TEST_F(EpTest, ARecalledEntryDoesNotReplaceANewerRecord)
 {
 	offset_ = 100;
-	ep_on_away(&list_);
-	ep_on_reached(&list_, 10 * SEC);
+	ep_on_store_failure(&list_);
+	ep_on_store_success(&list_, 10 * SEC);
 	Put("l", 10 * SEC, EP_DRAINING);
 	Remove("r", 10 * SEC);
 	same_addr_ = true;
 	Put("n", 10 * SEC);
-	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("o"), 10 * SEC))
+	EXPECT_FALSE(ep_add_recalled(&list_, 50, Rec("o"), 10 * SEC))
 		<< "another endpoint is at its address";
 	same_addr_ = false;
-	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("l"), 10 * SEC)) << "it is leaving";
-	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("r"), 10 * SEC)) << "it was removed since";
-	EXPECT_FALSE(ep_on_recalled(&list_, 50, Rec("d", EP_DRAINING), 10 * SEC));
-	EXPECT_TRUE(ep_on_recalled(&list_, 50, Rec("a"), 10 * SEC));
+	EXPECT_FALSE(ep_add_recalled(&list_, 50, Rec("l"), 10 * SEC)) << "it is leaving";
+	EXPECT_FALSE(ep_add_recalled(&list_, 50, Rec("r"), 10 * SEC)) << "it was removed since";
+	EXPECT_FALSE(ep_add_recalled(&list_, 50, Rec("d", EP_DRAINING), 10 * SEC));
+	EXPECT_TRUE(ep_add_recalled(&list_, 50, Rec("a"), 10 * SEC));
 	Put("a", 11 * SEC);
-	ep_on_time(&list_, 13 * SEC);
+	ep_drop_expired(&list_, 13 * SEC);
 	EXPECT_EQ(Ids(), "a(l)n") << "it has registered again";
 }
 
 /* Running endpoints may be missing for two seconds after the first listing and after an outage. */
 TEST_F(EpTest, AListIsCompleteTwoSecondsAfterTheFirstListingOrAnOutage)
 {
-	EXPECT_LT(ep_whole_us(&list_), 2 * SEC) << "there was no listing";
-	ep_on_listing(&list_);
-	ep_on_listed(&list_, 0, 10 * SEC);
-	EXPECT_EQ(ep_whole_us(&list_), 12 * SEC);
-	ep_on_listing(&list_);
-	ep_on_listed(&list_, 0, 20 * SEC);
-	EXPECT_EQ(ep_whole_us(&list_), 12 * SEC) << "the store had no outage";
-	ep_on_away(&list_);
-	ep_on_reached(&list_, 30 * SEC);
-	EXPECT_EQ(ep_whole_us(&list_), 32 * SEC);
+	EXPECT_LT(ep_complete_us(&list_), 2 * SEC) << "there was no listing";
+	ep_begin_listing(&list_);
+	ep_end_listing(&list_, 0, 10 * SEC);
+	EXPECT_EQ(ep_complete_us(&list_), 12 * SEC);
+	ep_begin_listing(&list_);
+	ep_end_listing(&list_, 0, 20 * SEC);
+	EXPECT_EQ(ep_complete_us(&list_), 12 * SEC) << "the store had no outage";
+	ep_on_store_failure(&list_);
+	ep_on_store_success(&list_, 30 * SEC);
+	EXPECT_EQ(ep_complete_us(&list_), 32 * SEC);
 }
 
 TEST_F(EpTest, RecordsAddChangeAndRemoveEntries)
@@ -176,10 +176,10 @@
 	EXPECT_FALSE(ep_on_leaving(&list_, a, SEC)) << "it is known already";
 	Put("a", 2 * SEC);
 	EXPECT_EQ(Ids(), "(a)b") << "a heartbeat";
-	ep_on_listing(&list_);
+	ep_begin_listing(&list_);
 	Put("a", 3 * SEC);
 	Put("b", 3 * SEC);
-	ep_on_listed(&list_, offset_, 3 * SEC);
+	ep_end_listing(&list_, offset_, 3 * SEC);
 	EXPECT_EQ(Ids(), "(a)b") << "the list was read again";
 	Remove("a", 4 * SEC);
 	Put("a", 4 * SEC);
@@ -241,9 +241,9 @@
 {
 	Put("a", SEC);
 	Put("b", SEC);
-	ep_on_listing(&list_);
+	ep_begin_listing(&list_);
 	ep_on_record(&list_, 1, "b", Rec("b"), SEC);
-	ep_on_listed(&list_, 9, SEC);
+	ep_end_listing(&list_, 9, SEC);
 	EXPECT_EQ(Ids(), "b");
 	EXPECT_EQ(list_.next, 9);
 }
@@ -257,15 +257,15 @@
 {
 	Put("a", SEC);
 	Put("b", SEC);
-	ep_on_away(&list_);
-	ep_on_reached(&list_, 10 * SEC);
+	ep_on_store_failure(&list_);
+	ep_on_store_success(&list_, 10 * SEC);
 	Remove("a", 10 * SEC);
 	Remove("b", 10 * SEC);
 	EXPECT_EQ(Ids(), "ab");
 	Put("a", 11 * SEC);
-	ep_on_time(&list_, 12 * SEC - 1);
+	ep_drop_expired(&list_, 12 * SEC - 1);
 	EXPECT_EQ(Ids(), "ab");
-	ep_on_time(&list_, 12 * SEC);
+	ep_drop_expired(&list_, 12 * SEC);
 	EXPECT_EQ(Ids(), "a");
 }
 
@@ -278,8 +278,8 @@
 TEST_F(EpTest, ARemovalLongAfterAnOutageAppliesAtOnce)
 {
 	Put("a", SEC);
-	ep_on_away(&list_);
-	ep_on_reached(&list_, 10 * SEC);
+	ep_on_store_failure(&list_);
+	ep_on_store_success(&list_, 10 * SEC);
 	Remove("a", 13 * SEC);
 	EXPECT_EQ(Ids(), "");
 }
@@ -287,8 +287,8 @@
 TEST_F(EpTest, ADrainingEndpointIsRemovedAtOnceAlsoAfterAnOutage)
 {
 	Put("a", SEC, EP_DRAINING);
-	ep_on_away(&list_);
-	ep_on_reached(&list_, 10 * SEC);
+	ep_on_store_failure(&list_);
+	ep_on_store_success(&list_, 10 * SEC);
 	Remove("a", 10 * SEC);
 	EXPECT_EQ(Ids(), "");
 }
@@ -331,13 +331,13 @@
 {
 	born_ = 100;
 	Put("a", 0);
-	ep_on_away(&list_);
+	ep_on_store_failure(&list_);
 	Remove("a", SEC);
 	EXPECT_EQ(Ids(), "a");
-	ep_on_reached(&list_, 2 * SEC);
+	ep_on_store_success(&list_, 2 * SEC);
 	born_ = 200;
 	Put("a", 3 * SEC);
-	ep_on_time(&list_, 10 * SEC);
+	ep_drop_expired(&list_, 10 * SEC);
 	GPtrArray *recs = ep_snapshot(&list_);
 	ASSERT_EQ(recs->len, 1u);
 	EXPECT_EQ(((const ep_rec *)recs->pdata[0])->born_ms, 200);
@@ -363,7 +363,7 @@
 		if (i != 7) /* it stays listed, so its departure is kept */
 			ep_on_record(&list_, 2 * i + 1, id.c_str(), nullptr, now);
 		now += SEC;
-		ep_on_time(&list_, now);
+		ep_drop_expired(&list_, now);
 	}
 	EXPECT_LE(g_hash_table_size(list_.removals), 1100u);
 	EXPECT_LE(g_hash_table_size(list_.departures), 1100u);
--- a/ep/failing.h
+++ b/ep/penalty.h
@@ -1,5 +1,5 @@
-#ifndef EP_FAILING_H
-#define EP_FAILING_H
+#ifndef EP_PENALTY_H
+#define EP_PENALTY_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -14,7 +14,7 @@
  * each served request. An endpoint that is passed over for its penalty gets a trial request from
  * time to time, as nothing else would show that it works again. The module does no I/O.
  */
-struct flg {
+struct penalty {
 	double failures;    /* number of failures, decayed up to updated_us */
 	int64_t updated_us; /* time at which failures was last computed, in microseconds */
 	int passed_over; /* number of choices of another endpoint since the last choice of this */
@@ -25,19 +25,19 @@
 };
 
 /* A request to the endpoint failed. */
-void flg_on_failed(struct flg *flg, int64_t now_us);
+void penalty_on_failed(struct penalty *penalty, int64_t now_us);
 
 /* The endpoint served a request. */
-void flg_on_served(struct flg *flg, int64_t now_us);
+void penalty_on_served(struct penalty *penalty, int64_t now_us);
 
 /* The penalty, as a decayed number of failures; 0 if there is none. */
-double flg_recent(const struct flg *flg, int64_t now_us);
+double penalty_value(const struct penalty *penalty, int64_t now_us);
 
 /* Another endpoint was chosen. Returns whether this one is to get a trial request instead. */
-bool flg_on_passed(struct flg *flg, int64_t now_us);
+bool penalty_on_passed_over(struct penalty *penalty, int64_t now_us);
 
 /* This endpoint was chosen. */
-void flg_on_chosen(struct flg *flg);
+void penalty_on_chosen(struct penalty *penalty);
 
 G_END_DECLS
 
--- a/ep/failing_test.cc
+++ b/ep/penalty_test.cc
@@ -1,4 +1,4 @@
-#include "ep/failing.h"
+#include "ep/penalty.h"
 
 #include <gtest/gtest.h>
 
@@ -15,23 +15,23 @@
  */
 int CountRequests(int failures, int per_s, double fails, int64_t from_us, int64_t to_us)
 {
-	flg failing{};
+	penalty failing{};
 	int got = 0;
 	uint32_t seed = 1;
 	for (int i = 0; i < failures; i++)
-		flg_on_failed(&failing, 0);
+		penalty_on_failed(&failing, 0);
 	for (int64_t t = 0; t < to_us; t += SEC / per_s) {
-		bool chosen = flg_recent(&failing, t) == 0 ? (t / (SEC / per_s)) % 3 == 0
-							   : flg_on_passed(&failing, t);
+		bool chosen = penalty_value(&failing, t) == 0 ? (t / (SEC / per_s)) % 3 == 0
+							      : penalty_on_passed_over(&failing, t);
 		if (!chosen)
 			continue;
-		flg_on_chosen(&failing);
+		penalty_on_chosen(&failing);
 		got += t >= from_us;
 		seed = seed * 1664525U + 1013904223U;
 		if ((seed >> 8) / (double)(1U << 24) < fails)
-			flg_on_failed(&failing, t);
+			penalty_on_failed(&failing, t);
 		else
-			flg_on_served(&failing, t);
+			penalty_on_served(&failing, t);
 	}
 	return got;
 }
@@ -60,15 +60,15 @@
 /* Penalties of several failures add up and decay to zero. */
 TEST(PenaltyTest, ThePenaltyDecaysToZero)
 {
-	flg failing{};
-	flg_on_failed(&failing, 0);
-	EXPECT_DOUBLE_EQ(flg_recent(&failing, 0), 1);
-	EXPECT_DOUBLE_EQ(flg_recent(&failing, 4 * SEC), 0.5);
-	EXPECT_EQ(flg_recent(&failing, 8 * SEC), 0);
-	flg_on_failed(&failing, 4 * SEC);
-	EXPECT_DOUBLE_EQ(flg_recent(&failing, 4 * SEC), 1.5);
-	flg_on_served(&failing, 4 * SEC);
-	EXPECT_DOUBLE_EQ(flg_recent(&failing, 4 * SEC), 0.75);
+	penalty failing{};
+	penalty_on_failed(&failing, 0);
+	EXPECT_DOUBLE_EQ(penalty_value(&failing, 0), 1);
+	EXPECT_DOUBLE_EQ(penalty_value(&failing, 4 * SEC), 0.5);
+	EXPECT_EQ(penalty_value(&failing, 8 * SEC), 0);
+	penalty_on_failed(&failing, 4 * SEC);
+	EXPECT_DOUBLE_EQ(penalty_value(&failing, 4 * SEC), 1.5);
+	penalty_on_served(&failing, 4 * SEC);
+	EXPECT_DOUBLE_EQ(penalty_value(&failing, 4 * SEC), 0.75);
 }
 
 } // namespace
--- a/ep/rest_sim_test.cc
+++ b/ep/rest_sim_test.cc
@@ -118,7 +118,8 @@
 		int first = endpoints_ > CANDIDATES_MAX ? (int)(rnd_unit(&seed_) * endpoints_) : 0;
 		for (int i = 0; i < std::min(endpoints_, CANDIDATES_MAX); i++) {
 			int e = (first + i * CANDIDATES_STEP) % endpoints_;
-			if (policy_ != IGNORE && !rst_is_open(&rests_[Index(host, e)], now_))
+			if (policy_ != IGNORE &&
+			    !rest_allows_request(&rests_[Index(host, e)], now_))
 				continue;
 			double cost =
 				(in_flight_[Index(host, e)] + 1) * (1 + 0.2 * rnd_unit(&seed_));
@@ -147,7 +148,7 @@
 		out_.rejected++;
 		rest_asked_us_[at] = now_;
 		sent_in_rest_[at] = 0;
-		rst_on_asked(&rests_[at], REST_US, now_, rnd_unit(&seed_));
+		rest_on_asked(&rests_[at], REST_US, now_, rnd_unit(&seed_));
 		for (int h = 0; policy_ == SHARED && h < hosts_; h++) {
 			if (h == host)
 				continue;
@@ -170,9 +171,9 @@
 				break;
 			retries_left_[host] -= sends > 0;
 			Count(host, e);
-			rst_on_sent(&rests_[Index(host, e)], now_);
+			rest_on_sent(&rests_[Index(host, e)], now_);
 			if (!Rejects(e)) {
-				rst_on_taken(&rests_[Index(host, e)], now_);
+				rest_on_accepted(&rests_[Index(host, e)], now_);
 				in_flight_[Index(host, e)]++;
 				Push(now_ + SERVICE_US, host, e);
 				out_.served++;
@@ -188,7 +189,7 @@
 	Policy policy_;
 	int64_t now_ = 0;
 	uint32_t seed_ = 7;
-	std::vector<rst> rests_;
+	std::vector<rest_period> rests_;
 	struct Hint {
 		int64_t from, to;
 	};
--- a/ep/rest_test.cc
+++ b/ep/rest_test.cc
@@ -17,47 +17,48 @@
 		int64_t open_us; /* earliest time of a request, counted from the answer */
 	} cases[] = {
 		{3 * SEC, 0, 3 * SEC},
-		{3 * SEC, 0.5, 3 * SEC + RST_SPREAD_US / 2},
+		{3 * SEC, 0.5, 3 * SEC + REST_SPREAD_US / 2},
 		{250 * MS, 0, 250 * MS},
 		{86400 * SEC, 0, 86400 * SEC},
 		{0, 0.9, 0},
 	};
 	for (const auto &c : cases) {
-		rst rest{};
+		rest_period rest{};
 		int64_t now = 10 * SEC;
-		EXPECT_EQ(rst_on_asked(&rest, c.for_us, now, c.spread), c.for_us > 0);
-		EXPECT_EQ(rst_open_us(&rest, now), now + c.open_us) << c.for_us;
-		EXPECT_EQ(rst_is_open(&rest, now + c.open_us - 1), c.for_us == 0) << c.for_us;
-		EXPECT_TRUE(rst_is_open(&rest, now + c.open_us)) << c.for_us;
-		rst_on_sent(&rest, now + c.open_us);
-		EXPECT_EQ(rst_is_open(&rest, now + c.open_us), c.for_us == 0) << c.for_us;
+		EXPECT_EQ(rest_on_asked(&rest, c.for_us, now, c.spread), c.for_us > 0);
+		EXPECT_EQ(rest_next_request_us(&rest, now), now + c.open_us) << c.for_us;
+		EXPECT_EQ(rest_allows_request(&rest, now + c.open_us - 1), c.for_us == 0)
+			<< c.for_us;
+		EXPECT_TRUE(rest_allows_request(&rest, now + c.open_us)) << c.for_us;
+		rest_on_sent(&rest, now + c.open_us);
+		EXPECT_EQ(rest_allows_request(&rest, now + c.open_us), c.for_us == 0) << c.for_us;
 	}
 }
 
 /* Guards against a trial request without an answer that blocks other requests for long. */
 TEST(RestTest, AnUnansweredTrialDelaysOtherRequestsForALimitedTime)
 {
-	rst rest{};
-	rst_on_asked(&rest, SEC, 0, 0);
-	rst_on_sent(&rest, SEC);
-	EXPECT_FALSE(rst_is_open(&rest, SEC + REST_TRIAL_US - 1));
-	EXPECT_TRUE(rst_is_open(&rest, SEC + REST_TRIAL_US));
-	rst_on_sent(&rest, SEC + REST_TRIAL_US);
-	EXPECT_TRUE(rst_is_open(&rest, SEC + REST_TRIAL_US));
-	EXPECT_LE(RST_SPREAD_US + REST_TRIAL_US, SEC);
+	rest_period rest{};
+	rest_on_asked(&rest, SEC, 0, 0);
+	rest_on_sent(&rest, SEC);
+	EXPECT_FALSE(rest_allows_request(&rest, SEC + REST_TRIAL_US - 1));
+	EXPECT_TRUE(rest_allows_request(&rest, SEC + REST_TRIAL_US));
+	rest_on_sent(&rest, SEC + REST_TRIAL_US);
+	EXPECT_TRUE(rest_allows_request(&rest, SEC + REST_TRIAL_US));
+	EXPECT_LE(REST_SPREAD_US + REST_TRIAL_US, SEC);
 }
 
 /* Once the endpoint has accepted the trial request, it is used like the others. */
 TEST(RestTest, AnAcceptedTrialEndsTheRest)
 {
-	rst rest{};
-	rst_on_asked(&rest, SEC, 0, 0);
-	EXPECT_FALSE(rst_on_taken(&rest, 500 * MS)) << "the answer to an older request";
-	rst_on_sent(&rest, SEC);
-	EXPECT_TRUE(rst_on_taken(&rest, SEC + 5 * MS));
+	rest_period rest{};
+	rest_on_asked(&rest, SEC, 0, 0);
+	EXPECT_FALSE(rest_on_accepted(&rest, 500 * MS)) << "the answer to an older request";
+	rest_on_sent(&rest, SEC);
+	EXPECT_TRUE(rest_on_accepted(&rest, SEC + 5 * MS));
 	for (int i = 0; i < 3; i++) {
-		EXPECT_TRUE(rst_is_open(&rest, SEC + 5 * MS));
-		rst_on_sent(&rest, SEC + 5 * MS);
+		EXPECT_TRUE(rest_allows_request(&rest, SEC + 5 * MS));
+		rest_on_sent(&rest, SEC + 5 * MS);
 	}
 }
 
@@ -75,9 +76,9 @@
 		{3 * SEC, 0, SEC, 3 * SEC},
 	};
 	for (const auto &c : cases) {
-		rst rest{};
-		EXPECT_TRUE(rst_on_asked(&rest, c.first_us, 0, 0));
-		EXPECT_FALSE(rst_on_asked(&rest, c.second_us, c.at_us, 0))
+		rest_period rest{};
+		EXPECT_TRUE(rest_on_asked(&rest, c.first_us, 0, 0));
+		EXPECT_FALSE(rest_on_asked(&rest, c.second_us, c.at_us, 0))
 			<< "the same rest continues";
 		EXPECT_EQ(rest.until_us, c.until_us);
 	}
@@ -86,28 +87,28 @@
 /* An endpoint may reject the trial request and ask for another rest, which is obeyed as well. */
 TEST(RestTest, ARejectedTrialBeginsAnotherRest)
 {
-	rst rest{};
-	rst_on_asked(&rest, 3 * SEC, 0, 0);
-	rst_on_sent(&rest, 3 * SEC);
-	EXPECT_TRUE(rst_on_asked(&rest, 3 * SEC, 3 * SEC + MS, 0));
-	EXPECT_FALSE(rst_is_open(&rest, 6 * SEC));
-	EXPECT_TRUE(rst_is_open(&rest, 6 * SEC + MS));
+	rest_period rest{};
+	rest_on_asked(&rest, 3 * SEC, 0, 0);
+	rest_on_sent(&rest, 3 * SEC);
+	EXPECT_TRUE(rest_on_asked(&rest, 3 * SEC, 3 * SEC + MS, 0));
+	EXPECT_FALSE(rest_allows_request(&rest, 6 * SEC));
+	EXPECT_TRUE(rest_allows_request(&rest, 6 * SEC + MS));
 }
 
 /* Guards against more than one call for a report or a health check during a rest. */
 TEST(RestTest, OneReportCallIsAllowedDuringARest)
 {
-	rst rest{};
-	EXPECT_TRUE(rst_may_call(&rest, 0));
-	EXPECT_TRUE(rst_may_call(&rest, 0));
-	rst_on_asked(&rest, 3 * SEC, 0, 0);
-	EXPECT_TRUE(rst_may_call(&rest, SEC));
-	EXPECT_FALSE(rst_may_call(&rest, SEC));
-	rst_on_asked(&rest, 3 * SEC, 2 * SEC, 0);
-	EXPECT_FALSE(rst_may_call(&rest, 4 * SEC)) << "the same rest continues";
-	EXPECT_TRUE(rst_may_call(&rest, 5 * SEC));
-	rst_on_asked(&rest, SEC, 6 * SEC, 0);
-	EXPECT_TRUE(rst_may_call(&rest, 6 * SEC));
+	rest_period rest{};
+	EXPECT_TRUE(rest_allows_report_call(&rest, 0));
+	EXPECT_TRUE(rest_allows_report_call(&rest, 0));
+	rest_on_asked(&rest, 3 * SEC, 0, 0);
+	EXPECT_TRUE(rest_allows_report_call(&rest, SEC));
+	EXPECT_FALSE(rest_allows_report_call(&rest, SEC));
+	rest_on_asked(&rest, 3 * SEC, 2 * SEC, 0);
+	EXPECT_FALSE(rest_allows_report_call(&rest, 4 * SEC)) << "the same rest continues";
+	EXPECT_TRUE(rest_allows_report_call(&rest, 5 * SEC));
+	rest_on_asked(&rest, SEC, 6 * SEC, 0);
+	EXPECT_TRUE(rest_allows_report_call(&rest, 6 * SEC));
 }
 
 } // namespace
--- a/era/era.c
+++ b/era/era.c
@@ -17,7 +17,7 @@
 	return packed < 0 ? ERA_NONE : packed & ((INT64_C(1) << bits) - 1);
 }
 
-int64_t era_place(int64_t era, int64_t offset)
+int64_t era_make_place(int64_t era, int64_t offset)
 {
 	return era_pack(era, offset, ERA_OFFSET_BITS);
 }
@@ -27,12 +27,12 @@
 	return era_upper_bits(place, ERA_OFFSET_BITS);
 }
 
-int64_t era_offset(int64_t place)
+int64_t era_offset_of_place(int64_t place)
 {
 	return era_lower_bits(place, ERA_OFFSET_BITS);
 }
 
-int64_t era_fence(int64_t era, int64_t generation)
+int64_t era_make_fence(int64_t era, int64_t generation)
 {
 	return era_pack(era, generation, ERA_GENERATION_BITS);
 }
@@ -42,22 +42,22 @@
 	return era_upper_bits(fence, ERA_GENERATION_BITS);
 }
 
-int64_t era_generation(int64_t fence)
+int64_t era_generation_of_fence(int64_t fence)
 {
 	return era_lower_bits(fence, ERA_GENERATION_BITS);
 }
 
-enum era_news era_hear(struct era *era, int64_t told)
+enum era_change era_update(struct era *era, int64_t told)
 {
 	bool first = !era->known;
 
 	if (told < 0 || told > ERA_MAX)
 		return ERA_UNCHANGED;
 	if (!first && told < era->now)
-		return ERA_PAST;
+		return ERA_OUTDATED;
 	if (!first && told == era->now)
 		return ERA_UNCHANGED;
 	era->known = true;
 	era->now = told;
-	return first ? ERA_FIRST : ERA_RETURN;
+	return first ? ERA_INITIAL : ERA_ADVANCED;
 }
--- a/era/era.h
+++ b/era/era.h
@@ -27,14 +27,14 @@
 };
 
 /* Composes a place, and returns its parts. ERA_NONE as offset or place gives ERA_NONE. */
-int64_t era_place(int64_t era, int64_t offset);
+int64_t era_make_place(int64_t era, int64_t offset);
 int64_t era_of_place(int64_t place);
-int64_t era_offset(int64_t place);
+int64_t era_offset_of_place(int64_t place);
 
 /* Composes a fencing number, and returns its parts. ERA_NONE as argument gives ERA_NONE. */
-int64_t era_fence(int64_t era, int64_t generation);
+int64_t era_make_fence(int64_t era, int64_t generation);
 int64_t era_of_fence(int64_t fence);
-int64_t era_generation(int64_t fence);
+int64_t era_generation_of_fence(int64_t fence);
 
 /* The latest era that this host knows. */
 struct era {
@@ -43,18 +43,18 @@
 };
 
 /* How a reported era compares with the latest known one. */
-enum era_news {
+enum era_change {
 	ERA_UNCHANGED, /* the same, or no era was reported */
-	ERA_FIRST,     /* the first one since the process started; existing data belong to it */
-	ERA_RETURN,    /* later: the store was restored from a copy, once or several times */
-	ERA_PAST       /* earlier: the sender doesn't know of the restore yet */
+	ERA_INITIAL,   /* the first one since the process started; existing data belong to it */
+	ERA_ADVANCED,  /* later: the store was restored from a copy, once or several times */
+	ERA_OUTDATED   /* earlier: the sender doesn't know of the restore yet */
 };
 
 /*
  * Updates the latest known era with one that the store or another host reported. told: that era, or
  * ERA_NONE if the message contains none.
  */
-enum era_news era_hear(struct era *era, int64_t told);
+enum era_change era_update(struct era *era, int64_t told);
 
 G_END_DECLS
 
--- a/lead/lead.h
+++ b/lead/lead.h
@@ -37,25 +37,25 @@
 void lead_init(struct lead *lead, int64_t ttl_us);
 
 /* A join was sent to the store. */
-void lead_on_join(struct lead *lead, int64_t now_us);
+void lead_on_join_sent(struct lead *lead, int64_t now_us);
 
 /* The store answered the join. Returns whether the fencing number or the lease changed. */
-bool lead_on_joined(struct lead *lead, int64_t fence, bool leads);
+bool lead_on_join_answered(struct lead *lead, int64_t fence, bool leads);
 
 /* Another host reported this fencing number. */
-void lead_on_heard(struct lead *lead, int64_t fence);
+void lead_on_fence_reported(struct lead *lead, int64_t fence);
 
 /* The store was restored from a copy. */
-void lead_on_return(struct lead *lead, int64_t now_us);
+void lead_on_store_restored(struct lead *lead, int64_t now_us);
 
 /* An engine refused an order with this fencing number, since it has seen a higher one. */
-void lead_on_refused(struct lead *lead, int64_t fence);
+void lead_on_order_refused(struct lead *lead, int64_t fence);
 
 /* This host leaves the group. */
-void lead_on_left(struct lead *lead);
+void lead_on_group_left(struct lead *lead);
 
 /* Whether this host may send orders to engines now. */
-bool lead_may_order(const struct lead *lead, int64_t now_us);
+bool lead_may_send_orders(const struct lead *lead, int64_t now_us);
 
 G_END_DECLS
 
--- a/lead/lead_era_test.cc
+++ b/lead/lead_era_test.cc
@@ -18,8 +18,8 @@
 {
 	lead l;
 	lead_init(&l, ttl);
-	lead_on_join(&l, joined);
-	lead_on_joined(&l, era_fence(FIRST, 7), true);
+	lead_on_join_sent(&l, joined);
+	lead_on_join_answered(&l, era_make_fence(FIRST, 7), true);
 	return l;
 }
 
@@ -31,24 +31,24 @@
 TEST(LeadEraTest, ALowerGenerationOfALaterEraIsAccepted)
 {
 	lead l = MakeLeader(4, 10);
-	lead_on_return(&l, 11);
-	EXPECT_FALSE(lead_may_order(&l, 11)) << "before it has joined again";
-	lead_on_join(&l, 11);
-	lead_on_joined(&l, era_fence(FIRST + 1, 5), true);
-	EXPECT_TRUE(lead_may_order(&l, 12)) << "it held the lease itself";
-	EXPECT_GT(l.fence, era_fence(FIRST, 7));
+	lead_on_store_restored(&l, 11);
+	EXPECT_FALSE(lead_may_send_orders(&l, 11)) << "before it has joined again";
+	lead_on_join_sent(&l, 11);
+	lead_on_join_answered(&l, era_make_fence(FIRST + 1, 5), true);
+	EXPECT_TRUE(lead_may_send_orders(&l, 12)) << "it held the lease itself";
+	EXPECT_GT(l.fence, era_make_fence(FIRST, 7));
 }
 
 TEST(LeadEraTest, AHostThatDidNotLeadWaitsUntilOlderLeasesHaveExpired)
 {
 	lead l;
 	lead_init(&l, 4);
-	lead_on_heard(&l, era_fence(FIRST, 7));
-	lead_on_return(&l, 20);
+	lead_on_fence_reported(&l, era_make_fence(FIRST, 7));
+	lead_on_store_restored(&l, 20);
 	for (int64_t now = 20; now <= 24; now++) {
-		lead_on_join(&l, now);
-		lead_on_joined(&l, era_fence(FIRST + 1, 5), true);
-		EXPECT_EQ(lead_may_order(&l, now), now == 24) << now;
+		lead_on_join_sent(&l, now);
+		lead_on_join_answered(&l, era_make_fence(FIRST + 1, 5), true);
+		EXPECT_EQ(lead_may_send_orders(&l, now), now == 24) << now;
 	}
 }
 
@@ -56,12 +56,12 @@
 TEST(LeadEraTest, AFencingNumberOfAnEarlierEraHasNoEffect)
 {
 	lead l = MakeLeader(4, 10);
-	lead_on_return(&l, 11);
-	lead_on_join(&l, 11);
-	lead_on_joined(&l, era_fence(FIRST + 1, 5), true);
-	lead_on_heard(&l, era_fence(FIRST, 9));
-	lead_on_refused(&l, era_fence(FIRST, 9));
-	EXPECT_TRUE(lead_may_order(&l, 12));
+	lead_on_store_restored(&l, 11);
+	lead_on_join_sent(&l, 11);
+	lead_on_join_answered(&l, era_make_fence(FIRST + 1, 5), true);
+	lead_on_fence_reported(&l, era_make_fence(FIRST, 9));
+	lead_on_order_refused(&l, era_make_fence(FIRST, 9));
+	EXPECT_TRUE(lead_may_send_orders(&l, 12));
 }
 
 /*
@@ -120,8 +120,8 @@
 	lead l;
 	lead_init(&l, TTL);
 	if (h.age < AGE_MAX) {
-		lead_on_join(&l, NOW - h.age);
-		lead_on_joined(&l, era_fence(h.era, 1), true);
+		lead_on_join_sent(&l, NOW - h.age);
+		lead_on_join_answered(&l, era_make_fence(h.era, 1), true);
 	}
 	l.wait_until_us = NOW + h.wait;
 	return l;
@@ -139,7 +139,7 @@
 void LearnOfRestore(Host &h, bool waits)
 {
 	lead l = AsLead(h);
-	lead_on_return(&l, NOW);
+	lead_on_store_restored(&l, NOW);
 	if (!waits)
 		l.wait_until_us = NOW;
 	h.era = 1;
@@ -178,8 +178,8 @@
 	if (h.answer_era < h.era)
 		return;
 	lead l = AsLead(h);
-	lead_on_join(&l, NOW - h.join_age);
-	lead_on_joined(&l, era_fence(h.era, 1), true);
+	lead_on_join_sent(&l, NOW - h.join_age);
+	lead_on_join_answered(&l, era_make_fence(h.era, 1), true);
 	StoreLead(h, l);
 }
 
@@ -258,7 +258,7 @@
 		int may = 0;
 		for (const Host &h : w.hosts) {
 			lead l = AsLead(h);
-			bool orders = lead_may_order(&l, NOW);
+			bool orders = lead_may_send_orders(&l, NOW);
 			may += orders;
 			found.one[h.era] += orders;
 		}
--- a/lead/lead_test.cc
+++ b/lead/lead_test.cc
@@ -14,12 +14,12 @@
 {
 	lead l;
 	lead_init(&l, 4);
-	EXPECT_FALSE(lead_may_order(&l, 10));
-	lead_on_join(&l, 10);
-	EXPECT_FALSE(lead_may_order(&l, 11));
-	EXPECT_TRUE(lead_on_joined(&l, 7, true));
-	EXPECT_TRUE(lead_may_order(&l, 13));
-	EXPECT_FALSE(lead_may_order(&l, 14));
+	EXPECT_FALSE(lead_may_send_orders(&l, 10));
+	lead_on_join_sent(&l, 10);
+	EXPECT_FALSE(lead_may_send_orders(&l, 11));
+	EXPECT_TRUE(lead_on_join_answered(&l, 7, true));
+	EXPECT_TRUE(lead_may_send_orders(&l, 13));
+	EXPECT_FALSE(lead_may_send_orders(&l, 14));
 }
 
 /*
@@ -31,13 +31,13 @@
 {
 	lead l;
 	lead_init(&l, 4);
-	lead_on_join(&l, 10);
-	lead_on_joined(&l, 7, true);
-	lead_on_heard(&l, 8);
-	EXPECT_FALSE(lead_may_order(&l, 11));
-	lead_on_join(&l, 11);
-	lead_on_joined(&l, 8, true);
-	EXPECT_TRUE(lead_may_order(&l, 12));
+	lead_on_join_sent(&l, 10);
+	lead_on_join_answered(&l, 7, true);
+	lead_on_fence_reported(&l, 8);
+	EXPECT_FALSE(lead_may_send_orders(&l, 11));
+	lead_on_join_sent(&l, 11);
+	lead_on_join_answered(&l, 8, true);
+	EXPECT_TRUE(lead_may_send_orders(&l, 12));
 }
 
 /*
@@ -49,25 +49,25 @@
 {
 	lead l;
 	lead_init(&l, 4);
-	lead_on_join(&l, 10);
-	lead_on_joined(&l, 7, true);
-	lead_on_refused(&l, 7);
-	EXPECT_FALSE(lead_may_order(&l, 11));
-	lead_on_join(&l, 11);
-	lead_on_joined(&l, 7, true);
-	EXPECT_FALSE(lead_may_order(&l, 12));
-	lead_on_joined(&l, 9, true);
-	EXPECT_TRUE(lead_may_order(&l, 12));
+	lead_on_join_sent(&l, 10);
+	lead_on_join_answered(&l, 7, true);
+	lead_on_order_refused(&l, 7);
+	EXPECT_FALSE(lead_may_send_orders(&l, 11));
+	lead_on_join_sent(&l, 11);
+	lead_on_join_answered(&l, 7, true);
+	EXPECT_FALSE(lead_may_send_orders(&l, 12));
+	lead_on_join_answered(&l, 9, true);
+	EXPECT_TRUE(lead_may_send_orders(&l, 12));
 }
 
 TEST(LeadTest, AHostThatLeftTheGroupSendsNoOrders)
 {
 	lead l;
 	lead_init(&l, 4);
-	lead_on_join(&l, 10);
-	lead_on_joined(&l, 7, true);
-	lead_on_left(&l);
-	EXPECT_FALSE(lead_may_order(&l, 11));
+	lead_on_join_sent(&l, 10);
+	lead_on_join_answered(&l, 7, true);
+	lead_on_group_left(&l);
+	EXPECT_FALSE(lead_may_send_orders(&l, 11));
 }
 
 /*
@@ -123,8 +123,8 @@
 {
 	lead l;
 	lead_init(&l, TTL);
-	lead_on_join(&l, now - h.age);
-	lead_on_joined(&l, h.current ? 2 : 1, h.leads);
+	lead_on_join_sent(&l, now - h.age);
+	lead_on_join_answered(&l, h.current ? 2 : 1, h.leads);
 	return l;
 }
 
@@ -159,8 +159,8 @@
 	HostState &h = w.hosts[host];
 	int64_t now = 1000;
 	lead l = AsLead(h, now);
-	lead_on_join(&l, from_answer ? now : now - h.message.age);
-	lead_on_joined(&l, h.message.current ? 2 : 1, h.message.leads);
+	lead_on_join_sent(&l, from_answer ? now : now - h.message.age);
+	lead_on_join_answered(&l, h.message.current ? 2 : 1, h.message.leads);
 	h.leads = l.leads;
 	h.current = h.message.current;
 	h.age = (int)(now - l.joined_us);
@@ -232,7 +232,7 @@
 		int may_order = 0;
 		for (const HostState &h : w.hosts) {
 			lead l = AsLead(h, 1000);
-			may_order += lead_may_order(&l, 1000);
+			may_order += lead_may_send_orders(&l, 1000);
 		}
 		found.both += may_order == 2;
 		found.one += may_order == 1;
--- a/router/feed_pack_test.cc
+++ b/router/feed_pack_test.cc
@@ -166,7 +166,7 @@
 				rec->text = g_strdup(id.c_str());
 				rec->heartbeat = beat + 1;
 				rec->layer_to = beat >= 5 && i == 7 ? 8 : 0;
-				if (ep_on_record(&list, place, id.c_str(), rec, 0) == EP_NEWS) {
+				if (ep_on_record(&list, place, id.c_str(), rec, 0) == EP_CHANGED) {
 					fp_on_record(&pack, place, id.c_str(), str_of(id.c_str()));
 					queued++;
 				}
--- a/router/feed_take.c
+++ b/router/feed_take.c
@@ -73,10 +73,10 @@
 	GPtrArray *missing;
 	bool needs_full;
 
-	ep_on_listing(fmerge->list);
+	ep_begin_listing(fmerge->list);
 	needs_full = fmerge_apply_in_order(fmerge, items, before);
 	missing = fmerge_find_missing(fmerge->list);
-	ep_on_listed(fmerge->list, next, now_us);
+	ep_end_listing(fmerge->list, next, now_us);
 	/* Places of an older era do not tell which records followers have. */
 	needs_full = needs_full || era_of_place(next) != era_of_place(before) ||
 		     (missing->len > 0 && next <= before);
@@ -94,11 +94,11 @@
 	if (repeated)
 		return fmerge_apply_repeated_list(fmerge, items, next, now_us);
 	if (listing)
-		ep_on_listing(fmerge->list);
+		ep_begin_listing(fmerge->list);
 	for (size_t i = 0; i < items->n_items; i++)
 		fmerge_apply_item(fmerge, items->items[i]);
 	if (listing)
-		ep_on_listed(fmerge->list, next, now_us);
+		ep_end_listing(fmerge->list, next, now_us);
 	fmerge->list->next = MAX(fmerge->list->next, next);
 	return listing;
 }
--- a/router/feed_take_test.cc
+++ b/router/feed_take_test.cc
@@ -37,7 +37,7 @@
 			rec->text = g_strndup(text.data, text.len);
 			rec->layer_to = (int)text.len; /* Differs with the length of the text */
 		}
-		if (ep_on_record(&relay->list, place, id, rec, SEC) == EP_NEWS) {
+		if (ep_on_record(&relay->list, place, id, rec, SEC) == EP_CHANGED) {
 			fp_on_record(&relay->out, place, id, text);
 			relay->changes.push_back((text.data ? "" : "-") + std::string(id));
 		}
@@ -117,7 +117,8 @@
 		{"an older record", 50, 101, false, true},
 		{"an entry is removed, the log was read further", 100, 101, true, false},
 		{"an entry is removed, the log was not read further", 99, 100, true, true},
-		{"after a restore of the store", era_place(1, 3), era_place(1, 4), false, true},
+		{"after a restore of the store", era_make_place(1, 3), era_make_place(1, 4), false,
+		 true},
 	};
 	for (const auto &c : cases) {
 		Relay relay;
--- a/router/follow.c
+++ b/router/follow.c
@@ -416,7 +416,7 @@
 	follow->stale_us = follow->fed ? 0 : (follow->stale_us > 0 ? follow->stale_us : tmr_now());
 	host_on_evidence(&follow->table, follow->host, HOST_HEARD, tmr_now());
 	if (follow->fed)
-		ep_on_reached(&rc->endpoints, tmr_now());
+		ep_on_store_success(&rc->endpoints, tmr_now());
 	if (follow_apply_conf(follow, msg) < 0 || follow_apply_endpoints(follow, msg) < 0) {
 		follow_log(follow, "feed_unreadable", base_strerror(BASE_EFRAME));
 		feed__update__free_unpacked(msg, NULL);
--- a/router/limits.c
+++ b/router/limits.c
@@ -273,7 +273,7 @@
  */
 static void limits_prune(struct limits *limits, int64_t now_us)
 {
-	GHashTable *listed = ep_incarnations(&limits->rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&limits->rc->endpoints);
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
--- a/router/loads.c
+++ b/router/loads.c
@@ -76,7 +76,7 @@
 /* Adds the loads of all unusual engines, for hosts that have not received them. */
 static void loads_add_unusual(struct rc *rc, GArray *loads)
 {
-	GHashTable *listed = ep_incarnations(&rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&rc->endpoints);
 	GHashTableIter iter;
 	gpointer load;
 
--- a/router/member.c
+++ b/router/member.c
@@ -112,7 +112,7 @@
 {
 	if (rc->lead.joined_us > 0)
 		member_send_leave(rc);
-	lead_on_left(&rc->lead);
+	lead_on_group_left(&rc->lead);
 }
 
 /* Returns whether a copy of the store may still name this host as a member of the group. */
@@ -179,7 +179,7 @@
 {
 	if (era_of_fence(rc->lead.newest) != rc->era.now)
 		return 0;
-	return era_generation(rc->lead.newest);
+	return era_generation_of_fence(rc->lead.newest);
 }
 
 /* Joins the group or renews the membership. The answer says whether this host is the leader. */
@@ -194,7 +194,7 @@
 		return;
 	body = store->make_join(rc->router->settings.name, MEMBER_TTL_MS,
 				member_known_generation(rc));
-	lead_on_join(&rc->lead, tmr_boot_now());
+	lead_on_join_sent(&rc->lead, tmr_boot_now());
 	rc->join = member_call_group(rc, store->join_path(), body, member_on_joined);
 }
 
@@ -210,8 +210,8 @@
 	if (answer->status != HTTP_OK ||
 	    rc->router->seam->store.parse_join(answer->body, &generation, &leader) < 0)
 		return;
-	fence = era_fence(rc->era.now, generation);
-	if (lead_on_joined(&rc->lead, fence, leader)) {
+	fence = era_make_fence(rc->era.now, generation);
+	if (lead_on_join_answered(&rc->lead, fence, leader)) {
 		jl_begin(JL_KEEP, "group");
 		jl_int("era", rc->era.now);
 		jl_int("generation", generation);
@@ -223,7 +223,7 @@
 
 void member_on_remote_fence(struct rc *rc, int64_t fence)
 {
-	lead_on_heard(&rc->lead, fence);
+	lead_on_fence_reported(&rc->lead, fence);
 	rc_view_due(rc);
 	if (rc->candidate && !rc->join)
 		loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
@@ -231,7 +231,7 @@
 
 void member_on_store_restored(struct rc *rc)
 {
-	lead_on_return(&rc->lead, tmr_boot_now());
+	lead_on_store_restored(&rc->lead, tmr_boot_now());
 	if (!rc->candidate && member_has_left_recently(rc))
 		member_send_leave(rc);
 	if (!rc->candidate)
@@ -245,7 +245,7 @@
 /* Uses a clock that also runs while the machine is suspended, so that a lease ends in time. */
 bool member_may_give_orders(const struct rc *rc)
 {
-	return !rc->stopping && lead_may_order(&rc->lead, tmr_boot_now());
+	return !rc->stopping && lead_may_send_orders(&rc->lead, tmr_boot_now());
 }
 
 void member_set_candidate(struct rc *rc, bool candidate)
--- a/router/pick.c
+++ b/router/pick.c
@@ -61,7 +61,7 @@
 {
 	if (ep->suspect_us > now_us)
 		return PA_FAULTY;
-	return dbt_is_set(&ep->doubt, now_us) ? PA_DOUBTED : PA_GOOD;
+	return avoid_is_active(&ep->doubt, now_us) ? PA_DOUBTED : PA_GOOD;
 }
 
 bool pick_is_avoided(const struct tf_target *avoid, const struct tf_ep *ep)
@@ -204,7 +204,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (!pick_is_usable(value, service) || pick_is_avoided(avoid, value))
 			continue;
-		if (!rst_is_open(&((struct tf_ep *)value)->rest, at_us)) {
+		if (!rest_allows_request(&((struct tf_ep *)value)->rest, at_us)) {
 			pick->resting++;
 			continue;
 		}
@@ -355,7 +355,7 @@
 
 	memset(target, 0, sizeof(*target));
 	if (pick_is_avoided(avoid, now->stages[0].ep) || now->stages[0].ep->suspect_us > now_us ||
-	    rst_is_asked(&now->stages[0].ep->rest, now_us))
+	    rest_is_active(&now->stages[0].ep->rest, now_us))
 		return FWD_ENOENDPOINT;
 	pick_join_excluded(now, avoid, &without);
 	pick_init(&pick, tf, service, request, &without, now_us);
--- a/router/pick_opens.c
+++ b/router/pick_opens.c
@@ -22,7 +22,7 @@
 	g_array_append_val(times, now_us);
 	g_hash_table_iter_init(&iter, tf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		int64_t at_us = rst_open_us(&((const struct tf_ep *)value)->rest, now_us);
+		int64_t at_us = rest_next_request_us(&((const struct tf_ep *)value)->rest, now_us);
 
 		if (at_us > now_us && pick_is_usable(value, args->service) &&
 		    !pick_is_avoided(args->avoid, value))
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -21,7 +21,7 @@
 {
 	double load = (double)(ep->in_flight + 1) / MAX(ep->rec->slots, 1);
 
-	load *= 1 + pick_plain_failure * flg_recent(&ep->failing, now_us);
+	load *= 1 + pick_plain_failure * penalty_value(&ep->failing, now_us);
 	if (strcmp(ep->rec->zone, tf->router->settings.zone) != 0)
 		load *= pick_plain_other_zone;
 	return load * (1 + pick_plain_spread * rnd_unit(&tf->seed));
@@ -58,12 +58,13 @@
 	while (args->may_repeat && g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct tf_ep *ep = value;
 
-		if (ep == chosen || flg_recent(&ep->failing, now_us) == 0 ||
+		if (ep == chosen || penalty_value(&ep->failing, now_us) == 0 ||
 		    !pick_is_usable(ep, args->service) || pick_is_avoided(args->avoid, ep) ||
-		    pick_trust_level(ep, now_us) != PA_GOOD || !rst_is_open(&ep->rest, now_us) ||
+		    pick_trust_level(ep, now_us) != PA_GOOD ||
+		    !rest_allows_request(&ep->rest, now_us) ||
 		    !tf_limit_is_open(tf, ep, args->account))
 			continue;
-		if (flg_on_passed(&ep->failing, now_us))
+		if (penalty_on_passed_over(&ep->failing, now_us))
 			trial = ep;
 	}
 	return trial;
@@ -86,7 +87,7 @@
 		if (!pick_is_usable(value, args->service) || pick_is_avoided(args->avoid, value) ||
 		    trust > args->trust)
 			continue;
-		if (!rst_is_open(&((struct tf_ep *)value)->rest, now_us)) {
+		if (!rest_allows_request(&((struct tf_ep *)value)->rest, now_us)) {
 			resting++;
 			continue;
 		}
--- a/router/placer.c
+++ b/router/placer.c
@@ -390,7 +390,7 @@
 		jl_str("answer", body);
 	jl_end();
 	if (status == HTTP_FENCED)
-		lead_on_refused(&placer->rc->lead, order->fence);
+		lead_on_order_refused(&placer->rc->lead, order->fence);
 	if (!sent || status == HTTP_CONFLICT || status == HTTP_FENCED)
 		order->begun_us -= placer_repeat_us(placer) * 3 / 4;
 }
--- a/router/poll.c
+++ b/router/poll.c
@@ -123,7 +123,7 @@
 /* Begins a pass over all engines that are listed now. */
 static void poll_begin_pass(struct poll *poll)
 {
-	GHashTable *listed = ep_incarnations(&poll->rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&poll->rc->endpoints);
 	GPtrArray *engines = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
--- a/router/rc.c
+++ b/router/rc.c
@@ -49,16 +49,16 @@
 		sf_on_return(rc);
 }
 
-enum era_news rc_hear_era(struct rc *rc, int64_t era, const char *from)
+enum era_change rc_hear_era(struct rc *rc, int64_t era, const char *from)
 {
 	int64_t before = rc->era.now;
-	enum era_news news = era_hear(&rc->era, era);
+	enum era_change news = era_update(&rc->era, era);
 
-	if (news == ERA_PAST)
+	if (news == ERA_OUTDATED)
 		met_add(met_counter("bg_store_past_answers_total", ""), 1);
-	if (news == ERA_FIRST || news == ERA_RETURN)
-		ep_on_era(&rc->endpoints, rc->era.now, news == ERA_RETURN, tmr_now());
-	if (news == ERA_RETURN)
+	if (news == ERA_INITIAL || news == ERA_ADVANCED)
+		ep_on_store_era(&rc->endpoints, rc->era.now, news == ERA_ADVANCED, tmr_now());
+	if (news == ERA_ADVANCED)
 		rc_on_return(rc, before, from);
 	return news;
 }
@@ -310,7 +310,7 @@
 	 * Ignored records are not sent to followers: one that has just started could not recognize
 	 * them as outdated.
 	 */
-	news = ep_on_record(&rc->endpoints, place, id, rec, tmr_now()) == EP_NEWS;
+	news = ep_on_record(&rc->endpoints, place, id, rec, tmr_now()) == EP_CHANGED;
 	if (news && text.data)
 		feed_on_record(rc->feed, place, id, text);
 	else if (news)
@@ -389,7 +389,7 @@
 {
 	struct rc *rc = ctx;
 
-	if (ep_on_time(&rc->endpoints, now_us))
+	if (ep_drop_expired(&rc->endpoints, now_us))
 		feed_on_listing(rc->feed);
 	follow_on_tick(rc->follow, now_us);
 	if (follow_is_fed(rc->follow))
@@ -419,7 +419,7 @@
 	view->hosts = MAX((int)g_hash_table_size(rc->hosts), 1);
 	view->fence = rc->lead.newest;
 	view->listed = rc_is_listed(rc);
-	view->whole_us = ep_whole_us(&rc->endpoints);
+	view->whole_us = ep_complete_us(&rc->endpoints);
 	view->fresh_us = rc->fresh_us;
 	rc->view_complete = view->conf && view->listed;
 	placer_on_change(rc->placer);
--- a/router/rc.h
+++ b/router/rc.h
@@ -131,7 +131,7 @@
  * "from" names the source in the log. On a change of era all data is read from the store again and
  * this host's own entries are written again.
  */
-enum era_news rc_hear_era(struct rc *rc, int64_t era, const char *from);
+enum era_change rc_hear_era(struct rc *rc, int64_t era, const char *from);
 
 /*
  * Converts the era of the store to its encoding in messages between hosts, and back. The encoding
--- a/router/recall.c
+++ b/router/recall.c
@@ -63,7 +63,8 @@
 
 	if (!rc->rank.first || rc->stopping || !sf_is_reached(rc) || !rc->listed)
 		return false;
-	if (recall->write || now_us < recall->next_write_us || now_us < ep_whole_us(&rc->endpoints))
+	if (recall->write || now_us < recall->next_write_us ||
+	    now_us < ep_complete_us(&rc->endpoints))
 		return false;
 	return !recall_is_saved(recall);
 }
@@ -163,7 +164,7 @@
 
 bool recall_on_list_read(struct recall *recall)
 {
-	if (!recall->first_list_done && ep_is_returning(&recall->rc->endpoints, tmr_now()))
+	if (!recall->first_list_done && ep_may_lack_entries(&recall->rc->endpoints, tmr_now()))
 		recall_read(recall);
 	recall->first_list_done = true;
 	return recall->read != NULL;
@@ -207,7 +208,7 @@
 			continue;
 		}
 		rec->text = str_dup(text);
-		added += ep_on_recalled(&rc->endpoints, e->offset, rec, tmr_now());
+		added += ep_add_recalled(&rc->endpoints, e->offset, rec, tmr_now());
 	}
 	recall_log("endpoints_recalled", HTTP_OK, 0, added);
 }
--- a/router/rq.c
+++ b/router/rq.c
@@ -258,8 +258,8 @@
 	rq->last_activity_us = tmr_now();
 	rq->attempt_boot_us = tmr_boot_now();
 	tf_limit_took(tf, rq->target.stages[0].ep, rq_account_name(rq));
-	rst_on_sent(&rq->target.stages[0].ep->rest, rq->last_activity_us);
-	flg_on_chosen(&rq->target.stages[0].ep->failing);
+	rest_on_sent(&rq->target.stages[0].ep->rest, rq->last_activity_us);
+	penalty_on_chosen(&rq->target.stages[0].ep->failing);
 	if (rq->sent_us == 0)
 		rq->sent_us = rq->last_activity_us;
 	rq_log_sent(rq, attempt, pipeline, resume_after);
@@ -345,7 +345,7 @@
 	rq_exclude_endpoint(rq, first);
 	/* A demand for a rest period is not a failure. */
 	if (rq->answer.rest != SEAM_REST_FOR) {
-		flg_on_failed(&first->failing, now_us);
+		penalty_on_failed(&first->failing, now_us);
 		/* Its load is low because it rejects, so the next request would choose it. */
 		if (rq->target.layered && rq->answer.head.not_run)
 			tf_on_named_faulty(first, "rejected", rq->request.id);
@@ -361,7 +361,7 @@
 static void rq_clear_doubts(struct rq *rq)
 {
 	for (int i = 0; i < rq->target.count; i++)
-		dbt_on_served(&rq->target.stages[i].ep->doubt, rq->last_activity_us);
+		avoid_on_served(&rq->target.stages[i].ep->doubt, rq->last_activity_us);
 }
 
 static bool rq_on_head(void *ctx, int status, const GPtrArray *headers)
@@ -380,7 +380,7 @@
 	if (status / 100 == 2) {
 		rq_clear_doubts(rq);
 		if (rq->target.count > 0)
-			flg_on_served(&rq->target.stages[0].ep->failing, rq->head_us);
+			penalty_on_served(&rq->target.stages[0].ep->failing, rq->head_us);
 		bk_on_served(tf_retry_delay(rq->tf, rq->service->name), tmr_now());
 	}
 	go_on = fwd_on_head(&rq->fwd, &rq->answer.head, tmr_now());
--- a/router/rq_repair.c
+++ b/router/rq_repair.c
@@ -85,7 +85,7 @@
 
 	if (!rq->target.layered) {
 		rq_exclude_endpoint(rq, rq->target.stages[0].ep);
-		flg_on_failed(&rq->target.stages[0].ep->failing, now_us);
+		penalty_on_failed(&rq->target.stages[0].ep->failing, now_us);
 		return false;
 	}
 	if (rq_hangs_alone(rq, now_us)) {
--- a/router/state.c
+++ b/router/state.c
@@ -112,16 +112,17 @@
 	struct state *state = ctx;
 	const struct rc *rc = state->router->rc;
 
-	state->json = json_pack(
-		"{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:b, s:s?, s:b, s:I, s:o}", "host",
-		state->router->settings.name, "configuration",
-		(json_int_t)(rc->conf ? rc->conf->version : -1), "era",
-		(json_int_t)(rc->era.known ? rc->era.now : ERA_NONE), "generation",
-		(json_int_t)era_generation(rc->lead.newest), "fence", (json_int_t)rc->lead.newest,
-		"reads_store", rc->direct, "asks_engines", rc_polls(rc), "places_layers",
-		member_may_give_orders(rc), "noted", recall_is_saved(rc->recall), "feeder",
-		follow_feeder(rc->follow), "fed", follow_is_fed(rc->follow), "store_age_ms",
-		(json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
+	state->json =
+		json_pack("{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:b, s:s?, s:b, s:I, s:o}",
+			  "host", state->router->settings.name, "configuration",
+			  (json_int_t)(rc->conf ? rc->conf->version : -1), "era",
+			  (json_int_t)(rc->era.known ? rc->era.now : ERA_NONE), "generation",
+			  (json_int_t)era_generation_of_fence(rc->lead.newest), "fence",
+			  (json_int_t)rc->lead.newest, "reads_store", rc->direct, "asks_engines",
+			  rc_polls(rc), "places_layers", member_may_give_orders(rc), "noted",
+			  recall_is_saved(rc->recall), "feeder", follow_feeder(rc->follow), "fed",
+			  follow_is_fed(rc->follow), "store_age_ms",
+			  (json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
 	state_add_origins(state->json, rc);
 	json_object_set_new(state->json, "quarantine", state_quarantine(rc));
 	json_object_set_new(state->json, "limits", limits_to_json(rc->limits));
--- a/router/store_call.c
+++ b/router/store_call.c
@@ -80,14 +80,14 @@
 	struct store_call *call = ctx;
 	struct rc *rc = call->rc;
 	struct store_answer answer = {status, err, str_make(body, len)};
-	enum era_news news;
+	enum era_change news;
 
 	(void)sent;
 	call->http = NULL;
 	news = rc_hear_era(rc, call->era, "store");
-	if (news == ERA_RETURN)
+	if (news == ERA_ADVANCED)
 		answer = (struct store_answer){0, STORE_ERESTORED, str_make(NULL, 0)};
-	if (news == ERA_PAST)
+	if (news == ERA_OUTDATED)
 		answer = (struct store_answer){0, STORE_ESTALE, str_make(NULL, 0)};
 	if (call->fn)
 		call->fn(call->ctx, &answer);
--- a/router/store_follow.c
+++ b/router/store_follow.c
@@ -184,7 +184,8 @@
 	bool listing = t->next < 0;
 	struct store_request request = {
 		.path = listing ? store->newest_path(t->topic, t->after)
-				: store->read_path(t->topic, era_offset(t->next), t->wait_ms),
+				: store->read_path(t->topic, era_offset_of_place(t->next),
+						   t->wait_ms),
 		.total_ms = listing ? SF_CALL_MS : MAX(t->wait_ms + SF_MARGIN_MS, SF_CALL_MS),
 		.fresh = t->failures > 0,
 	};
@@ -269,7 +270,7 @@
 static void sf_on_record(void *ctx, int64_t offset, struct str key, struct str value)
 {
 	struct sf_topic *t = ctx;
-	int64_t place = era_place(t->rc->era.now, offset);
+	int64_t place = era_make_place(t->rc->era.now, offset);
 	char *name = str_dup(key);
 
 	if (t->topic == SEAM_CONF && value.data)
@@ -305,7 +306,7 @@
 	}
 	met_add(met_counter("bg_store_failures_total", ""), 1);
 	if (sf_is_bad(&t->rc->topics[SEAM_ENDPOINTS]) && !follow_is_fed(t->rc->follow))
-		ep_on_away(&t->rc->endpoints);
+		ep_on_store_failure(&t->rc->endpoints);
 	feed_flush(t->rc->feed);
 	sf_again(t, tmr_ms(delay_ms));
 }
@@ -342,12 +343,12 @@
 /* Logs how many known endpoints are missing after the store was restored from an older copy. */
 static void sf_log_compared(const struct rc *rc)
 {
-	if (!ep_is_returning(&rc->endpoints, tmr_now()))
+	if (!ep_may_lack_entries(&rc->endpoints, tmr_now()))
 		return;
 	jl_begin(JL_KEEP, "endpoints_compared");
 	jl_int("era", rc->era.now);
 	jl_int("known", g_hash_table_size(rc->endpoints.entries));
-	jl_int("missing", ep_lapsed(&rc->endpoints));
+	jl_int("missing", ep_count_lapsed(&rc->endpoints));
 	jl_end();
 }
 
@@ -362,7 +363,7 @@
 		rc_on_hosts_heard(rc);
 	}
 	if (t->topic == SEAM_ENDPOINTS) {
-		ep_on_listed(&rc->endpoints, t->end, tmr_now());
+		ep_end_listing(&rc->endpoints, t->end, tmr_now());
 		sf_log_compared(rc);
 		rc->endpoints.changed = true;
 		feed_on_listing(rc->feed);
@@ -383,14 +384,14 @@
 	bool first = t->after == NULL;
 
 	if (first && t->topic == SEAM_ENDPOINTS)
-		ep_on_listing(&t->rc->endpoints);
+		ep_begin_listing(&t->rc->endpoints);
 	if (first && t->topic == SEAM_HOSTS)
 		hosts_on_listing_begin(t->rc->host_list);
 	if (t->rc->router->seam->store.parse_newest(body, sf_on_record, t, &read) < 0)
 		return false;
 	g_clear_pointer(&t->after, g_free);
 	if (first)
-		t->end = era_place(t->rc->era.now, read.end);
+		t->end = era_make_place(t->rc->era.now, read.end);
 	if (read.more) {
 		t->after = read.last;
 		sf_ask(t);
@@ -405,11 +406,13 @@
 {
 	struct seam_read read;
 
-	if (t->rc->router->seam->store.parse_read(body, era_offset(t->next), sf_on_record, t,
-						  &read) < 0)
+	if (t->rc->router->seam->store.parse_read(body, era_offset_of_place(t->next), sf_on_record,
+						  t, &read) < 0)
 		return false;
 	/* If the log has become shorter, the store was rewound and must be listed again. */
-	t->next = read.end < era_offset(t->next) ? -1 : era_place(t->rc->era.now, read.next);
+	t->next = read.end < era_offset_of_place(t->next)
+			  ? -1
+			  : era_make_place(t->rc->era.now, read.next);
 	t->reads++;
 	if (t->topic == SEAM_HOSTS && read.next == read.end)
 		rc_on_hosts_heard(t->rc);
@@ -436,7 +439,7 @@
 	sf_recovered(t);
 	t->read_us = tmr_now();
 	if (t->topic == SEAM_ENDPOINTS)
-		ep_on_reached(&t->rc->endpoints, t->read_us);
+		ep_on_store_success(&t->rc->endpoints, t->read_us);
 	good = t->next < 0 ? sf_on_page(t, answer->body) : sf_on_reading(t, answer->body);
 	if (!good)
 		sf_failed(t, answer->status, BASE_EHTTP);
--- a/router/tf.h
+++ b/router/tf.h
@@ -3,8 +3,8 @@
 
 #include "adm/adm.h"
 #include "back/back.h"
-#include "ep/doubt.h"
-#include "ep/failing.h"
+#include "ep/avoid.h"
+#include "ep/penalty.h"
 #include "ep/rest.h"
 #include "lim/fair.h"
 #include "lim/permits.h"
@@ -36,7 +36,8 @@
 	double full;	    /* fraction of its memory for requests in use, as last reported */
 	int64_t load_us;    /* time at which pace and full were last reported, in us; 0: never */
 	int64_t suspect_us; /* the endpoint counts as faulty until this time, in us */
-	struct dbt doubt;   /* time for which the endpoint is not chosen, as it may be faulty */
+	struct avoid_period
+		doubt; /* time for which the endpoint is not chosen, as it may be faulty */
 	int64_t last_unreachable_us; /* time of the last failure to connect, in us; 0: none */
 	int64_t progress_us;	/* time of the last data from the endpoint as first stage, in us */
 	struct hc_call *report; /* report request under way; NULL: none */
@@ -52,14 +53,15 @@
 	bool limit_unreadable;	   /* an unparsable rate limit of the endpoint has been logged */
 	int64_t limit_told_us; /* time of the last report of the limit to the control thread, in us
 				*/
-	struct rst rest; /* rest period, in which the endpoint takes no requests of this host */
+	struct rest_period
+		rest; /* rest period, in which the endpoint takes no requests of this host */
 	int64_t rest_since_us; /* time of the last demand for a rest period, in us; 0: never */
 	char *rest_by;	       /* id of the request whose answer demanded the rest period; owned;
 				* NULL: an answer to another call, such as a report, did */
 	bool rest_end_logged;  /* the end of the latest rest period has been logged */
 	bool rest_unreadable_logged; /* an unparsable demand for a rest period has been logged */
 	bool leaving;		     /* an answer of the endpoint announced its shutdown */
-	struct flg failing;	     /* recent failures; used for endpoints of plain services */
+	struct penalty failing;	     /* recent failures; used for endpoints of plain services */
 };
 
 enum {
--- a/router/tf_rest.c
+++ b/router/tf_rest.c
@@ -32,7 +32,7 @@
 {
 	int64_t now_us = tmr_now();
 	int64_t until_us = ep->rest.until_us;
-	bool is_new = rst_on_asked(&ep->rest, for_us, now_us, rnd_unit(&tf->seed));
+	bool is_new = rest_on_asked(&ep->rest, for_us, now_us, rnd_unit(&tf->seed));
 
 	if (is_new) {
 		tf_rest_log(ep, "rest_asked", for_us, request);
@@ -49,21 +49,21 @@
 
 void tf_rest_on_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us)
 {
-	if (rst_is_asked(&ep->rest, tmr_now()))
+	if (rest_is_active(&ep->rest, tmr_now()))
 		return;
 	met_add(met_counter("bg_rest_hints_total", ""), 1);
-	for_us += (int64_t)(rnd_unit(&tf->seed) * RST_SPREAD_US);
-	dbt_set(&ep->doubt, for_us, tmr_now());
+	for_us += (int64_t)(rnd_unit(&tf->seed) * REST_SPREAD_US);
+	avoid_extend(&ep->doubt, for_us, tmr_now());
 }
 
 void tf_rest_on_accepted(struct tf_ep *ep)
 {
-	rst_on_taken(&ep->rest, tmr_now());
+	rest_on_accepted(&ep->rest, tmr_now());
 }
 
 bool tf_rest_may_call(struct tf_ep *ep)
 {
-	return rst_may_call(&ep->rest, tmr_now());
+	return rest_allows_report_call(&ep->rest, tmr_now());
 }
 
 int64_t tf_rest_retry_us(struct tf *tf, const char *service, const char *request, int64_t left_us)
@@ -90,7 +90,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct tf_ep *ep = value;
 
-		if (rst_is_asked(&ep->rest, now_us)) {
+		if (rest_is_active(&ep->rest, now_us)) {
 			rests++;
 		} else if (ep->rest_since_us > 0 && !ep->rest_end_logged) {
 			ep->rest_end_logged = true;
--- a/router/tf_suspect.c
+++ b/router/tf_suspect.c
@@ -26,13 +26,13 @@
 
 void tf_doubt(struct tf_ep *ep, int64_t for_us, const char *why, const char *request)
 {
-	if (dbt_set(&ep->doubt, for_us, tmr_now()))
+	if (avoid_extend(&ep->doubt, for_us, tmr_now()))
 		tf_log_fault(ep, "endpoint_doubted", for_us, why, request);
 }
 
 void tf_on_named_faulty(struct tf_ep *ep, const char *why, const char *request)
 {
-	int64_t for_us = dbt_on_fault(&ep->doubt, tmr_now());
+	int64_t for_us = avoid_on_fault(&ep->doubt, tmr_now());
 
 	if (for_us > 0)
 		tf_log_fault(ep, "endpoint_doubted", for_us, why, request);
