--- a/path/path.c
+++ b/path/path.c
@@ -78,8 +78,9 @@
 	const struct rt_engine *e = s->engine;
 	double n = node->in_flight + 1;
 	double tokens = node->tokens + s->ask->prompt;
-	double step = e->step_ms + e->step_ms_per_seq * n + e->step_ms_per_kctx * tokens / 1000;
-	double read = e->read_per_ms > 0 ? s->ask->prompt / e->read_per_ms : 0;
+	double step =
+		e->step_ms + e->step_ms_per_seq * n + e->step_ms_per_context_ktoken * tokens / 1000;
+	double read = e->prompt_tokens_per_ms > 0 ? s->ask->prompt / e->prompt_tokens_per_ms : 0;
 	double full = MAX(node->room > 0 ? tokens / node->room : 1, node->full);
 	double cost = step * node->pace + read * node->read_pace / MAX(s->ask->answer, 1);
 
--- a/path/path_test.cc
+++ b/path/path_test.cc
@@ -18,8 +18,8 @@
 	e.layers = 80;
 	e.step_ms = 1.02;
 	e.step_ms_per_seq = 0.00714;
-	e.step_ms_per_kctx = 0.00956;
-	e.read_per_ms = 105;
+	e.step_ms_per_context_ktoken = 0.00956;
+	e.prompt_tokens_per_ms = 105;
 	return e;
 }
 
@@ -180,8 +180,9 @@
 		if (n.from > at || n.to <= at)
 			continue;
 		double step = e.step_ms + e.step_ms_per_seq * (n.in_flight + 1) +
-			      e.step_ms_per_kctx * (n.tokens + 800) / 1000;
-		double layer = (step * n.pace + 800 / e.read_per_ms * n.read_pace / 200) / 80;
+			      e.step_ms_per_context_ktoken * (n.tokens + 800) / 1000;
+		double layer =
+			(step * n.pace + 800 / e.prompt_tokens_per_ms * n.read_pace / 200) / 80;
 		double hop = 0.3 + (n.zone == zone ? 0 : 3.0 + 0.75);
 		least = std::min(least, hop + layer * (n.to - at) + LeastCost(nodes, n.to, n.zone));
 	}
--- a/quar/quar.c
+++ b/quar/quar.c
@@ -104,9 +104,9 @@
 
 static int quar_crash_points(const struct quar_entry *entry, const struct quar_crash *crash)
 {
-	if (crash->weight == QUAR_LIVES)
+	if (crash->weight == QUAR_ENDPOINT_ALIVE)
 		return 0;
-	return quar_is_long_running(entry) ? QUAR_WEAK : crash->weight;
+	return quar_is_long_running(entry) ? QUAR_WEIGHT_WEAK : crash->weight;
 }
 
 int quar_entry_points(const struct quar_entry *entry)
@@ -132,17 +132,17 @@
 	if (!entry)
 		return weight;
 	return quar_entry_points(entry) +
-	       (quar_is_long_running(entry) ? MIN(weight, (int)QUAR_WEAK) : weight);
+	       (quar_is_long_running(entry) ? MIN(weight, (int)QUAR_WEIGHT_WEAK) : weight);
 }
 
-bool quar_is_told(const struct quar_entry *entry)
+bool quar_is_propagated(const struct quar_entry *entry)
 {
 	if (entry->epoch > 0 || entry->n > 1)
 		return true;
-	return entry->n > 0 && entry->crashes[0].weight >= QUAR_STRONG;
+	return entry->n > 0 && entry->crashes[0].weight >= QUAR_WEIGHT_STRONG;
 }
 
-bool quar_is_kept(const struct quar_entry *entry)
+bool quar_is_persistent(const struct quar_entry *entry)
 {
 	return entry->epoch > 0 || entry->until_us > 0 || entry->n > 1;
 }
@@ -218,7 +218,7 @@
 	if (entry->n < QUAR_CRASHES_MAX)
 		return &entry->crashes[entry->n++];
 	for (int i = 0; i < entry->n; i++) {
-		if (entry->crashes[i].weight == QUAR_LIVES)
+		if (entry->crashes[i].weight == QUAR_ENDPOINT_ALIVE)
 			return &entry->crashes[i];
 	}
 	return NULL;
@@ -231,7 +231,7 @@
 
 	if (crash && crash->weight >= weight)
 		return false;
-	if (!crash && (weight != QUAR_LIVES || entry->n < QUAR_CRASHES_MAX))
+	if (!crash && (weight != QUAR_ENDPOINT_ALIVE || entry->n < QUAR_CRASHES_MAX))
 		crash = quar_alloc_crash(entry);
 	if (!crash)
 		return false;
@@ -284,13 +284,13 @@
 }
 
 /*
- * After a term the request may run again. The new epoch starts QUAR_STRONG points below the limit,
- * so that one more crash begins a longer term.
+ * After a term the request may run again. The new epoch starts QUAR_WEIGHT_STRONG points below the
+ * limit, so that one more crash begins a longer term.
  */
 static void quar_end_term_if_over(struct quar *quar, struct quar_entry *entry, int64_t now_us)
 {
 	if (entry->until_us > 0 && now_us >= entry->until_us)
-		quar_start_epoch(quar, entry, quar->limit - QUAR_STRONG, now_us);
+		quar_start_epoch(quar, entry, quar->limit - QUAR_WEIGHT_STRONG, now_us);
 }
 
 const struct quar_entry *quar_on_crash(struct quar *quar, const struct quar_id *id,
@@ -323,8 +323,8 @@
 	entry->lasted_us = MAX(entry->lasted_us, lasted_us);
 }
 
-const struct quar_entry *quar_on_part(struct quar *quar, const struct quar_id *id,
-				      int64_t lasted_us, int64_t now_us)
+const struct quar_entry *quar_on_progress(struct quar *quar, const struct quar_id *id,
+					  int64_t lasted_us, int64_t now_us)
 {
 	struct quar_entry *entry = quar_lookup(quar, id);
 	bool before;
@@ -334,7 +334,7 @@
 	before = quar_is_long_running(entry);
 	quar_update_longest_run(entry, lasted_us);
 	quar_refuse_if_over_limit(quar, entry, now_us);
-	return !before && quar_is_long_running(entry) && quar_is_told(entry) ? entry : NULL;
+	return !before && quar_is_long_running(entry) && quar_is_propagated(entry) ? entry : NULL;
 }
 
 const struct quar_entry *quar_clear(struct quar *quar, const struct quar_id *id, int64_t now_us)
@@ -343,7 +343,7 @@
 
 	if (!entry || quar_entry_points(entry) == 0)
 		return NULL;
-	if (!quar_is_told(entry)) {
+	if (!quar_is_propagated(entry)) {
 		quar_remove(quar, entry);
 		return NULL;
 	}
@@ -352,7 +352,8 @@
 	return entry;
 }
 
-void quar_on_lives(struct quar *quar, uint64_t endpoint, int64_t now_us, quar_fn fn, void *ctx)
+void quar_on_endpoint_alive(struct quar *quar, uint64_t endpoint, int64_t now_us, quar_fn fn,
+			    void *ctx)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -362,9 +363,9 @@
 		struct quar_entry *entry = value;
 		struct quar_crash *crash = quar_find_crash(entry, endpoint);
 
-		if (!crash || crash->weight == QUAR_LIVES)
+		if (!crash || crash->weight == QUAR_ENDPOINT_ALIVE)
 			continue;
-		crash->weight = QUAR_LIVES;
+		crash->weight = QUAR_ENDPOINT_ALIVE;
 		quar_lift_refusal_if_under_limit(quar, entry);
 		quar_mark_updated(quar, entry, now_us);
 		fn(ctx, entry);
@@ -415,8 +416,8 @@
 	return changed;
 }
 
-const struct quar_entry *quar_take(struct quar *quar, const struct quar_entry *other,
-				   int64_t now_us)
+const struct quar_entry *quar_merge_remote(struct quar *quar, const struct quar_entry *other,
+					   int64_t now_us)
 {
 	const struct quar_id id = {other->key, other->account};
 	bool known = quar_lookup(quar, &id) != NULL;
@@ -435,7 +436,7 @@
 	return quar_merge_entry(quar, entry, other, now_us) ? entry : NULL;
 }
 
-int64_t quar_left_us(struct quar *quar, const struct quar_id *id, int64_t now_us)
+int64_t quar_remaining_us(struct quar *quar, const struct quar_id *id, int64_t now_us)
 {
 	struct quar_entry *entry = quar_lookup(quar, id);
 
@@ -461,7 +462,7 @@
 	}
 }
 
-void quar_each(const struct quar *quar, quar_fn fn, void *ctx)
+void quar_foreach(const struct quar *quar, quar_fn fn, void *ctx)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/quar/quar.h
+++ b/quar/quar.h
@@ -18,8 +18,8 @@
  *
  * A crashing endpoint takes all its requests with it, most of which didn't cause the crash, so one
  * crash proves nothing. The quarantine counts at how many different endpoints a content was running
- * when they crashed. Each such crash adds points, by its weight; from QUAR_LIMIT points on the
- * request is refused for a period called a term, which is longer each time. A request that is
+ * when they crashed. Each such crash adds points, by its weight; from QUAR_REFUSAL_POINTS points on
+ * the request is refused for a period called a term, which is longer each time. A request that is
  * served completely can't be the cause, and its entry is cleared.
  *
  * Hosts send their entries to each other. Merging gives the same entry on all hosts, whatever the
@@ -31,23 +31,23 @@
 	 * Weight, in points, of a crash while the attempt had just started. A request that crashes
 	 * endpoints does so at that time.
 	 */
-	QUAR_STRONG = 2,
+	QUAR_WEIGHT_STRONG = 2,
 	/*
 	 * Weight, in points, of a crash while the attempt had run longer or may still have waited
 	 * in the endpoint's queue.
 	 */
-	QUAR_WEAK = 1,
+	QUAR_WEIGHT_WEAK = 1,
 	/*
 	 * Marks an endpoint that was taken for crashed and then found alive; it adds no points. It
 	 * is greater than the weights because a merge keeps the greatest value, so hosts that
 	 * recorded the crash earlier end with the same entry.
 	 */
-	QUAR_LIVES = 3,
+	QUAR_ENDPOINT_ALIVE = 3,
 	/*
 	 * Time in microseconds for which an attempt counts as just started. In recorded crashes the
 	 * request that caused them had run for 60 to 130 ms, most others there for seconds.
 	 */
-	QUAR_BEGIN_US = 500000,
+	QUAR_JUST_STARTED_US = 500000,
 	/*
 	 * Running time in microseconds from which on an attempt shows that its request doesn't
 	 * crash endpoints at the start.
@@ -59,9 +59,9 @@
 	 * QuarModelTest.LimitOfTwoCrashesRefusesMoreHarmlessRequests compares this with two
 	 * endpoints.
 	 */
-	QUAR_LIMIT = 3 * QUAR_STRONG,
+	QUAR_REFUSAL_POINTS = 3 * QUAR_WEIGHT_STRONG,
 	/* Maximum number of crashes that one entry records. */
-	QUAR_CRASHES_MAX = QUAR_LIMIT / QUAR_WEAK,
+	QUAR_CRASHES_MAX = QUAR_REFUSAL_POINTS / QUAR_WEIGHT_WEAK,
 	/*
 	 * Maximum number of entries in a table. An entry takes some 200 bytes, so the table takes
 	 * 0.8 MB. The oldest entry that isn't refused is removed first.
@@ -72,7 +72,7 @@
 /* One endpoint that crashed while the request was running there. */
 struct quar_crash {
 	uint64_t endpoint; /* hash of the endpoint's id and start time */
-	int weight;	   /* QUAR_STRONG, QUAR_WEAK or QUAR_LIVES */
+	int weight;	   /* QUAR_WEIGHT_STRONG, QUAR_WEIGHT_WEAK or QUAR_ENDPOINT_ALIVE */
 };
 
 /* Crash history of one request content. */
@@ -86,7 +86,7 @@
 	uint32_t epoch;
 	int base;	   /* points at the start of this epoch */
 	int terms;	   /* number of terms since the entry was created or cleared */
-	int64_t lasted_us; /* longest known running time in microseconds, see quar_on_part() */
+	int64_t lasted_us; /* longest known running time in microseconds, see quar_on_progress() */
 	int n;		   /* number of valid elements of crashes */
 	struct quar_crash crashes[QUAR_CRASHES_MAX];
 	int64_t last_us;  /* time of the last update, in microseconds */
@@ -107,7 +107,8 @@
 	const char *account; /* name of the client account; "" if none */
 };
 
-/* Initializes an empty table. limit is QUAR_LIMIT, except in tests that compare other limits. */
+/* Initializes an empty table. limit is QUAR_REFUSAL_POINTS, except in tests that compare other
+ * limits. */
 void quar_init(struct quar *quar, int limit);
 void quar_finish(struct quar *quar);
 
@@ -132,11 +133,11 @@
 /*
  * Records the running time of an attempt: lasted_us is the time in microseconds from the head of
  * its answer to the newest part. From QUAR_LONG_RUNNING_US on the request doesn't crash endpoints
- * at the start, and its crashes count QUAR_WEAK only. Returns the entry if other hosts need the
- * change, else NULL.
+ * at the start, and its crashes count QUAR_WEIGHT_WEAK only. Returns the entry if other hosts need
+ * the change, else NULL.
  */
-const struct quar_entry *quar_on_part(struct quar *quar, const struct quar_id *id,
-				      int64_t lasted_us, int64_t now_us);
+const struct quar_entry *quar_on_progress(struct quar *quar, const struct quar_id *id,
+					  int64_t lasted_us, int64_t now_us);
 
 /*
  * Clears the request's entry after the request was served completely or at an operator's command.
@@ -151,19 +152,20 @@
  * Withdraws the crashes counted at an endpoint that was taken for crashed and is alive; a network
  * partition refuses connections, too. fn is called for each entry that changes.
  */
-void quar_on_lives(struct quar *quar, uint64_t endpoint, int64_t now_us, quar_fn fn, void *ctx);
+void quar_on_endpoint_alive(struct quar *quar, uint64_t endpoint, int64_t now_us, quar_fn fn,
+			    void *ctx);
 
 /* Merges an entry received from another host. Returns the entry if it changed, else NULL. */
-const struct quar_entry *quar_take(struct quar *quar, const struct quar_entry *other,
-				   int64_t now_us);
+const struct quar_entry *quar_merge_remote(struct quar *quar, const struct quar_entry *other,
+					   int64_t now_us);
 
 /* Returns how long the request is still refused, in microseconds; 0 if it isn't refused. */
-int64_t quar_left_us(struct quar *quar, const struct quar_id *id, int64_t now_us);
+int64_t quar_remaining_us(struct quar *quar, const struct quar_id *id, int64_t now_us);
 
 /* Returns the length, in microseconds, of the term that the next refusal would have. */
 int64_t quar_next_term_us(const struct quar *quar, const struct quar_id *id);
 
-/* Returns the points counted against the request; from QUAR_LIMIT on it is refused. */
+/* Returns the points counted against the request; from QUAR_REFUSAL_POINTS on it is refused. */
 int quar_points(const struct quar *quar, const struct quar_id *id);
 int quar_entry_points(const struct quar_entry *entry);
 
@@ -174,19 +176,19 @@
  * Returns whether the entry is sent to other hosts. An entry whose only crash is a weak one isn't
  * sent, because each crash creates about a hundred of these.
  */
-bool quar_is_told(const struct quar_entry *entry);
+bool quar_is_propagated(const struct quar_entry *entry);
 
 /*
  * Returns whether the entry is written to the store, so that it survives a restart of all hosts.
  * An entry with a single crash isn't written; if it is lost, the request crashes one more endpoint.
  */
-bool quar_is_kept(const struct quar_entry *entry);
+bool quar_is_persistent(const struct quar_entry *entry);
 
 /* Removes outdated entries. fn, if not NULL, is called for each entry before its removal. */
 void quar_expire(struct quar *quar, int64_t now_us, quar_fn fn, void *ctx);
 
 /* Calls fn for each entry, in no particular order. */
-void quar_each(const struct quar *quar, quar_fn fn, void *ctx);
+void quar_foreach(const struct quar *quar, quar_fn fn, void *ctx);
 
 G_END_DECLS
 
--- a/quar/quar_key.c
+++ b/quar/quar_key.c
@@ -27,10 +27,10 @@
 	return (struct quar_key){hash.high64, hash.low64};
 }
 
-void quar_key_text(const struct quar_key *key, char text[QUAR_TEXT_LEN + 1])
+void quar_key_format(const struct quar_key *key, char text[QUAR_KEY_TEXT_LEN + 1])
 {
-	g_snprintf(text, QUAR_TEXT_LEN + 1, "%016" G_GINT64_MODIFIER "x%016" G_GINT64_MODIFIER "x",
-		   key->high, key->low);
+	g_snprintf(text, QUAR_KEY_TEXT_LEN + 1,
+		   "%016" G_GINT64_MODIFIER "x%016" G_GINT64_MODIFIER "x", key->high, key->low);
 }
 
 bool quar_key_eq(const struct quar_key *a, const struct quar_key *b)
--- a/quar/quar_key.h
+++ b/quar/quar_key.h
@@ -27,11 +27,11 @@
 
 enum {
 	/* Length of a digest as text, in hexadecimal digits without the terminating null. */
-	QUAR_TEXT_LEN = 32
+	QUAR_KEY_TEXT_LEN = 32
 };
 
-/* Writes the digest as QUAR_TEXT_LEN hexadecimal digits and a terminating null. */
-void quar_key_text(const struct quar_key *key, char text[QUAR_TEXT_LEN + 1]);
+/* Writes the digest as QUAR_KEY_TEXT_LEN hexadecimal digits and a terminating null. */
+void quar_key_format(const struct quar_key *key, char text[QUAR_KEY_TEXT_LEN + 1]);
 
 bool quar_key_eq(const struct quar_key *a, const struct quar_key *b);
 
--- a/quar/quar_model_test.cc
+++ b/quar/quar_model_test.cc
@@ -191,8 +191,8 @@
 			const quar_id id = {request.key, "a"};
 
 			request.has_output = true;
-			Broadcast(request.host, quar_on_part(&hosts_[(size_t)request.host], &id,
-							     RunningTime(request), now_));
+			Broadcast(request.host, quar_on_progress(&hosts_[(size_t)request.host], &id,
+								 RunningTime(request), now_));
 		} else {
 			const quar_id id = {request.key, "a"};
 
@@ -241,7 +241,7 @@
 		const quar_id id = {request.key, "a"};
 		int at = -1;
 
-		if (quar_left_us(&hosts_[(size_t)request.host], &id, now_) > 0) {
+		if (quar_remaining_us(&hosts_[(size_t)request.host], &id, now_) > 0) {
 			result_.refused += request.crashing < 0;
 			Fail(index);
 			return;
@@ -332,14 +332,15 @@
 			const quar_id id = {request.key, "a"};
 			quar *table = &hosts_[(size_t)request.host];
 			const int64_t running_time = RunningTime(request);
-			const int weight = running_time < QUAR_BEGIN_US ? QUAR_STRONG : QUAR_WEAK;
+			const int weight = running_time < QUAR_JUST_STARTED_US ? QUAR_WEIGHT_STRONG
+									       : QUAR_WEIGHT_WEAK;
 
 			Broadcast(request.host,
-				  quar_on_part(table, &id, LongestRunningTime(request), now_));
+				  quar_on_progress(table, &id, LongestRunningTime(request), now_));
 			Broadcast(request.host, quar_on_crash(table, &id, incarnation, weight,
 							      running_time, now_));
 			Broadcast(request.host,
-				  quar_on_part(table, &id, LongestRunningTime(request), now_));
+				  quar_on_progress(table, &id, LongestRunningTime(request), now_));
 		}
 		for (int interrupted : batch)
 			Resend(interrupted);
@@ -355,7 +356,7 @@
 	}
 	void Broadcast(int from, const quar_entry *entry)
 	{
-		if (!entry || !quar_is_told(entry))
+		if (!entry || !quar_is_propagated(entry))
 			return;
 		for (int i = 0; i < scenario_.hosts; i++) {
 			if (i == from)
@@ -367,7 +368,7 @@
 	}
 	void Merge(Message &message)
 	{
-		quar_take(&hosts_[(size_t)message.host], message.entry, now_);
+		quar_merge_remote(&hosts_[(size_t)message.host], message.entry, now_);
 	}
 
 	const int attempts_ = 3;
@@ -426,8 +427,9 @@
 	};
 
 	for (const auto &c : cases) {
-		const Scenario with = {c.hosts,	   c.endpoints, c.crashing, c.per_s,
-				       QUAR_LIMIT, 20 * MS,	0,	    false};
+		const Scenario with = {
+			c.hosts, c.endpoints, c.crashing, c.per_s, QUAR_REFUSAL_POINTS,
+			20 * MS, 0,	      false};
 		Scenario without = with;
 		unsigned int seeds = c.hosts > 100 ? 1 : 3;
 
@@ -446,10 +448,10 @@
 /* A limit of two crashes refuses sooner, but also refuses more harmless requests. */
 TEST(QuarModelTest, LimitOfTwoCrashesRefusesMoreHarmlessRequests)
 {
-	Scenario scenario = {7, 33, 20, 10, QUAR_LIMIT, 20 * MS, 0, false};
+	Scenario scenario = {7, 33, 20, 10, QUAR_REFUSAL_POINTS, 20 * MS, 0, false};
 	const Result three = Simulate(scenario, 5);
 
-	scenario.limit = 2 * QUAR_STRONG;
+	scenario.limit = 2 * QUAR_WEIGHT_STRONG;
 	const Result two = Simulate(scenario, 5);
 	Print("three", scenario, three);
 	Print("two", scenario, two);
@@ -463,7 +465,8 @@
 TEST(QuarModelTest, PopularRequestIsRarelyRefused)
 {
 	for (int endpoints : {10, 33}) {
-		const Scenario scenario = {7, endpoints, 5, 10, QUAR_LIMIT, 20 * MS, 0.5, false};
+		const Scenario scenario = {7,	    endpoints, 5,    10, QUAR_REFUSAL_POINTS,
+					   20 * MS, 0.5,       false};
 		const Result r = Simulate(scenario);
 
 		Print("popular", scenario, r);
@@ -480,7 +483,7 @@
 {
 	for (int hosts : {7, 200}) {
 		const Scenario scenario = {
-			hosts, hosts == 7 ? 33 : 190, 0, 1, QUAR_LIMIT, 20 * MS, 0, true};
+			hosts, hosts == 7 ? 33 : 190, 0, 1, QUAR_REFUSAL_POINTS, 20 * MS, 0, true};
 		const Result r = Simulate(scenario, hosts == 7 ? 3 : 1);
 
 		Print("many lost", scenario, r);
--- a/quar/quar_test.cc
+++ b/quar/quar_test.cc
@@ -18,7 +18,7 @@
       protected:
 	QuarTest()
 	{
-		quar_init(&quar_, QUAR_LIMIT);
+		quar_init(&quar_, QUAR_REFUSAL_POINTS);
 	}
 	~QuarTest() override
 	{
@@ -28,14 +28,14 @@
 	{
 		return {{7, low}, account};
 	}
-	const quar_entry *Crash(const quar_id &id, uint64_t endpoint, int weight = QUAR_STRONG,
-				int64_t lasted = 0)
+	const quar_entry *Crash(const quar_id &id, uint64_t endpoint,
+				int weight = QUAR_WEIGHT_STRONG, int64_t lasted = 0)
 	{
 		return quar_on_crash(&quar_, &id, endpoint, weight, lasted, now_);
 	}
 	bool Refused(const quar_id &id)
 	{
-		return quar_left_us(&quar_, &id, now_) > 0;
+		return quar_remaining_us(&quar_, &id, now_) > 0;
 	}
 	quar quar_;
 	int64_t now_ = 1000 * SEC;
@@ -53,25 +53,34 @@
 		std::vector<std::pair<uint64_t, int>> crashes;
 		bool refused;
 	} cases[] = {
-		{"one endpoint", {{1, QUAR_STRONG}}, false},
-		{"two", {{1, QUAR_STRONG}, {2, QUAR_STRONG}}, false},
-		{"three", {{1, QUAR_STRONG}, {2, QUAR_STRONG}, {3, QUAR_STRONG}}, true},
+		{"one endpoint", {{1, QUAR_WEIGHT_STRONG}}, false},
+		{"two", {{1, QUAR_WEIGHT_STRONG}, {2, QUAR_WEIGHT_STRONG}}, false},
+		{"three",
+		 {{1, QUAR_WEIGHT_STRONG}, {2, QUAR_WEIGHT_STRONG}, {3, QUAR_WEIGHT_STRONG}},
+		 true},
 		{"one endpoint, seen by three hosts",
-		 {{1, QUAR_STRONG}, {1, QUAR_STRONG}, {1, QUAR_STRONG}},
+		 {{1, QUAR_WEIGHT_STRONG}, {1, QUAR_WEIGHT_STRONG}, {1, QUAR_WEIGHT_STRONG}},
 		 false},
 		{"five at which it had run longer",
-		 {{1, QUAR_WEAK}, {2, QUAR_WEAK}, {3, QUAR_WEAK}, {4, QUAR_WEAK}, {5, QUAR_WEAK}},
+		 {{1, QUAR_WEIGHT_WEAK},
+		  {2, QUAR_WEIGHT_WEAK},
+		  {3, QUAR_WEIGHT_WEAK},
+		  {4, QUAR_WEIGHT_WEAK},
+		  {5, QUAR_WEIGHT_WEAK}},
 		 false},
 		{"six",
-		 {{1, QUAR_WEAK},
-		  {2, QUAR_WEAK},
-		  {3, QUAR_WEAK},
-		  {4, QUAR_WEAK},
-		  {5, QUAR_WEAK},
-		  {6, QUAR_WEAK}},
+		 {{1, QUAR_WEIGHT_WEAK},
+		  {2, QUAR_WEIGHT_WEAK},
+		  {3, QUAR_WEIGHT_WEAK},
+		  {4, QUAR_WEIGHT_WEAK},
+		  {5, QUAR_WEIGHT_WEAK},
+		  {6, QUAR_WEIGHT_WEAK}},
 		 true},
 		{"one that two hosts saw differently",
-		 {{1, QUAR_WEAK}, {1, QUAR_STRONG}, {2, QUAR_STRONG}, {3, QUAR_STRONG}},
+		 {{1, QUAR_WEIGHT_WEAK},
+		  {1, QUAR_WEIGHT_STRONG},
+		  {2, QUAR_WEIGHT_STRONG},
+		  {3, QUAR_WEIGHT_STRONG}},
 		 true},
 	};
 	uint64_t low = 1;
@@ -144,7 +153,8 @@
 		for (uint64_t endpoint : c.ended)
 			Crash(id, 10 * low + endpoint);
 		for (uint64_t endpoint : c.lives)
-			quar_on_lives(&quar_, 10 * low + endpoint, now_, AppendEntry, &changed);
+			quar_on_endpoint_alive(&quar_, 10 * low + endpoint, now_, AppendEntry,
+					       &changed);
 		EXPECT_EQ(Refused(id), c.refused) << c.what;
 		EXPECT_EQ(quar_points(&quar_, &id), c.points) << c.what;
 	}
@@ -158,7 +168,7 @@
 
 	for (uint64_t endpoint = 1; endpoint <= 20; endpoint++) {
 		Crash(id, endpoint);
-		quar_on_lives(&quar_, endpoint, now_, AppendEntry, &changed);
+		quar_on_endpoint_alive(&quar_, endpoint, now_, AppendEntry, &changed);
 		EXPECT_FALSE(Refused(id));
 	}
 	EXPECT_EQ(changed.size(), 20U);
@@ -180,14 +190,14 @@
 	for (uint64_t endpoint = 1; endpoint <= 3; endpoint++)
 		Crash(id, endpoint);
 	EXPECT_TRUE(Refused(id));
-	EXPECT_NE(quar_on_part(&quar_, &id, 2 * SEC, now_), nullptr);
+	EXPECT_NE(quar_on_progress(&quar_, &id, 2 * SEC, now_), nullptr);
 	EXPECT_FALSE(Refused(id));
-	EXPECT_EQ(quar_on_part(&quar_, &id, 2 * SEC, now_), nullptr);
+	EXPECT_EQ(quar_on_progress(&quar_, &id, 2 * SEC, now_), nullptr);
 	for (uint64_t endpoint = 4; endpoint <= 20; endpoint++)
-		EXPECT_EQ(Crash(id, endpoint, QUAR_WEAK, (int64_t)(endpoint % 5) * SEC / 4),
+		EXPECT_EQ(Crash(id, endpoint, QUAR_WEIGHT_WEAK, (int64_t)(endpoint % 5) * SEC / 4),
 			  nullptr);
 	EXPECT_FALSE(Refused(id));
-	EXPECT_EQ(quar_points_after(&quar_, &id, QUAR_STRONG), 4);
+	EXPECT_EQ(quar_points_after(&quar_, &id, QUAR_WEIGHT_STRONG), 4);
 }
 
 /* Each attempt of the request runs for two seconds before its endpoint crashes. */
@@ -197,10 +207,10 @@
 
 	for (uint64_t endpoint = 1; endpoint <= 6; endpoint++) {
 		EXPECT_FALSE(Refused(id));
-		quar_on_part(&quar_, &id, 2 * SEC, now_);
-		EXPECT_NE(Crash(id, endpoint, QUAR_WEAK, 2 * SEC), nullptr);
+		quar_on_progress(&quar_, &id, 2 * SEC, now_);
+		EXPECT_NE(Crash(id, endpoint, QUAR_WEIGHT_WEAK, 2 * SEC), nullptr);
 	}
-	EXPECT_EQ(quar_left_us(&quar_, &id, now_), 2 * SEC);
+	EXPECT_EQ(quar_remaining_us(&quar_, &id, now_), 2 * SEC);
 }
 
 /*
@@ -216,10 +226,10 @@
 		const int64_t lasted = (130 - 30 * i) * 1000;
 
 		EXPECT_FALSE(Refused(id));
-		quar_on_part(&quar_, &id, lasted, now_);
-		EXPECT_NE(Crash(id, (uint64_t)i, QUAR_STRONG, lasted), nullptr);
+		quar_on_progress(&quar_, &id, lasted, now_);
+		EXPECT_NE(Crash(id, (uint64_t)i, QUAR_WEIGHT_STRONG, lasted), nullptr);
 	}
-	EXPECT_EQ(quar_left_us(&quar_, &id, now_), 10 * MINUTE);
+	EXPECT_EQ(quar_remaining_us(&quar_, &id, now_), 10 * MINUTE);
 }
 
 /*
@@ -229,16 +239,16 @@
 TEST_F(QuarTest, EntryWithOneWeakCrashIsNotPropagated)
 {
 	const quar_id id = Id();
-	const quar_entry *entry = Crash(id, 1, QUAR_WEAK);
+	const quar_entry *entry = Crash(id, 1, QUAR_WEIGHT_WEAK);
 
 	ASSERT_NE(entry, nullptr);
-	EXPECT_FALSE(quar_is_told(entry));
+	EXPECT_FALSE(quar_is_propagated(entry));
 	EXPECT_EQ(quar_clear(&quar_, &id, now_), nullptr);
 	EXPECT_EQ(quar_find(&quar_, &id), nullptr);
-	entry = Crash(id, 1, QUAR_STRONG);
-	EXPECT_TRUE(quar_is_told(entry));
-	EXPECT_FALSE(quar_is_kept(entry));
-	EXPECT_TRUE(quar_is_kept(Crash(id, 2, QUAR_WEAK)));
+	entry = Crash(id, 1, QUAR_WEIGHT_STRONG);
+	EXPECT_TRUE(quar_is_propagated(entry));
+	EXPECT_FALSE(quar_is_persistent(entry));
+	EXPECT_TRUE(quar_is_persistent(Crash(id, 2, QUAR_WEIGHT_WEAK)));
 }
 
 /*
@@ -256,7 +266,7 @@
 	for (int64_t term : terms_min) {
 		EXPECT_EQ(quar_next_term_us(&quar_, &id), term * MINUTE);
 		Crash(id, endpoint++);
-		EXPECT_EQ(quar_left_us(&quar_, &id, now_), term * MINUTE);
+		EXPECT_EQ(quar_remaining_us(&quar_, &id, now_), term * MINUTE);
 		now_ += term * MINUTE - 1;
 		EXPECT_TRUE(Refused(id));
 		now_ += 1;
@@ -307,7 +317,7 @@
 
 	Host()
 	{
-		quar_init(&table, QUAR_LIMIT);
+		quar_init(&table, QUAR_REFUSAL_POINTS);
 	}
 	~Host()
 	{
@@ -317,7 +327,7 @@
 	}
 	void Send(const quar_entry *entry)
 	{
-		if (entry && quar_is_told(entry))
+		if (entry && quar_is_propagated(entry))
 			sent.push_back(quar_entry_dup(entry));
 	}
 };
@@ -369,17 +379,17 @@
 
 			for (uint64_t i = 0; i < 3; i++)
 				hosts[i].Send(quar_on_crash(&hosts[i].table, &id, i + 1,
-							    QUAR_STRONG, 0, SEC));
-			quar_take(&hosts[0].table, hosts[1].sent[0], SEC);
+							    QUAR_WEIGHT_STRONG, 0, SEC));
+			quar_merge_remote(&hosts[0].table, hosts[1].sent[0], SEC);
 			if (c.long_running)
-				quar_on_part(&hosts[0].table, &id, SEC, SEC);
+				quar_on_progress(&hosts[0].table, &id, SEC, SEC);
 			hosts[0].Send(c.cleared ? quar_clear(&hosts[0].table, &id, 2 * SEC)
 						: quar_find(&hosts[0].table, &id));
 			std::vector<quar_entry *> received = {hosts[0].sent[0], hosts[0].sent[1],
 							      hosts[1].sent[0], hosts[2].sent[0]};
 			for (int round = 0; round < 2; round++) {
 				for (int i : order)
-					quar_take(&all.table, received[(size_t)i], 3 * SEC);
+					quar_merge_remote(&all.table, received[(size_t)i], 3 * SEC);
 			}
 			EXPECT_EQ(Describe(all, id), c.merged);
 		} while (std::next_permutation(order.begin(), order.end()));
@@ -401,18 +411,18 @@
 		std::vector<quar_entry> changed;
 
 		for (uint64_t i = 0; i < 3; i++)
-			hosts[i].Send(
-				quar_on_crash(&hosts[i].table, &id, i + 1, QUAR_STRONG, 0, SEC));
-		quar_on_lives(&hosts[1].table, 2, 2 * SEC, AppendEntry, &changed);
+			hosts[i].Send(quar_on_crash(&hosts[i].table, &id, i + 1, QUAR_WEIGHT_STRONG,
+						    0, SEC));
+		quar_on_endpoint_alive(&hosts[1].table, 2, 2 * SEC, AppendEntry, &changed);
 		hosts[1].Send(quar_find(&hosts[1].table, &id));
 		std::vector<quar_entry *> received = {hosts[0].sent[0], hosts[1].sent[0],
 						      hosts[1].sent[1], hosts[2].sent[0]};
 		for (int round = 0; round < 2; round++) {
 			for (int i : order)
-				quar_take(&all.table, received[(size_t)i], 3 * SEC);
+				quar_merge_remote(&all.table, received[(size_t)i], 3 * SEC);
 		}
-		EXPECT_EQ(quar_points(&all.table, &id), 2 * QUAR_STRONG);
-		EXPECT_EQ(quar_left_us(&all.table, &id, 4 * SEC), 0);
+		EXPECT_EQ(quar_points(&all.table, &id), 2 * QUAR_WEIGHT_STRONG);
+		EXPECT_EQ(quar_remaining_us(&all.table, &id, 4 * SEC), 0);
 	} while (std::next_permutation(order.begin(), order.end()));
 }
 
@@ -423,10 +433,10 @@
 	Host b;
 	const quar_id id = {{1, 2}, "farm"};
 
-	a.Send(quar_on_crash(&a.table, &id, 1, QUAR_STRONG, 0, SEC));
-	EXPECT_NE(quar_take(&b.table, a.sent[0], SEC), nullptr);
-	EXPECT_EQ(quar_take(&b.table, a.sent[0], SEC), nullptr);
-	EXPECT_EQ(quar_take(&a.table, quar_find(&b.table, &id), 2 * SEC), nullptr);
+	a.Send(quar_on_crash(&a.table, &id, 1, QUAR_WEIGHT_STRONG, 0, SEC));
+	EXPECT_NE(quar_merge_remote(&b.table, a.sent[0], SEC), nullptr);
+	EXPECT_EQ(quar_merge_remote(&b.table, a.sent[0], SEC), nullptr);
+	EXPECT_EQ(quar_merge_remote(&a.table, quar_find(&b.table, &id), 2 * SEC), nullptr);
 }
 
 /*
@@ -440,21 +450,21 @@
 	quar_key key = {1, 0};
 
 	served_init(table.get());
-	EXPECT_FALSE(served_lately(table.get(), &key, SEC));
-	served_note(table.get(), &key, SEC);
-	EXPECT_TRUE(served_lately(table.get(), &key, 2 * SEC));
-	EXPECT_FALSE(served_lately(table.get(), &key, SEC + SERVED_WINDOW_US + 1));
-	served_note(table.get(), &key, 20 * SEC);
+	EXPECT_FALSE(served_recently(table.get(), &key, SEC));
+	served_record(table.get(), &key, SEC);
+	EXPECT_TRUE(served_recently(table.get(), &key, 2 * SEC));
+	EXPECT_FALSE(served_recently(table.get(), &key, SEC + SERVED_WINDOW_US + 1));
+	served_record(table.get(), &key, 20 * SEC);
 	for (uint64_t i = 1; i < SERVED_ENTRIES_MAX; i++) {
 		const quar_key other = {1, i};
 
-		served_note(table.get(), &other, 20 * SEC);
+		served_record(table.get(), &other, 20 * SEC);
 	}
-	EXPECT_TRUE(served_lately(table.get(), &key, 20 * SEC));
+	EXPECT_TRUE(served_recently(table.get(), &key, 20 * SEC));
 	const quar_key last = {2, 0};
-	served_note(table.get(), &last, 20 * SEC);
-	EXPECT_FALSE(served_lately(table.get(), &key, 20 * SEC));
-	EXPECT_TRUE(served_lately(table.get(), &last, 20 * SEC));
+	served_record(table.get(), &last, 20 * SEC);
+	EXPECT_FALSE(served_recently(table.get(), &key, 20 * SEC));
+	EXPECT_TRUE(served_recently(table.get(), &last, 20 * SEC));
 }
 
 } // namespace
--- a/quar/served.c
+++ b/quar/served.c
@@ -7,7 +7,7 @@
 	memset(served, 0, sizeof(*served));
 }
 
-void served_note(struct served *served, const struct quar_key *key, int64_t now_us)
+void served_record(struct served *served, const struct quar_key *key, int64_t now_us)
 {
 	served->keys[served->next] = *key;
 	served->at_us[served->next] = now_us;
@@ -16,7 +16,7 @@
 }
 
 /* Searches from the newest element back and stops at the first that is too old. */
-bool served_lately(const struct served *served, const struct quar_key *key, int64_t now_us)
+bool served_recently(const struct served *served, const struct quar_key *key, int64_t now_us)
 {
 	for (unsigned int i = 1; i <= served->n; i++) {
 		unsigned int at = (served->next + SERVED_ENTRIES_MAX - i) % SERVED_ENTRIES_MAX;
--- a/quar/served.h
+++ b/quar/served.h
@@ -39,10 +39,10 @@
 void served_init(struct served *served);
 
 /* Records that the request was served completely. */
-void served_note(struct served *served, const struct quar_key *key, int64_t now_us);
+void served_record(struct served *served, const struct quar_key *key, int64_t now_us);
 
 /* Returns whether the request was served completely within the last SERVED_WINDOW_US. */
-bool served_lately(const struct served *served, const struct quar_key *key, int64_t now_us);
+bool served_recently(const struct served *served, const struct quar_key *key, int64_t now_us);
 
 G_END_DECLS
 
--- a/regress/fuzz/heads.c
+++ b/regress/fuzz/heads.c
@@ -19,7 +19,7 @@
 		abort();
 	if (answer->rest == SEAM_REST_NONE && answer->rest_us != 0)
 		abort();
-	if (answer->limit == SEAM_LIMIT_RATE &&
+	if (answer->limit == SEAM_LIMIT_STATED &&
 	    (!isfinite(answer->limit_rate) || answer->limit_rate < 0))
 		abort();
 	if (answer->keep->len % 2 != 0)
--- a/router/crash.c
+++ b/router/crash.c
@@ -251,11 +251,11 @@
 	for (guint i = 0; i < check->cuts->len; i++) {
 		const struct crash_attempt *cut =
 			&g_array_index(check->cuts, struct crash_attempt, i);
-		char content[QUAR_TEXT_LEN + 1];
+		char content[QUAR_KEY_TEXT_LEN + 1];
 
 		if (!crash_is_suspect(cut))
 			continue;
-		quar_key_text(&cut->key, content);
+		quar_key_format(&cut->key, content);
 		jl_begin(JL_KEEP, "cut_when_begun");
 		jl_str("id", cut->id);
 		jl_str("content", content);
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -175,7 +175,7 @@
 {
 	GString *body = g_string_new(NULL);
 	struct store_request request = {
-		.path = hosts->rc->router->seam->store.append_path(SEAM_HOSTS),
+		.path = hosts->rc->router->seam->store.append_path(SEAM_TOPIC_HOSTS),
 		.body = body,
 		.total_ms = HOSTS_CALL_MS,
 	};
--- a/router/member.c
+++ b/router/member.c
@@ -86,7 +86,7 @@
 	char *text = rc_host_text(&self);
 	GString *record = store->make_record(s->name, listed ? str_of(text) : str_make(NULL, 0));
 	struct store_request request = {
-		.path = store->append_path(SEAM_HOSTS),
+		.path = store->append_path(SEAM_TOPIC_HOSTS),
 		.body = record,
 		.total_ms = MEMBER_CALL_MS,
 	};
--- a/router/pick.c
+++ b/router/pick.c
@@ -25,7 +25,8 @@
 
 	if (engine->zone_link_mbps <= 0)
 		return 0;
-	transfer_s = prompt * engine->activation_bytes * 8 / (engine->zone_link_mbps * 1e6);
+	transfer_s =
+		prompt * engine->activation_bytes_per_token * 8 / (engine->zone_link_mbps * 1e6);
 	return pick_full_link_ms * rate * transfer_s;
 }
 
@@ -119,8 +120,8 @@
 
 static double pick_usual_prompt_tokens(const struct rt_service *service)
 {
-	return service->engine.usual_prompt > 0 ? service->engine.usual_prompt
-						: pick_prompt_default;
+	return service->engine.mean_prompt_tokens > 0 ? service->engine.mean_prompt_tokens
+						      : pick_prompt_default;
 }
 
 static double pick_prompt_tokens(const struct rt_service *service,
@@ -136,8 +137,8 @@
 
 	if (answer > 0)
 		return answer;
-	return service->engine.usual_answer > 0 ? service->engine.usual_answer
-						: pick_answer_default;
+	return service->engine.mean_answer_tokens > 0 ? service->engine.mean_answer_tokens
+						      : pick_answer_default;
 }
 
 /*
@@ -161,7 +162,7 @@
 static void pick_init_node(struct tf *tf, const struct rt_service *service, const struct tf_ep *ep,
 			   int64_t now_us, struct pa_node *node)
 {
-	const struct rt_kind *kind = rt_kind_of(service, ep->rec->kind);
+	const struct rt_accelerator *kind = rt_find_accelerator(service, ep->rec->kind);
 
 	memset(node, 0, sizeof(*node));
 	node->zone = tf_zone_number(tf, ep->rec->zone);
--- a/router/placer.c
+++ b/router/placer.c
@@ -190,7 +190,7 @@
 static void placer_fill_node(struct placer *placer, const struct rt_service *service,
 			     const struct ep_rec *rec, int64_t now_us, struct pl_node *node)
 {
-	const struct rt_kind *kind = rt_kind_of(service, rec->kind);
+	const struct rt_accelerator *kind = rt_find_accelerator(service, rec->kind);
 	const struct placer_order *order = g_hash_table_lookup(placer->orders, rec->incarnation);
 
 	memset(node, 0, sizeof(*node));
--- a/router/quar_msg_test.cc
+++ b/router/quar_msg_test.cc
@@ -14,10 +14,10 @@
       protected:
 	QuarMsgTest()
 	{
-		quar_init(&here_, QUAR_LIMIT);
-		quar_init(&there_, QUAR_LIMIT);
+		quar_init(&here_, QUAR_REFUSAL_POINTS);
+		quar_init(&there_, QUAR_REFUSAL_POINTS);
 		for (uint64_t endpoint = 1; endpoint <= 3; endpoint++)
-			quar_on_crash(&here_, &id_, endpoint, QUAR_STRONG, 0, 0);
+			quar_on_crash(&here_, &id_, endpoint, QUAR_WEIGHT_STRONG, 0, 0);
 	}
 	~QuarMsgTest() override
 	{
@@ -32,7 +32,7 @@
 			str_make((const char *)record->data, record->len), later, later_unix_ms);
 
 		ASSERT_NE(entry, nullptr);
-		quar_take(&there_, entry, later);
+		quar_merge_remote(&there_, entry, later);
 		quar_entry_free(entry);
 		g_byte_array_unref(record);
 	}
@@ -44,15 +44,15 @@
 TEST_F(QuarMsgTest, TermContinuesOnReader)
 {
 	Copy(MINUTE, 1000000, 0, 1000000 + 120000);
-	EXPECT_NEAR((double)quar_left_us(&there_, &id_, 0), 7.0 * MINUTE, SEC);
-	EXPECT_EQ(quar_points(&there_, &id_), QUAR_LIMIT);
+	EXPECT_NEAR((double)quar_remaining_us(&there_, &id_, 0), 7.0 * MINUTE, SEC);
+	EXPECT_EQ(quar_points(&there_, &id_), QUAR_REFUSAL_POINTS);
 }
 
 /* The clocks of hosts differ. A reader whose clock is behind must not extend the term. */
 TEST_F(QuarMsgTest, ReaderClockBehind)
 {
 	Copy(MINUTE, 1000000, 0, 1000000 - 5000);
-	EXPECT_NEAR((double)quar_left_us(&there_, &id_, 0), 9.0 * MINUTE, SEC);
+	EXPECT_NEAR((double)quar_remaining_us(&there_, &id_, 0), 9.0 * MINUTE, SEC);
 }
 
 /*
@@ -63,8 +63,8 @@
 TEST_F(QuarMsgTest, EndedTermIsNotRestarted)
 {
 	Copy(11 * MINUTE, 1000000, 0, 1000000);
-	EXPECT_EQ(quar_left_us(&there_, &id_, 2000), 0);
-	EXPECT_EQ(quar_points(&there_, &id_), QUAR_LIMIT - QUAR_STRONG);
+	EXPECT_EQ(quar_remaining_us(&there_, &id_, 2000), 0);
+	EXPECT_EQ(quar_points(&there_, &id_), QUAR_REFUSAL_POINTS - QUAR_WEIGHT_STRONG);
 }
 
 TEST_F(QuarMsgTest, RejectsMalformedData)
--- a/router/quar_store.c
+++ b/router/quar_store.c
@@ -67,15 +67,15 @@
 static void quar_store_schedule(struct quar_store *store, const struct quar_key *key,
 				struct quar_entry *entry)
 {
-	char text[QUAR_TEXT_LEN + 1];
+	char text[QUAR_KEY_TEXT_LEN + 1];
 
-	quar_key_text(key, text);
+	quar_key_format(key, text);
 	g_hash_table_replace(store->due, g_strdup(text), entry);
 }
 
 void quar_store_put(struct quar_store *store, const struct quar_entry *entry)
 {
-	if (quar_is_kept(entry))
+	if (quar_is_persistent(entry))
 		quar_store_schedule(store, &entry->key, quar_entry_dup(entry));
 }
 
@@ -133,7 +133,7 @@
 	struct rc *rc = store->rc;
 	GString *body = quar_store_take_batch(store);
 	struct store_request request = {
-		.path = rc->router->seam->store.append_path(SEAM_QUARANTINE),
+		.path = rc->router->seam->store.append_path(SEAM_TOPIC_QUARANTINE),
 		.body = body,
 		.total_ms = QUAR_STORE_TIMEOUT_MS,
 	};
@@ -155,9 +155,9 @@
 	g_hash_table_iter_init(&iter, table->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct quar_entry *entry = value;
-		char text[QUAR_TEXT_LEN + 1];
+		char text[QUAR_KEY_TEXT_LEN + 1];
 
-		quar_key_text(&entry->key, text);
+		quar_key_format(&entry->key, text);
 		if (g_ptr_array_find_with_equal_func(store->writing, text, g_str_equal, NULL) &&
 		    !g_hash_table_contains(store->due, text))
 			quar_store_put(store, entry);
@@ -182,7 +182,7 @@
 {
 	struct rc *rc = store->rc;
 	struct store_request request = {
-		.path = rc->router->seam->store.newest_path(SEAM_QUARANTINE, store->after),
+		.path = rc->router->seam->store.newest_path(SEAM_TOPIC_QUARANTINE, store->after),
 		.total_ms = QUAR_STORE_TIMEOUT_MS,
 	};
 
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -42,7 +42,7 @@
 	struct quarantine *quarantine = g_new0(struct quarantine, 1);
 
 	quarantine->rc = rc;
-	quar_init(&quarantine->table, QUAR_LIMIT);
+	quar_init(&quarantine->table, QUAR_REFUSAL_POINTS);
 	quarantine->store = quar_store_new(rc, quarantine);
 	return quarantine;
 }
@@ -61,9 +61,9 @@
 
 void quarantine_log(const struct quar_entry *entry, const char *from, int64_t now_us)
 {
-	char content[QUAR_TEXT_LEN + 1];
+	char content[QUAR_KEY_TEXT_LEN + 1];
 
-	quar_key_text(&entry->key, content);
+	quar_key_format(&entry->key, content);
 	jl_begin(JL_KEEP, entry->until_us > 0 ? "quarantined" : "quarantine_cleared");
 	jl_str("content", content);
 	jl_str("account", entry->account);
@@ -83,7 +83,7 @@
 
 	for (guint i = 0; i < entries->len; i++) {
 		const struct quar_entry *entry =
-			quar_take(&quarantine->table, entries->pdata[i], now_us);
+			quar_merge_remote(&quarantine->table, entries->pdata[i], now_us);
 
 		if (entry)
 			g_ptr_array_add(changed, quar_entry_dup(entry));
@@ -161,7 +161,7 @@
 
 static void quarantine_add_shared(void *ctx, const struct quar_entry *entry)
 {
-	if (quar_is_told(entry))
+	if (quar_is_propagated(entry))
 		g_ptr_array_add(ctx, quar_entry_dup(entry));
 }
 
@@ -169,7 +169,7 @@
 {
 	GPtrArray *entries = quarantine_list_new();
 
-	quar_each(&quarantine->table, quarantine_add_shared, entries);
+	quar_foreach(&quarantine->table, quarantine_add_shared, entries);
 	quar_msg_send(conn, entries, tmr_now());
 	g_ptr_array_unref(entries);
 }
@@ -183,9 +183,9 @@
 static void quarantine_match(void *ctx, const struct quar_entry *entry)
 {
 	struct quarantine_search *search = ctx;
-	char text[QUAR_TEXT_LEN + 1];
+	char text[QUAR_KEY_TEXT_LEN + 1];
 
-	quar_key_text(&entry->key, text);
+	quar_key_format(&entry->key, text);
 	if (strcmp(text, search->content) == 0)
 		g_ptr_array_add(search->found, quar_entry_dup(entry));
 }
@@ -197,7 +197,7 @@
 	int64_t now_us = tmr_now();
 	int n;
 
-	quar_each(&quarantine->table, quarantine_match, &search);
+	quar_foreach(&quarantine->table, quarantine_match, &search);
 	for (guint i = 0; i < search.found->len; i++) {
 		const struct quar_entry *found = search.found->pdata[i];
 		const struct quar_id id = {found->key, found->account};
@@ -239,14 +239,14 @@
 	if (!quarantine->rewrite || !quarantine->rc->rank.first)
 		return;
 	quarantine->rewrite = false;
-	quar_each(&quarantine->table, quarantine_rewrite_entry, quarantine);
+	quar_foreach(&quarantine->table, quarantine_rewrite_entry, quarantine);
 }
 
 static void quarantine_on_expired(void *ctx, const struct quar_entry *entry)
 {
 	struct quarantine *quarantine = ctx;
 
-	if (quarantine->rc->rank.first && quar_is_kept(entry))
+	if (quarantine->rc->rank.first && quar_is_persistent(entry))
 		quar_store_remove(quarantine->store, entry);
 }
 
@@ -265,7 +265,7 @@
 		return;
 	quarantine->expire_us = now_us + tmr_ms(QUARANTINE_EXPIRE_MS);
 	quar_expire(&quarantine->table, now_us, quarantine_on_expired, quarantine);
-	quar_each(&quarantine->table, quarantine_count_refused, &refused);
+	quar_foreach(&quarantine->table, quarantine_count_refused, &refused);
 	met_set(met_gauge("bg_quarantined", ""), refused);
 	met_set(met_gauge("bg_quarantine_entries", ""),
 		g_hash_table_size(quarantine->table.entries));
--- a/router/rc.h
+++ b/router/rc.h
@@ -66,8 +66,8 @@
 	bool hosts_heard;	 /* Whether the list of hosts has been read completely */
 	GHashTable *hosts;	 /* Host name -> struct rc_host */
 	struct hdelta host_news; /* Numbered changes of the list of hosts, for followers */
-	struct sf_topic topics[SEAM_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
-	bool direct;				/* Whether this host reads the store itself */
+	struct sf_topic topics[SEAM_TOPIC_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
+	bool direct;				      /* Whether this host reads the store itself */
 	bool settled; /* Whether the time to find a first feeder is over */
 	/* Whether this host may become leader, as a reader or as a host without a feed */
 	bool candidate;
--- a/router/recall.c
+++ b/router/recall.c
@@ -104,7 +104,7 @@
 {
 	struct rc *rc = recall->rc;
 	struct store_request request = {
-		.path = rc->router->seam->store.append_path(SEAM_KNOWN),
+		.path = rc->router->seam->store.append_path(SEAM_TOPIC_KNOWN_ENDPOINTS),
 		.body = record,
 		.total_ms = RECALL_CALL_MS,
 	};
@@ -147,7 +147,7 @@
 {
 	struct rc *rc = recall->rc;
 	struct store_request request = {
-		.path = rc->router->seam->store.newest_path(SEAM_KNOWN, NULL),
+		.path = rc->router->seam->store.newest_path(SEAM_TOPIC_KNOWN_ENDPOINTS, NULL),
 		.total_ms = RECALL_CALL_MS,
 	};
 
--- a/router/rq.c
+++ b/router/rq.c
@@ -136,9 +136,9 @@
 
 static void rq_log_content(const struct rq *rq)
 {
-	char text[QUAR_TEXT_LEN + 1];
+	char text[QUAR_KEY_TEXT_LEN + 1];
 
-	quar_key_text(&rq->key, text);
+	quar_key_format(&rq->key, text);
 	jl_str("content", text);
 }
 
@@ -344,7 +344,7 @@
 		return;
 	rq_exclude_endpoint(rq, first);
 	/* A demand for a rest period is not a failure. */
-	if (rq->answer.rest != SEAM_REST_FOR) {
+	if (rq->answer.rest != SEAM_REST_STATED) {
 		penalty_on_failed(&first->failing, now_us);
 		/* Its load is low because it rejects, so the next request would choose it. */
 		if (rq->target.layered && rq->answer.head.not_run)
@@ -393,7 +393,7 @@
  */
 static void rq_update_gap_limit(struct rq *rq, int64_t now_us)
 {
-	int64_t most_us = tmr_ms(MAX(RQ_GAP_MIN_MS, rq->route->gap_ms * 6 / 10));
+	int64_t most_us = tmr_ms(MAX(RQ_GAP_MIN_MS, rq->route->target_gap_ms * 6 / 10));
 	int64_t limit_us;
 
 	if (rq->fwd.parts < 1)
@@ -438,7 +438,7 @@
 		jl_int("not_run", rq->answer.head.not_run || !sent);
 		jl_str("error", err < 0 ? base_strerror(err) : NULL);
 		jl_str("culprit", rq->answer.culprit);
-		if (rq->answer.rest == SEAM_REST_FOR)
+		if (rq->answer.rest == SEAM_REST_STATED)
 			jl_int("rest_ms", rq->answer.rest_us / TMR_US_PER_MS);
 		jl_int("parts", (int64_t)rq->fwd.parts);
 		rq_log_content(rq);
--- a/router/rq_admit.c
+++ b/router/rq_admit.c
@@ -47,8 +47,8 @@
 	rules->streaming = route->type == RT_STREAMING;
 	rules->runs_max = (int)route->attempts;
 	rules->deadline_us = rq->began_us + tmr_ms(deadline_ms);
-	rules->first_us = MAX(RQ_FIRST_MIN_MS, route->target_ms / 2) * TMR_US_PER_MS;
-	rules->gap_us = MAX(RQ_GAP_MIN_MS, route->gap_ms * 6 / 10) * TMR_US_PER_MS;
+	rules->first_us = MAX(RQ_FIRST_MIN_MS, route->target_latency_ms / 2) * TMR_US_PER_MS;
+	rules->gap_us = MAX(RQ_GAP_MIN_MS, route->target_gap_ms * 6 / 10) * TMR_US_PER_MS;
 	rules->limit_us =
 		rq->began_us + MIN(bk_wait_max_us(deadline_ms), (int64_t)RQ_LIMIT_WAIT_US);
 	rules->list_wait_until_us =
@@ -76,17 +76,17 @@
 		return false;
 	}
 	rq->conf = rt_conf_ref(view->conf);
-	rq->route = rt_match(rq->conf, rq->request.host, hd_target(rq->call));
+	rq->route = rt_match_route(rq->conf, rq->request.host, hd_target(rq->call));
 	if (!rq->route) {
 		rq_deny(rq, STATUS_NOT_FOUND, "no_route", 0);
 		return false;
 	}
-	rq->account = rt_account_of(rq->conf, rq->request.key);
+	rq->account = rt_find_account(rq->conf, rq->request.key);
 	if (!rq->account && !rq->route->public_access && rq->conf->accounts->len > 0) {
 		rq_deny(rq, STATUS_UNAUTHORIZED, "unknown_key", 0);
 		return false;
 	}
-	rq->service = rt_service_of(rq->conf, rq->route, rq->request.id ? rq->request.id : "");
+	rq->service = rt_select_service(rq->conf, rq->route, rq->request.id ? rq->request.id : "");
 	if (!rq->service) {
 		rq_deny(rq, STATUS_UNAVAILABLE, "no_service", RQ_RETRY_US);
 		return false;
@@ -121,9 +121,10 @@
 {
 	const struct rt_route *route = rq->route;
 
-	limits->target_us = tmr_ms(route->target_ms);
-	limits->patience_us = tmr_ms(MAX(RQ_PATIENCE_MS, MAX(RQ_PATIENCE_TARGETS * route->target_ms,
-							     RQ_PATIENCE_GAPS * route->gap_ms)));
+	limits->target_us = tmr_ms(route->target_latency_ms);
+	limits->patience_us =
+		tmr_ms(MAX(RQ_PATIENCE_MS, MAX(RQ_PATIENCE_TARGETS * route->target_latency_ms,
+					       RQ_PATIENCE_GAPS * route->target_gap_ms)));
 }
 
 static void rq_log_overload(const struct rq *rq, const struct adm_queue *queue)
@@ -149,7 +150,7 @@
 	struct adm_limits limits;
 	struct adm_queue queue;
 
-	if (!rt_is_layered(rq->service) || rq->route->target_ms <= 0)
+	if (!rt_is_layered(rq->service) || rq->route->target_latency_ms <= 0)
 		return true;
 	rq_fill_limits(rq, &limits);
 	rq_count_waiting(rq->tf, rq->service->name, &queue);
--- a/router/rq_answer.c
+++ b/router/rq_answer.c
@@ -13,9 +13,9 @@
 
 	if (retry_us > 0) {
 		const struct seam_wire *wire = &rq->tf->router->seam->wire;
-		char *value = wire->retry_value(retry_us);
+		char *value = wire->retry_header_value(retry_us);
 
-		hd_set_header(rq->call, wire->retry_name(), value);
+		hd_set_header(rq->call, wire->retry_header_name(), value);
 		g_free(value);
 	}
 	rq->status = status;
--- a/router/rq_crash.c
+++ b/router/rq_crash.c
@@ -22,7 +22,7 @@
 {
 	const struct quar_id id = rq_quar_id(rq);
 
-	return quar_left_us(&rq->tf->quar, &id, now_us);
+	return quar_remaining_us(&rq->tf->quar, &id, now_us);
 }
 
 int64_t rq_quarantine_retry_us(const struct rq *rq, int64_t now_us)
@@ -78,7 +78,7 @@
 		if (ep == rq->broken_at && ep->crash)
 			weight = tf_quar_weight(rq->broken_progress);
 	}
-	return quar_points_after(&rq->tf->quar, &id, weight) >= QUAR_LIMIT;
+	return quar_points_after(&rq->tf->quar, &id, weight) >= QUAR_REFUSAL_POINTS;
 }
 
 /*
@@ -88,11 +88,11 @@
  */
 static enum crash_progress rq_progress(const struct rq *rq)
 {
-	if (rq_attempt_duration_us(rq) >= QUAR_BEGIN_US)
+	if (rq_attempt_duration_us(rq) >= QUAR_JUST_STARTED_US)
 		return CRASH_RUNNING;
 	if (rq->head_received || !rq->target.layered)
 		return CRASH_BEGUN;
-	return tmr_now() - rq->last_activity_us < QUAR_BEGIN_US ? CRASH_SENT : CRASH_WAITING;
+	return tmr_now() - rq->last_activity_us < QUAR_JUST_STARTED_US ? CRASH_SENT : CRASH_WAITING;
 }
 
 void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep)
@@ -132,6 +132,6 @@
 	if (!rq_has_content(rq, &entry->key, entry->account))
 		return;
 	/* An answer that keeps arriving has caused no crash; it may still be served in full. */
-	if (rq->fwd.state != FWD_ENDED && rq_attempt_duration_us(rq) < QUAR_BEGIN_US)
+	if (rq->fwd.state != FWD_ENDED && rq_attempt_duration_us(rq) < QUAR_JUST_STARTED_US)
 		fwd_on_quarantine(&rq->fwd);
 }
--- a/router/state.c
+++ b/router/state.c
@@ -74,11 +74,11 @@
 static void state_add_quarantined(void *ctx, const struct quar_entry *entry)
 {
 	int64_t now_us = tmr_now();
-	char content[QUAR_TEXT_LEN + 1];
+	char content[QUAR_KEY_TEXT_LEN + 1];
 
-	if (!quar_is_told(entry))
+	if (!quar_is_propagated(entry))
 		return;
-	quar_key_text(&entry->key, content);
+	quar_key_format(&entry->key, content);
 	json_array_append_new(
 		ctx, json_pack("{s:s, s:s, s:i, s:i, s:i, s:I, s:I}", "content", content, "account",
 			       entry->account, "crashes", entry->n, "points",
@@ -91,7 +91,7 @@
 {
 	json_t *list = json_array();
 
-	quar_each(quarantine_table(rc->quarantine), state_add_quarantined, list);
+	quar_foreach(quarantine_table(rc->quarantine), state_add_quarantined, list);
 	return list;
 }
 
--- a/router/store_follow.c
+++ b/router/store_follow.c
@@ -70,18 +70,18 @@
 static void sf_on_record(void *ctx, int64_t offset, struct str key, struct str value);
 
 static const char *const sf_names[] = {
-	[SEAM_CONF] = "configuration",
-	[SEAM_ENDPOINTS] = "endpoints",
-	[SEAM_HOSTS] = "hosts",
+	[SEAM_TOPIC_CONF] = "configuration",
+	[SEAM_TOPIC_ENDPOINTS] = "endpoints",
+	[SEAM_TOPIC_HOSTS] = "hosts",
 };
 
 static const struct {
 	int64_t wait_ms;
 	int64_t pause_ms;
 } sf_pace[] = {
-	[SEAM_CONF] = {SF_CONF_WAIT_MS, 0},
-	[SEAM_ENDPOINTS] = {SF_ENDPOINTS_WAIT_MS, SF_ENDPOINTS_PAUSE_MS},
-	[SEAM_HOSTS] = {0, SF_HOSTS_PAUSE_MS},
+	[SEAM_TOPIC_CONF] = {SF_CONF_WAIT_MS, 0},
+	[SEAM_TOPIC_ENDPOINTS] = {SF_ENDPOINTS_WAIT_MS, SF_ENDPOINTS_PAUSE_MS},
+	[SEAM_TOPIC_HOSTS] = {0, SF_HOSTS_PAUSE_MS},
 };
 
 /*
@@ -93,8 +93,8 @@
 	const struct rc *rc = t->rc;
 
 	if (rc->router->settings.first_start && rc->host_news.version == 0)
-		return t->topic == SEAM_HOSTS ? SF_FIRST_HOSTS_MS : SF_WAIT_MS;
-	if (t->topic == SEAM_HOSTS && rc->hosts_heard && !rc->rank.reader)
+		return t->topic == SEAM_TOPIC_HOSTS ? SF_FIRST_HOSTS_MS : SF_WAIT_MS;
+	if (t->topic == SEAM_TOPIC_HOSTS && rc->hosts_heard && !rc->rank.reader)
 		return SF_HOSTS_PAUSE_MS;
 	return 0;
 }
@@ -104,7 +104,7 @@
 {
 	const struct rc *rc = t->rc;
 
-	return t->topic == SEAM_ENDPOINTS && rc->listed &&
+	return t->topic == SEAM_TOPIC_ENDPOINTS && rc->listed &&
 	       era_of_place(rc->endpoints.next) == rc->era.now;
 }
 
@@ -119,14 +119,14 @@
 
 	if (sf_knows_endpoints(t))
 		return rc->endpoints.next;
-	if (t->topic == SEAM_HOSTS && rc->router->settings.first_start && !rc->hosts_heard)
+	if (t->topic == SEAM_TOPIC_HOSTS && rc->router->settings.first_start && !rc->hosts_heard)
 		return 0;
 	return -1;
 }
 
 void sf_start(struct rc *rc)
 {
-	for (int i = 0; i <= SEAM_HOSTS; i++) {
+	for (int i = 0; i <= SEAM_TOPIC_HOSTS; i++) {
 		struct sf_topic *t = &rc->topics[i];
 
 		t->rc = rc;
@@ -150,7 +150,7 @@
 
 void sf_stop(struct rc *rc)
 {
-	for (int i = 0; i <= SEAM_HOSTS; i++) {
+	for (int i = 0; i <= SEAM_TOPIC_HOSTS; i++) {
 		struct sf_topic *t = &rc->topics[i];
 
 		tmr_cancel(&rc->loop->tmr, &t->timer);
@@ -160,7 +160,7 @@
 
 void sf_on_return(struct rc *rc)
 {
-	for (int i = 0; i <= SEAM_HOSTS; i++) {
+	for (int i = 0; i <= SEAM_TOPIC_HOSTS; i++) {
 		struct sf_topic *t = &rc->topics[i];
 
 		sf_cancel(t);
@@ -171,8 +171,8 @@
 
 bool sf_is_reached(const struct rc *rc)
 {
-	const struct sf_topic *conf = &rc->topics[SEAM_CONF];
-	const struct sf_topic *endpoints = &rc->topics[SEAM_ENDPOINTS];
+	const struct sf_topic *conf = &rc->topics[SEAM_TOPIC_CONF];
+	const struct sf_topic *endpoints = &rc->topics[SEAM_TOPIC_ENDPOINTS];
 
 	return rc->direct && conf->read_us > 0 && endpoints->read_us > 0 && conf->failures == 0 &&
 	       endpoints->failures == 0;
@@ -207,8 +207,8 @@
 {
 	const struct rc *rc = t->rc;
 
-	return t->topic == SEAM_HOSTS && rc->router->settings.first_start && rc->hosts_heard &&
-	       !rc->rank.reader && follow_is_fed(rc->follow);
+	return t->topic == SEAM_TOPIC_HOSTS && rc->router->settings.first_start &&
+	       rc->hosts_heard && !rc->rank.reader && follow_is_fed(rc->follow);
 }
 
 /* Whether to wait for the list of endpoints from a feed instead of reading it. */
@@ -234,16 +234,16 @@
 	if (rc->rank.reader || !sf_is_bad(t))
 		return false;
 	if (first_start)
-		return t->topic != SEAM_HOSTS;
-	if (t->topic == SEAM_ENDPOINTS && sf_list_may_be_fed(rc, now_us))
+		return t->topic != SEAM_TOPIC_HOSTS;
+	if (t->topic == SEAM_TOPIC_ENDPOINTS && sf_list_may_be_fed(rc, now_us))
 		return true;
-	return t->topic != SEAM_CONF && sf_is_bad(&rc->topics[SEAM_CONF]);
+	return t->topic != SEAM_TOPIC_CONF && sf_is_bad(&rc->topics[SEAM_TOPIC_CONF]);
 }
 
 /* Reads the topics that were postponed until the store answers. */
 static void sf_wake(struct rc *rc, int64_t now_us)
 {
-	for (int i = 0; i <= SEAM_HOSTS; i++) {
+	for (int i = 0; i <= SEAM_TOPIC_HOSTS; i++) {
 		struct sf_topic *t = &rc->topics[i];
 
 		if (!t->call && sf_is_bad(t) && !sf_waits(t, now_us))
@@ -263,7 +263,7 @@
 
 static void sf_again(struct sf_topic *t, int64_t delay_us)
 {
-	if (!t->rc->stopping || t->topic != SEAM_HOSTS)
+	if (!t->rc->stopping || t->topic != SEAM_TOPIC_HOSTS)
 		loop_after(t->rc->loop, &t->timer, delay_us, sf_on_timer, t);
 }
 
@@ -273,11 +273,11 @@
 	int64_t place = era_make_place(t->rc->era.now, offset);
 	char *name = str_dup(key);
 
-	if (t->topic == SEAM_CONF && value.data)
+	if (t->topic == SEAM_TOPIC_CONF && value.data)
 		rc_take_conf(t->rc, place, value, "store");
-	else if (t->topic == SEAM_ENDPOINTS)
+	else if (t->topic == SEAM_TOPIC_ENDPOINTS)
 		rc_take_endpoint(t->rc, place, name, value);
-	else if (t->topic == SEAM_HOSTS)
+	else if (t->topic == SEAM_TOPIC_HOSTS)
 		hosts_on_record(t->rc->host_list, name, value);
 	g_free(name);
 }
@@ -305,7 +305,7 @@
 		jl_end();
 	}
 	met_add(met_counter("bg_store_failures_total", ""), 1);
-	if (sf_is_bad(&t->rc->topics[SEAM_ENDPOINTS]) && !follow_is_fed(t->rc->follow))
+	if (sf_is_bad(&t->rc->topics[SEAM_TOPIC_ENDPOINTS]) && !follow_is_fed(t->rc->follow))
 		ep_on_store_failure(&t->rc->endpoints);
 	feed_flush(t->rc->feed);
 	sf_again(t, tmr_ms(delay_ms));
@@ -331,11 +331,11 @@
 
 static int64_t sf_pause_us(struct sf_topic *t)
 {
-	if (t->topic == SEAM_HOSTS && t->reads < SF_HOSTS_EARLY_READS)
+	if (t->topic == SEAM_TOPIC_HOSTS && t->reads < SF_HOSTS_EARLY_READS)
 		return tmr_ms(SF_HOSTS_EARLY_MS);
-	if (t->topic == SEAM_ENDPOINTS)
+	if (t->topic == SEAM_TOPIC_ENDPOINTS)
 		return sf_endpoints_pause_us(t->rc);
-	if (t->topic == SEAM_CONF && !t->rc->rank.reader && t->reads == 0)
+	if (t->topic == SEAM_TOPIC_CONF && !t->rc->rank.reader && t->reads == 0)
 		return tmr_ms(SF_CONF_PAUSE_START_MS);
 	return t->pause_us;
 }
@@ -358,11 +358,11 @@
 	struct rc *rc = t->rc;
 
 	t->next = t->end;
-	if (t->topic == SEAM_HOSTS) {
+	if (t->topic == SEAM_TOPIC_HOSTS) {
 		hosts_on_listing_end(rc->host_list);
 		rc_on_hosts_heard(rc);
 	}
-	if (t->topic == SEAM_ENDPOINTS) {
+	if (t->topic == SEAM_TOPIC_ENDPOINTS) {
 		ep_end_listing(&rc->endpoints, t->end, tmr_now());
 		sf_log_compared(rc);
 		rc->endpoints.changed = true;
@@ -383,9 +383,9 @@
 	struct seam_read read;
 	bool first = t->after == NULL;
 
-	if (first && t->topic == SEAM_ENDPOINTS)
+	if (first && t->topic == SEAM_TOPIC_ENDPOINTS)
 		ep_begin_listing(&t->rc->endpoints);
-	if (first && t->topic == SEAM_HOSTS)
+	if (first && t->topic == SEAM_TOPIC_HOSTS)
 		hosts_on_listing_begin(t->rc->host_list);
 	if (t->rc->router->seam->store.parse_newest(body, sf_on_record, t, &read) < 0)
 		return false;
@@ -414,7 +414,7 @@
 			  ? -1
 			  : era_make_place(t->rc->era.now, read.next);
 	t->reads++;
-	if (t->topic == SEAM_HOSTS && read.next == read.end)
+	if (t->topic == SEAM_TOPIC_HOSTS && read.next == read.end)
 		rc_on_hosts_heard(t->rc);
 	sf_again(t, read.next < read.end ? 0 : sf_pause_us(t));
 	return true;
@@ -438,7 +438,7 @@
 	}
 	sf_recovered(t);
 	t->read_us = tmr_now();
-	if (t->topic == SEAM_ENDPOINTS)
+	if (t->topic == SEAM_TOPIC_ENDPOINTS)
 		ep_on_store_success(&t->rc->endpoints, t->read_us);
 	good = t->next < 0 ? sf_on_page(t, answer->body) : sf_on_reading(t, answer->body);
 	if (!good)
--- a/router/tf.c
+++ b/router/tf.c
@@ -63,7 +63,7 @@
 	tf->eps = g_hash_table_new(g_str_hash, g_str_equal);
 	tf->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
 	sh_init(&tf->share);
-	quar_init(&tf->quar, QUAR_LIMIT);
+	quar_init(&tf->quar, QUAR_REFUSAL_POINTS);
 	served_init(&tf->served);
 	tf->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	tf->retry_delays = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -277,7 +277,7 @@
 {
 	const struct rt_limits *limits = &tf->view->conf->limits;
 
-	hd_set_limits(tf->router->front, (size_t)limits->body_bytes,
+	hd_set_limits(tf->router->front, (size_t)limits->max_body_bytes,
 		      (unsigned int)((limits->idle_ms + 999) / 1000));
 }
 
--- a/router/tf_heard.c
+++ b/router/tf_heard.c
@@ -52,7 +52,7 @@
 		return;
 	ep->rest_unreadable_logged = true;
 	tf_head_log_begin("rest_unreadable", ep);
-	jl_int("values", answer->rest_values);
+	jl_int("values", answer->rest_value_count);
 	jl_int("unreadable", answer->rest == SEAM_REST_UNREADABLE);
 	jl_str("id", request);
 	jl_end();
@@ -78,9 +78,9 @@
 {
 	if (answer->unknown)
 		tf_head_log_unknown(tf, ep, answer->unknown, request);
-	if (answer->rest == SEAM_REST_UNREADABLE || answer->rest_values > 1)
+	if (answer->rest == SEAM_REST_UNREADABLE || answer->rest_value_count > 1)
 		tf_head_log_rest_unreadable(ep, answer, request);
-	if (answer->rest == SEAM_REST_FOR)
+	if (answer->rest == SEAM_REST_STATED)
 		tf_rest_on_request(tf, ep, answer->rest_us, request);
 	if (answer->leaving && answer->head.status != TF_HEAD_STATUS_MISDIRECTED)
 		tf_head_on_leaving(tf, ep, request);
@@ -128,7 +128,7 @@
 	msg->answer.head = answer->head;
 	msg->answer.rest = answer->rest;
 	msg->answer.rest_us = answer->rest_us;
-	msg->answer.rest_values = answer->rest_values;
+	msg->answer.rest_value_count = answer->rest_value_count;
 	msg->answer.leaving = answer->leaving;
 	msg->answer.unknown = g_strdup(answer->unknown);
 	loop_post(&tf->loop, tf_head_on_posted, msg);
--- a/router/tf_limit.c
+++ b/router/tf_limit.c
@@ -63,7 +63,7 @@
 	jl_begin(JL_KEEP, "limit_unreadable");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
-	jl_int("values", answer->limit_values);
+	jl_int("values", answer->limit_value_count);
 	jl_int("unreadable", answer->limit == SEAM_LIMIT_UNREADABLE);
 	jl_str("id", request);
 	jl_end();
@@ -115,12 +115,12 @@
 void tf_limit_on_answer(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
 			int64_t sent_us, const char *request)
 {
-	struct lim_notice news = {answer->limit == SEAM_LIMIT_RATE, answer->limit_rate,
+	struct lim_notice news = {answer->limit == SEAM_LIMIT_STATED, answer->limit_rate,
 				  tmr_boot_now()};
 
 	if (!answer->head.id_matches || answer->head.status == TF_LIMIT_STATUS_MISDIRECTED)
 		return;
-	if (answer->limit_values > 1 || answer->limit == SEAM_LIMIT_UNREADABLE)
+	if (answer->limit_value_count > 1 || answer->limit == SEAM_LIMIT_UNREADABLE)
 		tf_limit_log_unreadable(ep, answer, request);
 	if (!news.named && !tf_limit_is_lifted(ep, answer, sent_us))
 		return;
--- a/router/tf_quar.c
+++ b/router/tf_quar.c
@@ -20,13 +20,14 @@
 
 int tf_quar_weight(enum crash_progress progress)
 {
-	return progress == CRASH_BEGUN || progress == CRASH_SENT ? QUAR_STRONG : QUAR_WEAK;
+	return progress == CRASH_BEGUN || progress == CRASH_SENT ? QUAR_WEIGHT_STRONG
+								 : QUAR_WEIGHT_WEAK;
 }
 
 static int tf_quar_cut_weight(const struct crash_attempt *cut)
 {
 	if (cut->progress == CRASH_SENT && cut->unconfirmed)
-		return QUAR_WEAK;
+		return QUAR_WEIGHT_WEAK;
 	return tf_quar_weight(cut->progress);
 }
 
@@ -37,7 +38,7 @@
  */
 static bool tf_quar_must_share(const struct quar_entry *entry, const struct crash_attempt *cut)
 {
-	return quar_is_told(entry) || cut->progress == CRASH_SENT;
+	return quar_is_propagated(entry) || cut->progress == CRASH_SENT;
 }
 
 static uint64_t tf_quar_endpoint_hash(const struct tf_ep *ep)
@@ -89,7 +90,7 @@
 	int64_t now_us = tmr_now();
 	const struct quar_entry *entry;
 
-	if (served_lately(&tf->served, &cut->key, now_us))
+	if (served_recently(&tf->served, &cut->key, now_us))
 		return;
 	longest_us = tf_quar_longest_us(tf, &id);
 	tf_quar_on_part(tf, &id, longest_us);
@@ -97,7 +98,7 @@
 			      now_us);
 	if (!entry)
 		return;
-	quar_on_part(&tf->quar, &id, MAX(cut->lasted_us, longest_us), now_us);
+	quar_on_progress(&tf->quar, &id, MAX(cut->lasted_us, longest_us), now_us);
 	if (tf_quar_must_share(entry, cut))
 		g_ptr_array_add(shared, quar_entry_dup(entry));
 	if (refused_before != (entry->until_us > 0))
@@ -126,7 +127,8 @@
 {
 	GPtrArray *shared = quarantine_list_new();
 
-	quar_on_lives(&tf->quar, tf_quar_endpoint_hash(ep), tmr_now(), tf_quar_add_shared, shared);
+	quar_on_endpoint_alive(&tf->quar, tf_quar_endpoint_hash(ep), tmr_now(), tf_quar_add_shared,
+			       shared);
 	jl_begin(JL_KEEP, "endpoint_lives");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_int("taken_back", shared->len);
@@ -154,14 +156,14 @@
 {
 	bool refused_before = tf_quar_is_refused(tf, id);
 
-	tf_quar_share(tf, quar_on_part(&tf->quar, id, lasted_us, tmr_now()), refused_before);
+	tf_quar_share(tf, quar_on_progress(&tf->quar, id, lasted_us, tmr_now()), refused_before);
 }
 
 void tf_quar_served(struct tf *tf, const struct quar_id *id)
 {
 	bool refused_before = tf_quar_is_refused(tf, id);
 
-	served_note(&tf->served, &id->key, tmr_now());
+	served_record(&tf->served, &id->key, tmr_now());
 	tf_quar_share(tf, quar_clear(&tf->quar, id, tmr_now()), refused_before);
 }
 
@@ -174,7 +176,7 @@
 		const struct quar_entry *other = msg->entries->pdata[i];
 		const struct quar_id id = {other->key, other->account};
 		bool refused_before = tf_quar_is_refused(tf, &id);
-		const struct quar_entry *entry = quar_take(&tf->quar, other, tmr_now());
+		const struct quar_entry *entry = quar_merge_remote(&tf->quar, other, tmr_now());
 
 		if (entry && refused_before != (entry->until_us > 0))
 			tf_quar_enforce(tf, entry, "another host");
--- a/rt/rt.c
+++ b/rt/rt.c
@@ -69,7 +69,7 @@
 	GArray *delays = service->engine.delays;
 
 	for (guint i = 0; i < kinds->len; i++)
-		g_free(g_array_index(kinds, struct rt_kind, i).name);
+		g_free(g_array_index(kinds, struct rt_accelerator, i).name);
 	for (guint i = 0; i < delays->len; i++) {
 		g_free(g_array_index(delays, struct rt_delay, i).from);
 		g_free(g_array_index(delays, struct rt_delay, i).to);
@@ -115,18 +115,18 @@
 	struct rt_service *service = g_new0(struct rt_service, 1);
 
 	service->name = g_strdup(name);
-	service->engine.kinds = g_array_new(FALSE, TRUE, sizeof(struct rt_kind));
+	service->engine.kinds = g_array_new(FALSE, TRUE, sizeof(struct rt_accelerator));
 	service->engine.delays = g_array_new(FALSE, TRUE, sizeof(struct rt_delay));
 	g_hash_table_replace(conf->services, service->name, service);
 	return service;
 }
 
-struct rt_kind *rt_add_kind(struct rt_service *service, const char *name)
+struct rt_accelerator *rt_add_accelerator(struct rt_service *service, const char *name)
 {
-	struct rt_kind kind = {g_strdup(name), 0, 1, 1};
+	struct rt_accelerator kind = {g_strdup(name), 0, 1, 1};
 
 	g_array_append_val(service->engine.kinds, kind);
-	return &g_array_index(service->engine.kinds, struct rt_kind,
+	return &g_array_index(service->engine.kinds, struct rt_accelerator,
 			      service->engine.kinds->len - 1);
 }
 
@@ -163,7 +163,7 @@
 	return la < lb ? 1 : (la > lb ? -1 : 0);
 }
 
-void rt_conf_seal(struct rt_conf *conf)
+void rt_conf_index_routes(struct rt_conf *conf)
 {
 	g_ptr_array_sort(conf->routes, rt_compare_prefix_length);
 	for (guint i = 0; i < conf->routes->len; i++) {
@@ -178,7 +178,8 @@
 	}
 }
 
-const struct rt_route *rt_match(const struct rt_conf *conf, const char *host, const char *path)
+const struct rt_route *rt_match_route(const struct rt_conf *conf, const char *host,
+				      const char *path)
 {
 	char *name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
 	GPtrArray *list = g_hash_table_lookup(conf->by_host, name);
@@ -194,13 +195,13 @@
 	return found;
 }
 
-const struct rt_account *rt_account_of(const struct rt_conf *conf, const char *key)
+const struct rt_account *rt_find_account(const struct rt_conf *conf, const char *key)
 {
 	return key ? g_hash_table_lookup(conf->keys, key) : NULL;
 }
 
-const struct rt_service *rt_service_of(const struct rt_conf *conf, const struct rt_route *route,
-				       const char *request_id)
+const struct rt_service *rt_select_service(const struct rt_conf *conf, const struct rt_route *route,
+					   const char *request_id)
 {
 	const struct rt_split *splits = (const struct rt_split *)(void *)route->splits->data;
 	int64_t total = 0;
@@ -225,12 +226,12 @@
 	return service->engine.layers > 0;
 }
 
-const struct rt_kind *rt_kind_of(const struct rt_service *service, const char *name)
+const struct rt_accelerator *rt_find_accelerator(const struct rt_service *service, const char *name)
 {
 	const GArray *kinds = service->engine.kinds;
 
 	for (guint i = 0; name && i < kinds->len; i++) {
-		const struct rt_kind *kind = &g_array_index(kinds, struct rt_kind, i);
+		const struct rt_accelerator *kind = &g_array_index(kinds, struct rt_accelerator, i);
 
 		if (strcmp(kind->name, name) == 0)
 			return kind;
--- a/rt/rt_test.cc
+++ b/rt/rt_test.cc
@@ -25,7 +25,7 @@
 	}
 	std::string Match(const char *host, const char *path)
 	{
-		const rt_route *route = rt_match(conf_, host, path);
+		const rt_route *route = rt_match_route(conf_, host, path);
 		return route ? route->name : "-";
 	}
 
@@ -37,7 +37,7 @@
 	Route("short", "a.example", "/x/");
 	Route("long", "a.example", "/x/y/");
 	Route("other", "b.example", "/x/");
-	rt_conf_seal(conf_);
+	rt_conf_index_routes(conf_);
 
 	const struct {
 		const char *host, *path, *route;
@@ -57,10 +57,10 @@
 	rt_account *mill = rt_add_account(conf_, "mill");
 	rt_add_key(conf_, mill, "k1");
 	rt_add_key(conf_, mill, "k2");
-	EXPECT_EQ(rt_account_of(conf_, "k1"), mill);
-	EXPECT_EQ(rt_account_of(conf_, "k2"), mill);
-	EXPECT_EQ(rt_account_of(conf_, "k3"), nullptr);
-	EXPECT_EQ(rt_account_of(conf_, nullptr), nullptr);
+	EXPECT_EQ(rt_find_account(conf_, "k1"), mill);
+	EXPECT_EQ(rt_find_account(conf_, "k2"), mill);
+	EXPECT_EQ(rt_find_account(conf_, "k3"), nullptr);
+	EXPECT_EQ(rt_find_account(conf_, nullptr), nullptr);
 }
 
 TEST_F(RtTest, SplitFollowsWeightsAndIsFixedForEachRequest)
@@ -73,8 +73,8 @@
 	std::map<std::string, int> seen;
 	for (int i = 0; i < 10000; i++) {
 		std::string id = std::to_string(i);
-		const rt_service *service = rt_service_of(conf_, route, id.c_str());
-		ASSERT_EQ(service, rt_service_of(conf_, route, id.c_str()));
+		const rt_service *service = rt_select_service(conf_, route, id.c_str());
+		ASSERT_EQ(service, rt_select_service(conf_, route, id.c_str()));
 		seen[service->name]++;
 	}
 	EXPECT_NEAR(seen["s90"], 9000, 300);
@@ -84,9 +84,9 @@
 TEST_F(RtTest, RouteWithoutKnownServiceSelectsNone)
 {
 	rt_route *route = rt_add_route(conf_, "r", "h", "/");
-	EXPECT_EQ(rt_service_of(conf_, route, "1"), nullptr);
+	EXPECT_EQ(rt_select_service(conf_, route, "1"), nullptr);
 	rt_add_split(route, "unknown", 1);
-	EXPECT_EQ(rt_service_of(conf_, route, "1"), nullptr);
+	EXPECT_EQ(rt_select_service(conf_, route, "1"), nullptr);
 }
 
 TEST_F(RtTest, MayRepeatDependsOnTypeAndResumability)
--- a/seam/seam.h
+++ b/seam/seam.h
@@ -49,14 +49,14 @@
  */
 enum seam_limit {
 	SEAM_LIMIT_NONE,      /* no limit is stated; an earlier limit no longer applies */
-	SEAM_LIMIT_RATE,      /* a limit is stated */
+	SEAM_LIMIT_STATED,    /* a limit is stated */
 	SEAM_LIMIT_UNREADABLE /* a limit is stated but not readable; an earlier one still applies */
 };
 
 /* Whether the head of a rejection states a time in which this host must send no requests. */
 enum seam_rest {
 	SEAM_REST_NONE,	     /* no time is stated */
-	SEAM_REST_FOR,	     /* a time is stated */
+	SEAM_REST_STATED,    /* a time is stated */
 	SEAM_REST_UNREADABLE /* a time is stated but not readable */
 };
 
@@ -70,13 +70,14 @@
 	int running;	 /* number of requests that run at the endpoint */
 	int waiting;	 /* number of requests that wait at the endpoint */
 	enum seam_limit limit;
-	double limit_rate; /* rate limit in requests a second, for SEAM_LIMIT_RATE */
-	int limit_values;  /* number of stated rate limits; more than one is an endpoint's fault */
+	double limit_rate;     /* rate limit in requests a second, for SEAM_LIMIT_STATED */
+	int limit_value_count; /* number of stated rate limits; more than one is an endpoint's fault
+				*/
 	enum seam_rest rest;
-	int64_t rest_us; /* time without requests, in microseconds, for SEAM_REST_FOR */
-	int rest_values; /* number of stated times; more than one is an endpoint's fault */
-	bool leaving;	 /* the endpoint is shutting down */
-	char *unknown;	 /* name of an unknown header of the platform; owned; NULL if none */
+	int64_t rest_us;      /* time without requests, in microseconds, for SEAM_REST_STATED */
+	int rest_value_count; /* number of stated times; more than one is an endpoint's fault */
+	bool leaving;	      /* the endpoint is shutting down */
+	char *unknown;	      /* name of an unknown header of the platform; owned; NULL if none */
 };
 
 /* Status that an engine reports about itself. */
@@ -109,11 +110,11 @@
 
 /* Topics of the store. A topic keeps the newest record of each key. */
 enum seam_topic {
-	SEAM_CONF,	 /* configuration; the newest version under a single key */
-	SEAM_ENDPOINTS,	 /* endpoints by id */
-	SEAM_HOSTS,	 /* this system's own hosts by name */
-	SEAM_KNOWN,	 /* last known list of endpoints, under a single key */
-	SEAM_QUARANTINE, /* requests that crash endpoints, by digest */
+	SEAM_TOPIC_CONF,	    /* configuration; the newest version under a single key */
+	SEAM_TOPIC_ENDPOINTS,	    /* endpoints by id */
+	SEAM_TOPIC_HOSTS,	    /* this system's own hosts by name */
+	SEAM_TOPIC_KNOWN_ENDPOINTS, /* last known list of endpoints, under a single key */
+	SEAM_TOPIC_QUARANTINE,	    /* requests that crash endpoints, by digest */
 	SEAM_TOPIC_COUNT
 };
 
@@ -151,10 +152,10 @@
 			    struct seam_answer *answer);
 
 	/* Name of the header that tells a caller when to retry. */
-	const char *(*retry_name)(void);
+	const char *(*retry_header_name)(void);
 
 	/* Value of that header for a delay, in the platform's unit; free with g_free(). */
-	char *(*retry_value)(int64_t delay_us);
+	char *(*retry_header_value)(int64_t delay_us);
 
 	/* Path at which a host answers whether it is ready for requests. */
 	const char *(*ready_path)(void);
