--- a/fwd/fwd.c
+++ b/fwd/fwd.c
@@ -113,7 +113,7 @@
 	fwd->last_received_us = now_us;
 	memset(&fwd->head, 0, sizeof(fwd->head));
 	g_string_truncate(fwd->body, 0);
-	sse_drop(&fwd->sse);
+	sse_discard_pending(&fwd->sse);
 	err = fwd->ops->send(fwd->ctx, fwd->sends, fwd->parts > 0 ? fwd->sse.last_id : NULL);
 	if (err == FWD_EQUARANTINED) {
 		fwd_end_with_cause(fwd, FWD_CRASHES);
@@ -377,7 +377,7 @@
 		return;
 	}
 	if (fwd->begun != (fwd->is_event_stream || fwd->passthrough) ||
-	    sse_pending(&fwd->sse) > 0) {
+	    sse_pending_bytes(&fwd->sse) > 0) {
 		fwd->failure = FWD_BROKEN;
 		fwd_attempt_failed(fwd, true, now_us);
 		return;
--- a/host/host.c
+++ b/host/host.c
@@ -80,7 +80,7 @@
 
 	if (!host)
 		return;
-	if (evidence == HOST_HEARD) {
+	if (evidence == HOST_ANSWERED) {
 		host->failures = 0;
 		host->suspect_until_us = 0;
 		return;
--- a/host/host.h
+++ b/host/host.h
@@ -19,9 +19,9 @@
 
 /* Observation about a host by the host that keeps the table. */
 enum host_evidence {
-	HOST_HEARD,   /* the host answered */
-	HOST_REFUSED, /* the host refused or closed the connection */
-	HOST_SILENT   /* the host did not answer in time */
+	HOST_ANSWERED, /* the host answered */
+	HOST_REFUSED,  /* the host refused or closed the connection */
+	HOST_TIMED_OUT /* the host did not answer in time */
 };
 
 /* A host of the system. */
--- a/host/host_test.cc
+++ b/host/host_test.cc
@@ -70,12 +70,12 @@
 	List(3);
 	std::string first = Home(1);
 	std::string second = Home(1, 1);
-	host_on_evidence(&table_, first.c_str(), HOST_SILENT, 0);
+	host_on_evidence(&table_, first.c_str(), HOST_TIMED_OUT, 0);
 	EXPECT_EQ(Home(1, 0, 10), second);
 	EXPECT_EQ(Home(1, 0, 1001), first);
-	host_on_evidence(&table_, first.c_str(), HOST_SILENT, 1001);
+	host_on_evidence(&table_, first.c_str(), HOST_TIMED_OUT, 1001);
 	EXPECT_EQ(Home(1, 0, 2500), second) << "the second suspicion in a row lasts longer";
-	host_on_evidence(&table_, first.c_str(), HOST_HEARD, 2500);
+	host_on_evidence(&table_, first.c_str(), HOST_ANSWERED, 2500);
 	EXPECT_EQ(Home(1, 0, 2500), first);
 }
 
--- a/order/order.c
+++ b/order/order.c
@@ -124,7 +124,7 @@
 	return now_us - lease->read_us >= lease->duration_us + order->margin_us;
 }
 
-char *order_ask(struct order *order, const char *model, int64_t now_us)
+char *order_request_lease(struct order *order, const char *model, int64_t now_us)
 {
 	const struct order_lease *lease = g_hash_table_lookup(order->leases, model);
 	struct order_own_state *own = order_get_own_state(order, model);
@@ -154,7 +154,7 @@
  * lease of its successor. The age of the lease is therefore counted from before the append, on the
  * monotonic clock, and checked for every order.
  */
-int64_t order_fence(const struct order *order, const char *model, int64_t now_us)
+int64_t order_fencing_number(const struct order *order, const char *model, int64_t now_us)
 {
 	const struct order_lease *lease = g_hash_table_lookup(order->leases, model);
 	const struct order_own_state *own = g_hash_table_lookup(order->own, model);
--- a/order/order.h
+++ b/order/order.h
@@ -55,13 +55,14 @@
  * or NULL if none is due. To be called only on the host that should give orders to the model's
  * engines. Free the record with free().
  */
-char *order_ask(struct order *order, const char *model, int64_t now_us);
+char *order_request_lease(struct order *order, const char *model, int64_t now_us);
 
-/* Reports that the latest append failed, so that order_ask() may return a record again. */
+/* Reports that the latest append failed, so that order_request_lease() may return a record again.
+ */
 void order_on_append_lost(struct order *order, const char *model);
 
 /* Returns the fencing number for an order that this host sends now; -1 if it may not send one. */
-int64_t order_fence(const struct order *order, const char *model, int64_t now_us);
+int64_t order_fencing_number(const struct order *order, const char *model, int64_t now_us);
 
 G_END_DECLS
 
--- a/order/order_test.cc
+++ b/order/order_test.cc
@@ -25,7 +25,7 @@
 	}
 	bool Ask(int64_t now)
 	{
-		char *record = order_ask(&order, "m", now);
+		char *record = order_request_lease(&order, "m", now);
 		if (!record)
 			return false;
 		log->push_back(record);
@@ -34,7 +34,7 @@
 	}
 	int64_t Fence(int64_t now)
 	{
-		return order_fence(&order, "m", now);
+		return order_fencing_number(&order, "m", now);
 	}
 	std::vector<std::string> *log;
 	struct order order;
@@ -68,7 +68,7 @@
 		a.Read(now);
 		b.Read(now);
 		EXPECT_GE(a.Fence(now), 0) << now;
-		EXPECT_EQ(order_ask(&b.order, "m", now), nullptr) << now;
+		EXPECT_EQ(order_request_lease(&b.order, "m", now), nullptr) << now;
 	}
 }
 
--- a/path/hop.c
+++ b/path/hop.c
@@ -30,7 +30,7 @@
 	hop->scale = 2;
 }
 
-int hop_pair(int zone_a, int zone_b)
+int hop_pair_index(int zone_a, int zone_b)
 {
 	int low = MIN(MIN(zone_a, zone_b), HOP_ZONES_MAX - 1);
 	int high = MIN(MAX(zone_a, zone_b), HOP_ZONES_MAX - 1);
@@ -48,7 +48,8 @@
 	hop->updated_us[pair] = now_us;
 }
 
-void hop_learn(struct hop *hop, const struct hop_path *path, double pause_ms, int64_t now_us)
+void hop_observe_pause(struct hop *hop, const struct hop_path *path, double pause_ms,
+		       int64_t now_us)
 {
 	double error = MIN(pause_ms, hop_pause_max_ms) - hop->scale * path->cost_ms;
 	double weight = path->cost_ms * path->cost_ms + hop_weight_ms * hop_weight_ms;
@@ -71,7 +72,7 @@
 
 double hop_cost_ms(struct hop *hop, int zone_a, int zone_b, int64_t now_us)
 {
-	int pair = hop_pair(zone_a, zone_b);
+	int pair = hop_pair_index(zone_a, zone_b);
 
 	if (zone_a == zone_b)
 		return 0;
--- a/path/hop.h
+++ b/path/hop.h
@@ -38,10 +38,11 @@
 void hop_init(struct hop *hop);
 
 /* Returns the index of a pair of availability zones, in either order; zones count from 0. */
-int hop_pair(int zone_a, int zone_b);
+int hop_pair_index(int zone_a, int zone_b);
 
 /* Updates the estimate from one pause between two events of a stream on the path. */
-void hop_learn(struct hop *hop, const struct hop_path *path, double pause_ms, int64_t now_us);
+void hop_observe_pause(struct hop *hop, const struct hop_path *path, double pause_ms,
+		       int64_t now_us);
 
 /* Returns how many ms such a hop adds to the time of a token, besides the network's delay. */
 double hop_cost_ms(struct hop *hop, int zone_a, int zone_b, int64_t now_us);
--- a/path/hop_test.cc
+++ b/path/hop_test.cc
@@ -23,9 +23,9 @@
 			hop_path path{};
 			path.cost_ms = 10 + i % 5;
 			if (i % 3 > 0)
-				path.hops[hop_pair(0, 1)] = 1;
+				path.hops[hop_pair_index(0, 1)] = 1;
 			if (i % 3 > 1)
-				path.hops[hop_pair(1, 2)] = 1;
+				path.hops[hop_pair_index(1, 2)] = 1;
 			paths_.push_back(path);
 		}
 	}
@@ -35,9 +35,9 @@
 		for (int64_t end = now_ + (int64_t)(seconds * 1e6); now_ < end; now_ += 25 * MS) {
 			for (const auto &path : paths_) {
 				double pause = 2 * path.cost_ms * (0.67 + 0.67 * rnd_unit(&seed_));
-				pause += path.hops[hop_pair(0, 1)] * slow01;
-				pause += path.hops[hop_pair(1, 2)] * slow12;
-				hop_learn(&hop_, &path, pause, now_);
+				pause += path.hops[hop_pair_index(0, 1)] * slow01;
+				pause += path.hops[hop_pair_index(1, 2)] * slow12;
+				hop_observe_pause(&hop_, &path, pause, now_);
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 {
 	Streams s;
 	s.Run(3, 0, 0);
-	hop_learn(&s.hop_, &s.paths_[2], 30000, s.now_);
+	hop_observe_pause(&s.hop_, &s.paths_[2], 30000, s.now_);
 	EXPECT_LT(s.Cost(1, 2), 4);
 }
 
@@ -105,9 +105,9 @@
 {
 	for (int a = 0; a < 40; a++) {
 		for (int b = 0; b < 40; b++) {
-			EXPECT_GE(hop_pair(a, b), 0);
-			EXPECT_LT(hop_pair(a, b), HOP_PAIRS);
-			EXPECT_EQ(hop_pair(a, b), hop_pair(b, a));
+			EXPECT_GE(hop_pair_index(a, b), 0);
+			EXPECT_LT(hop_pair_index(a, b), HOP_PAIRS);
+			EXPECT_EQ(hop_pair_index(a, b), hop_pair_index(b, a));
 		}
 	}
 }
--- a/path/path.c
+++ b/path/path.c
@@ -36,7 +36,7 @@
 struct pa_search {
 	const struct rt_engine *engine;
 	const struct pa_node *nodes;
-	const struct pa_ask *ask;
+	const struct pa_request *ask;
 	pa_delay_fn delay;
 	void *ctx;
 	uint32_t seed;
@@ -98,7 +98,7 @@
 	double cost = pa_handover_ms;
 
 	if (from_zone != to_zone)
-		cost += s->ask->cross_ms + s->delay(s->ctx, from_zone, to_zone);
+		cost += s->ask->cross_zone_ms + s->delay(s->ctx, from_zone, to_zone);
 	return cost;
 }
 
@@ -235,8 +235,8 @@
 	return last >= 0 ? pa_build_path(s, last, path) : PA_ENONE;
 }
 
-int pa_choose(const struct rt_engine *engine, const struct pa_node *nodes, int n,
-	      const struct pa_ask *ask, pa_delay_fn delay, void *ctx, struct pa_path *path)
+int pa_choose_path(const struct rt_engine *engine, const struct pa_node *nodes, int n,
+		   const struct pa_request *ask, pa_delay_fn delay, void *ctx, struct pa_path *path)
 {
 	struct pa_search s = {.engine = engine,
 			      .nodes = nodes,
--- a/path/path.h
+++ b/path/path.h
@@ -63,15 +63,15 @@
 };
 
 /* The request for which a pipeline is chosen. */
-struct pa_ask {
-	int from;	     /* first layer to run */
-	int to;		     /* layer after the last one to run */
-	int zone;	     /* number of the availability zone that the request is sent from */
-	double prompt;	     /* tokens of the prompt that have to be read */
-	double answer;	     /* expected tokens of the answer */
-	double cross_ms;     /* time of a hop between zones besides the network's delay, in ms */
-	enum pa_trust trust; /* least reliable kind of endpoint that may be used */
-	uint32_t seed;	     /* random seed that spreads requests over paths of similar cost */
+struct pa_request {
+	int from;	      /* first layer to run */
+	int to;		      /* layer after the last one to run */
+	int zone;	      /* number of the availability zone that the request is sent from */
+	double prompt;	      /* tokens of the prompt that have to be read */
+	double answer;	      /* expected tokens of the answer */
+	double cross_zone_ms; /* time of a hop between zones besides the network's delay, in ms */
+	enum pa_trust trust;  /* least reliable kind of endpoint that may be used */
+	uint32_t seed;	      /* random seed that spreads requests over paths of similar cost */
 };
 
 /* Returns the network's delay between two availability zones, in ms. */
@@ -82,8 +82,9 @@
  * An endpoint of less trust is used only if no path exists without it, however full the memory of
  * the others is: an endpoint with full memory may accept the request, a faulty one will not.
  */
-int pa_choose(const struct rt_engine *engine, const struct pa_node *nodes, int n,
-	      const struct pa_ask *ask, pa_delay_fn delay, void *ctx, struct pa_path *path);
+int pa_choose_path(const struct rt_engine *engine, const struct pa_node *nodes, int n,
+		   const struct pa_request *ask, pa_delay_fn delay, void *ctx,
+		   struct pa_path *path);
 
 G_END_DECLS
 
--- a/path/path_test.cc
+++ b/path/path_test.cc
@@ -51,9 +51,10 @@
 	      pa_trust trust = PA_FAULTY)
 {
 	rt_engine engine = Engine();
-	pa_ask ask = {0, 80, zone, 800, 200, 3.0, trust, seed};
+	pa_request ask = {0, 80, zone, 800, 200, 3.0, trust, seed};
 	Choice c{};
-	c.err = pa_choose(&engine, nodes.data(), (int)nodes.size(), &ask, Delay, nullptr, &c.path);
+	c.err = pa_choose_path(&engine, nodes.data(), (int)nodes.size(), &ask, Delay, nullptr,
+			       &c.path);
 	return c;
 }
 
@@ -97,14 +98,15 @@
 	const std::vector<pa_node> nodes = {Node(1, 0, 40), Node(1, 8, 24), Node(1, 24, 40),
 					    Node(1, 40, 80)};
 	rt_engine engine = Engine();
-	pa_ask ask = {16, 32, 1, 800, 200, 3.0, PA_FAULTY, 1};
+	pa_request ask = {16, 32, 1, 800, 200, 3.0, PA_FAULTY, 1};
 	pa_path path;
 
-	ASSERT_EQ(pa_choose(&engine, nodes.data(), 4, &ask, Delay, nullptr, &path), 0);
+	ASSERT_EQ(pa_choose_path(&engine, nodes.data(), 4, &ask, Delay, nullptr, &path), 0);
 	EXPECT_EQ(Text(path), "0:16-32 ");
-	ASSERT_EQ(pa_choose(&engine, nodes.data() + 1, 3, &ask, Delay, nullptr, &path), 0);
+	ASSERT_EQ(pa_choose_path(&engine, nodes.data() + 1, 3, &ask, Delay, nullptr, &path), 0);
 	EXPECT_EQ(Text(path), "0:16-24 1:24-32 ");
-	EXPECT_EQ(pa_choose(&engine, nodes.data() + 2, 2, &ask, Delay, nullptr, &path), PA_ENONE);
+	EXPECT_EQ(pa_choose_path(&engine, nodes.data() + 2, 2, &ask, Delay, nullptr, &path),
+		  PA_ENONE);
 }
 
 TEST(PathTest, StaysInTheZoneOfTheHost)
--- a/place/worth.c
+++ b/place/coverage.c
@@ -1,4 +1,4 @@
-#include "place/worth.h"
+#include "place/coverage.h"
 
 #include <string.h>
 
@@ -89,7 +89,8 @@
 {
 	double speed = cov_speed(coverage, node, to - from) * sign;
 	double tokens =
-		pl_token_room(coverage->engine, coverage->nodes[node].memory_mb, to - from) * sign;
+		pl_context_capacity(coverage->engine, coverage->nodes[node].memory_mb, to - from) *
+		sign;
 
 	for (int i = MAX(from, 0); i < MIN(to, coverage->layer_count); i++) {
 		if (cov_is_unusable(coverage, node, i))
--- a/place/worth.h
+++ b/place/coverage.h
@@ -1,5 +1,5 @@
-#ifndef PLACE_WORTH_H
-#define PLACE_WORTH_H
+#ifndef PLACE_COVERAGE_H
+#define PLACE_COVERAGE_H
 
 #include "place/place.h"
 
--- a/place/measure.c
+++ b/place/measure.c
@@ -1,11 +1,11 @@
-#include "place/worth.h"
+#include "place/coverage.h"
 
 #include <string.h>
 
 /* Speeds below this are rounding errors of sums from which nodes were removed; counted as 0. */
 static const double pl_speed_epsilon = 1e-9;
 
-double pl_token_room(const struct rt_engine *engine, double memory_mb, int layers_held)
+double pl_context_capacity(const struct rt_engine *engine, double memory_mb, int layers_held)
 {
 	double free_mb = memory_mb - layers_held * engine->layer_mb;
 
@@ -24,8 +24,8 @@
 	return true;
 }
 
-void pl_measure(const struct rt_engine *engine, const struct pl_node *nodes, int n,
-		struct pl_figures *stats)
+void pl_compute_stats(const struct rt_engine *engine, const struct pl_node *nodes, int n,
+		      struct pl_stats *stats)
 {
 	struct coverage coverage;
 	int held = 0;
--- a/place/place.h
+++ b/place/place.h
@@ -40,7 +40,7 @@
 };
 
 /* Statistics of a placement, for operators and for comparing plans. */
-struct pl_figures {
+struct pl_stats {
 	int copies_min;	    /* copies of the layer that the fewest endpoints hold */
 	int zones_whole;    /* number of availability zones that hold every layer */
 	double copies_mean; /* mean number of endpoints that hold a layer */
@@ -61,18 +61,18 @@
 void pl_balance(const struct rt_engine *engine, const struct pl_node *nodes, int n, GArray *moves);
 
 /* Computes the statistics of the layers that the nodes hold now. */
-void pl_measure(const struct rt_engine *engine, const struct pl_node *nodes, int n,
-		struct pl_figures *stats);
+void pl_compute_stats(const struct rt_engine *engine, const struct pl_node *nodes, int n,
+		      struct pl_stats *stats);
 
 /*
- * Returns the value of tokens_min (struct pl_figures) after the loss of the one node whose loss
+ * Returns the value of tokens_min (struct pl_stats) after the loss of the one node whose loss
  * lowers it most. Takes O(nodes x layers) time.
  */
 double pl_tokens_after_worst_loss(const struct rt_engine *engine, const struct pl_node *nodes,
 				  int n);
 
 /* Returns how many tokens of context fit into a node's memory beside the layers that it holds. */
-double pl_token_room(const struct rt_engine *engine, double memory_mb, int layers_held);
+double pl_context_capacity(const struct rt_engine *engine, double memory_mb, int layers_held);
 
 G_END_DECLS
 
--- a/place/place_int.h
+++ b/place/place_int.h
@@ -1,7 +1,7 @@
 #ifndef PLACE_PLACE_INT_H
 #define PLACE_PLACE_INT_H
 
-#include "place/worth.h"
+#include "place/coverage.h"
 
 G_BEGIN_DECLS
 
--- a/place/place_test.cc
+++ b/place/place_test.cc
@@ -73,11 +73,11 @@
 		rt_engine engine = Engine(kv_bytes);
 		return pl_tokens_after_worst_loss(&engine, nodes.data(), (int)nodes.size());
 	}
-	pl_figures Measure()
+	pl_stats Measure()
 	{
 		rt_engine engine = Engine(kv_bytes);
-		pl_figures f;
-		pl_measure(&engine, nodes.data(), (int)nodes.size(), &f);
+		pl_stats f;
+		pl_compute_stats(&engine, nodes.data(), (int)nodes.size(), &f);
 		return f;
 	}
 };
@@ -113,7 +113,7 @@
 {
 	Fleet f = TypicalDeployment();
 	f.Apply(f.Plan());
-	pl_figures stats = f.Measure();
+	pl_stats stats = f.Measure();
 	EXPECT_EQ(stats.zones_whole, 3);
 	EXPECT_GE(stats.copies_min, 4);
 	/* 300 requests in flight of 1,000 tokens fit, also after the worst loss. */
@@ -252,7 +252,7 @@
 	}
 	const struct {
 		const char *name;
-		pl_figures stats;
+		pl_stats stats;
 		double after_loss;
 	} plans[] = {{"plan", plan.Measure(), plan.AfterLoss()},
 		     {"round", round.Measure(), round.AfterLoss()},
@@ -289,7 +289,7 @@
 		f.Add(small[z], SMALL, zones[z]);
 	}
 	f.Apply(f.Plan());
-	pl_figures stats = f.Measure();
+	pl_stats stats = f.Measure();
 	EXPECT_EQ(stats.zones_whole, 4);
 	EXPECT_GE(stats.copies_min, 10);
 }
@@ -384,7 +384,7 @@
 {
 	Fleet f = ManySmall();
 	f.Apply(f.Plan());
-	pl_figures stats = f.Measure();
+	pl_stats stats = f.Measure();
 	printf("many small: zones whole %d, fewest copies %d, copies %.2f, after the worst loss %.0f\n",
 	       stats.zones_whole, stats.copies_min, stats.copies_mean, f.AfterLoss());
 	EXPECT_EQ(stats.zones_whole, 3);
@@ -433,7 +433,7 @@
 		ASSERT_GT(furthest, at);
 		at = furthest;
 	}
-	pl_figures stats = f.Measure();
+	pl_stats stats = f.Measure();
 	double after = f.AfterLoss();
 	printf("all small, little memory a token: stages %d, fewest copies %d, after the worst loss %.0f\n",
 	       stages, stats.copies_min, after);
--- a/prog/control_order.c
+++ b/prog/control_order.c
@@ -148,7 +148,7 @@
 	char *record;
 
 	if (control_order_rank(c, model->name) == 0 && !c->stopping) {
-		record = order_ask(&c->order, model->name, now);
+		record = order_request_lease(&c->order, model->name, now);
 		if (record) {
 			struct control_lease *asked = g_new0(struct control_lease, 1);
 
@@ -158,7 +158,7 @@
 			free(record);
 		}
 	}
-	if (order_fence(&c->order, model->name, now) >= 0) {
+	if (order_fencing_number(&c->order, model->name, now) >= 0) {
 		lease.turn = GPOINTER_TO_UINT(g_hash_table_lookup(c->order_turns, model->name));
 		conf_each(c->clog.state, CONF_ENDPOINT, control_look, &lease);
 		lease.turn = lease.looks < CONTROL_ORDER_LOOKS ? 0 : lease.turn + lease.looks;
@@ -236,7 +236,7 @@
 	const struct conf_obj *e = conf_get(c->clog.state, CONF_ENDPOINT, look->endpoint);
 	json_t *json = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
 	const char *version = json_string_value(json_object_get(json, "version"));
-	int64_t fence = order_fence(&c->order, look->model, tmr_now());
+	int64_t fence = order_fencing_number(&c->order, look->model, tmr_now());
 	json_t *order;
 	char *text;
 	char *url;
--- a/prog/entry_home.c
+++ b/prog/entry_home.c
@@ -87,7 +87,7 @@
 	struct entry_home *home = ctx;
 	struct entry *e = home->entry;
 
-	host_on_evidence(&e->view.hosts, home->host, HOST_HEARD, tmr_now());
+	host_on_evidence(&e->view.hosts, home->host, HOST_ANSWERED, tmr_now());
 	if (kind == MSG_CONF_HOSTS)
 		return entry_view_on_hosts(e, conn, body, len);
 	if (kind >= MSG_KIND_COUNT || !entry_home_msgs[kind])
@@ -108,7 +108,7 @@
 	log_msg(LOG_WARNING, "home_lost host=%s reason=\"%s\"", home->host, base_strerror(err));
 	met_add(met_counter("bg_homes_lost_total", ""), 1);
 	host_on_evidence(&e->view.hosts, home->host,
-			 err == BASE_ESILENT ? HOST_SILENT : HOST_REFUSED, tmr_now());
+			 err == BASE_ESILENT ? HOST_TIMED_OUT : HOST_REFUSED, tmr_now());
 	g_hash_table_remove(e->broker.homes, home->host);
 	entry_grants_home_lost(e, home->host);
 	entry_claims_home_lost(e, home->host);
--- a/router/follow.c
+++ b/router/follow.c
@@ -414,7 +414,7 @@
 	if (follow->fed)
 		follow->feeders_tried = 0;
 	follow->stale_us = follow->fed ? 0 : (follow->stale_us > 0 ? follow->stale_us : tmr_now());
-	host_on_evidence(&follow->table, follow->host, HOST_HEARD, tmr_now());
+	host_on_evidence(&follow->table, follow->host, HOST_ANSWERED, tmr_now());
 	if (follow->fed)
 		ep_on_store_success(&rc->endpoints, tmr_now());
 	if (follow_apply_conf(follow, msg) < 0 || follow_apply_endpoints(follow, msg) < 0) {
@@ -453,7 +453,7 @@
 static void follow_on_close(void *ctx, struct frm_conn *conn, int err)
 {
 	struct follow *follow = ctx;
-	enum host_evidence evidence = err == BASE_ESILENT ? HOST_SILENT : HOST_REFUSED;
+	enum host_evidence evidence = err == BASE_ESILENT ? HOST_TIMED_OUT : HOST_REFUSED;
 
 	(void)conn;
 	if (follow->fed)
--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -247,6 +247,6 @@
 	(void)conn;
 	limit_ask_log(ask, "limit_home_lost", base_strerror(err));
 	follow_on_evidence(ask->rc->follow, ask->home,
-			   err == BASE_ESILENT ? HOST_SILENT : HOST_REFUSED);
+			   err == BASE_ESILENT ? HOST_TIMED_OUT : HOST_REFUSED);
 	limit_ask_reset(ask);
 }
--- a/router/pick.c
+++ b/router/pick.c
@@ -173,7 +173,8 @@
 	node->slowness = 1;
 	node->usable = true;
 	node->room =
-		kind ? pl_token_room(&service->engine, kind->memory_mb, node->to - node->from) : 0;
+		kind ? pl_context_capacity(&service->engine, kind->memory_mb, node->to - node->from)
+		     : 0;
 	pick_set_load(tf, ep, now_us, node);
 	node->trust = pick_trust_level(ep, now_us);
 }
@@ -199,7 +200,8 @@
 	pick->ask.zone = tf_zone_number(tf, tf->router->settings.zone);
 	pick->ask.prompt = pick_prompt_tokens(service, request);
 	pick->ask.answer = pick_answer_tokens(service, request);
-	pick->ask.cross_ms = pick_zone_crossing_ms(tf, service, pick_usual_prompt_tokens(service));
+	pick->ask.cross_zone_ms =
+		pick_zone_crossing_ms(tf, service, pick_usual_prompt_tokens(service));
 	pick->ask.seed = rnd_step(&tf->seed);
 	g_hash_table_iter_init(&iter, tf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -217,8 +219,8 @@
 int pick_search(struct pick *pick, struct tf *tf, const struct rt_service *service)
 {
 	struct pick_hop_ctx delays = {tf, service};
-	int err = pa_choose(&service->engine, pick->nodes, pick->n, &pick->ask, pick_hop_ms,
-			    &delays, &pick->path);
+	int err = pa_choose_path(&service->engine, pick->nodes, pick->n, &pick->ask, pick_hop_ms,
+				 &delays, &pick->path);
 
 	return err == 0 ? 0 : FWD_ENOENDPOINT;
 }
@@ -253,7 +255,7 @@
 
 		if (from == to)
 			continue;
-		target->hops.hops[hop_pair(from - 1, to - 1)]++;
+		target->hops.hops[hop_pair_index(from - 1, to - 1)]++;
 		target->hops.cost_ms -= pick_hop_ms(&delays, from, to);
 	}
 	target->hops.cost_ms = MAX(target->hops.cost_ms, 1);
--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -15,7 +15,7 @@
 	struct tf_ep **eps;    /* endpoint of each node */
 	int n;		       /* number of nodes */
 	int resting;	       /* endpoints left out because of rest periods */
-	struct pa_ask ask;     /* what the pipeline has to do */
+	struct pa_request ask; /* what the pipeline has to do */
 	struct pa_path path;   /* the pipeline found */
 };
 
--- a/router/placer.c
+++ b/router/placer.c
@@ -212,10 +212,10 @@
 static void placer_update_gauges(const struct rt_service *service, const GArray *nodes)
 {
 	char *labels = g_strdup_printf("service=\"%s\"", service->name);
-	struct pl_figures figures;
+	struct pl_stats figures;
 
-	pl_measure(&service->engine, (const struct pl_node *)(void *)nodes->data, (int)nodes->len,
-		   &figures);
+	pl_compute_stats(&service->engine, (const struct pl_node *)(void *)nodes->data,
+			 (int)nodes->len, &figures);
 	met_set(met_gauge("bg_layer_copies_least", labels), (uint64_t)MAX(figures.copies_min, 0));
 	met_set(met_gauge("bg_layer_tokens_least", labels), (uint64_t)figures.tokens_min);
 	g_free(labels);
--- a/router/rank_test.cc
+++ b/router/rank_test.cc
@@ -223,7 +223,7 @@
 		if (Choose(i).first)
 			first = "host-" + std::to_string(i);
 	}
-	host_on_evidence(&table_, first.c_str(), HOST_SILENT, 10);
+	host_on_evidence(&table_, first.c_str(), HOST_TIMED_OUT, 10);
 	for (int i = 0; i < 7; i++) {
 		rank r = Choose(i, 0, 20);
 		if ("host-" + std::to_string(i) != first) {
--- a/router/rq.c
+++ b/router/rq.c
@@ -399,8 +399,8 @@
 	if (rq->fwd.parts < 1)
 		return;
 	if (rq->target.layered && rq->repairs == 0)
-		hop_learn(&rq->tf->hop, &rq->target.hops,
-			  (double)(now_us - rq->last_activity_us) / TMR_US_PER_MS, now_us);
+		hop_observe_pause(&rq->tf->hop, &rq->target.hops,
+				  (double)(now_us - rq->last_activity_us) / TMR_US_PER_MS, now_us);
 	rq->gap_us += (now_us - rq->last_activity_us - rq->gap_us) / RQ_GAP_MEAN_DIVISOR;
 	limit_us = rq->gap_us * RQ_GAP_SILENCE_FACTOR;
 	rq->fwd.rules.gap_us = CLAMP(limit_us, tmr_ms(RQ_GAP_FLOOR_MS), most_us);
--- a/sse/sse.c
+++ b/sse/sse.c
@@ -16,12 +16,12 @@
 	g_string_free(sse->pending, TRUE);
 }
 
-void sse_drop(struct sse *sse)
+void sse_discard_pending(struct sse *sse)
 {
 	g_string_truncate(sse->pending, 0);
 }
 
-size_t sse_pending(const struct sse *sse)
+size_t sse_pending_bytes(const struct sse *sse)
 {
 	return sse->pending->len;
 }
--- a/sse/sse.h
+++ b/sse/sse.h
@@ -38,13 +38,13 @@
  * Discards the bytes of an incomplete event and keeps the last id. To be called when the stream is
  * resumed at another endpoint.
  */
-void sse_drop(struct sse *sse);
+void sse_discard_pending(struct sse *sse);
 
 /* Adds data and calls fn for each event that is complete now. Returns 0 or SSE_ETOOLONG. */
 int sse_feed(struct sse *sse, const char *data, size_t len, sse_event_fn fn, void *ctx);
 
 /* Returns the number of bytes of the event that is not complete. */
-size_t sse_pending(const struct sse *sse);
+size_t sse_pending_bytes(const struct sse *sse);
 
 G_END_DECLS
 
--- a/sse/sse_test.cc
+++ b/sse/sse_test.cc
@@ -40,7 +40,7 @@
 		std::string all;
 
 		events_.clear();
-		sse_drop(&sse_);
+		sse_discard_pending(&sse_);
 		for (size_t at = 0; at < stream.size(); at += step)
 			EXPECT_EQ(Feed(stream.substr(at, step)), 0);
 		for (const auto &e : events_)
@@ -48,7 +48,7 @@
 		EXPECT_EQ(all, stream) << step;
 		EXPECT_EQ(events_.size(), 4u) << step;
 		EXPECT_STREQ(sse_.last_id, "3");
-		EXPECT_EQ(sse_pending(&sse_), 0u);
+		EXPECT_EQ(sse_pending_bytes(&sse_), 0u);
 	}
 }
 
@@ -61,8 +61,8 @@
 	Feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
 	EXPECT_EQ(events_.size(), 1u);
 	EXPECT_STREQ(sse_.last_id, "1");
-	EXPECT_GT(sse_pending(&sse_), 0u);
-	sse_drop(&sse_);
+	EXPECT_GT(sse_pending_bytes(&sse_), 0u);
+	sse_discard_pending(&sse_);
 	Feed("id: 2\ndata: half\n\n");
 	EXPECT_EQ(events_.back(), "id: 2\ndata: half\n\n");
 	EXPECT_STREQ(sse_.last_id, "2");
