--- a/once/once.c
+++ b/once/once.c
@@ -15,7 +15,7 @@
 
 /* A claim that waits for its verdict, or a release. */
 struct once_wait {
-	struct once_asker requester;
+	struct once_requester requester;
 	struct once_claim *claim;
 	bool release;
 };
@@ -29,7 +29,7 @@
 static const char *const once_verdict_names[ONCE_VERDICT_COUNT] = {
 	[ONCE_WON] = "won",
 	[ONCE_LOST] = "lost",
-	[ONCE_OUT] = "out",
+	[ONCE_UNAVAILABLE] = "out",
 };
 
 const char *once_verdict_name(enum once_verdict verdict)
@@ -134,7 +134,7 @@
 	if (wait->release)
 		return;
 	once->ops->answer(once->ctx, wait->requester,
-			  !winner ? ONCE_OUT : (won ? ONCE_WON : ONCE_LOST), winner);
+			  !winner ? ONCE_UNAVAILABLE : (won ? ONCE_WON : ONCE_LOST), winner);
 }
 
 static void once_answer_all(struct once *once, GPtrArray *waits, bool unavailable)
@@ -145,7 +145,7 @@
 		if (!unavailable)
 			once_send_verdict(once, wait);
 		else if (!wait->release)
-			once->ops->answer(once->ctx, wait->requester, ONCE_OUT, NULL);
+			once->ops->answer(once->ctx, wait->requester, ONCE_UNAVAILABLE, NULL);
 	}
 	g_ptr_array_set_size(waits, 0);
 }
@@ -160,8 +160,8 @@
 	return strcmp(winner->id, claim->id) != 0 && strcmp(winner->id, claim->supersedes) != 0;
 }
 
-void once_on_ask(struct once *once, struct once_asker requester, const struct once_claim *claim,
-		 int64_t now_us)
+void once_on_claim(struct once *once, struct once_requester requester,
+		   const struct once_claim *claim, int64_t now_us)
 {
 	struct once_wait *wait;
 
@@ -170,7 +170,7 @@
 		return;
 	}
 	if (now_us < once->unavailable_until_us) {
-		once->ops->answer(once->ctx, requester, ONCE_OUT, NULL);
+		once->ops->answer(once->ctx, requester, ONCE_UNAVAILABLE, NULL);
 		return;
 	}
 	wait = g_new0(struct once_wait, 1);
@@ -250,7 +250,7 @@
 /*
  * An append may have taken effect although its answer was lost, so the partition is read in either
  * case, and only its content decides. A read from a lagging replica may end before the appended
- * record and not show the claim; its verdict is then ONCE_OUT.
+ * record and not show the claim; its verdict is then ONCE_UNAVAILABLE.
  */
 void once_on_appended(struct once *once, bool ok)
 {
@@ -330,8 +330,8 @@
 
 /*
  * Sends verdicts after a failed append. A claim that the log does not show may still be appended
- * later. Its verdict is ONCE_OUT and the entry does not dispatch, so a claim that appears late
- * blocks its key but causes no second run.
+ * later. Its verdict is ONCE_UNAVAILABLE and the entry does not dispatch, so a claim that appears
+ * late blocks its key but causes no second run.
  */
 static void once_settle_failed_append(struct once *once, int64_t now_us)
 {
@@ -386,7 +386,7 @@
 	once_start_next(once, now_us);
 }
 
-void once_on_conn_gone(struct once *once, uint64_t conn)
+void once_on_conn_closed(struct once *once, uint64_t conn)
 {
 	for (guint i = once->waiting->len; i-- > 0;) {
 		struct once_wait *wait = once->waiting->pdata[i];
--- a/once/once.h
+++ b/once/once.h
@@ -25,9 +25,9 @@
 };
 
 enum once_verdict {
-	ONCE_WON,  /* this claim is in force: its attempt may be dispatched */
-	ONCE_LOST, /* another claim, the winner, is in force */
-	ONCE_OUT,  /* the log is unavailable, or does not show the claim; do not dispatch */
+	ONCE_WON,	  /* this claim is in force: its attempt may be dispatched */
+	ONCE_LOST,	  /* another claim, the winner, is in force */
+	ONCE_UNAVAILABLE, /* the log is unavailable, or does not show the claim; do not dispatch */
 	ONCE_VERDICT_COUNT
 };
 
@@ -42,7 +42,7 @@
 };
 
 /* Identifies the request for a claim in its verdict. */
-struct once_asker {
+struct once_requester {
 	uint64_t conn;	 /* the caller's number for the connection */
 	uint64_t ask_id; /* number of the request on that connection */
 };
@@ -58,7 +58,7 @@
 	void (*read)(void *ctx, int64_t from);
 
 	/* Sends the verdict. winner: the claim in force, or NULL. */
-	void (*answer)(void *ctx, struct once_asker requester, enum once_verdict verdict,
+	void (*answer)(void *ctx, struct once_requester requester, enum once_verdict verdict,
 		       const struct once_claim *winner);
 };
 
@@ -98,8 +98,8 @@
  * Handles a request for a claim, which is copied. The answer callback may be called before it
  * returns.
  */
-void once_on_ask(struct once *once, struct once_asker requester, const struct once_claim *claim,
-		 int64_t now_us);
+void once_on_claim(struct once *once, struct once_requester requester,
+		   const struct once_claim *claim, int64_t now_us);
 
 /* An entry released its claim without dispatching. No verdict is sent. */
 void once_on_release(struct once *once, const char *key, const char *id, int64_t now_us);
@@ -117,7 +117,7 @@
 void once_on_tick(struct once *once, int64_t now_us);
 
 /* Drops the claims that wait for an append and whose connection was closed. */
-void once_on_conn_gone(struct once *once, uint64_t conn);
+void once_on_conn_closed(struct once *once, uint64_t conn);
 
 /* Returns the partition of a key, from 0 to n - 1. */
 unsigned int once_partition(const char *key, unsigned int n);
--- a/once/once_test.cc
+++ b/once/once_test.cc
@@ -21,7 +21,7 @@
 		static const once_ops ops = {
 			[](void *ctx, const char *record) { ((Home *)ctx)->Append(record); },
 			[](void *ctx, int64_t from) { ((Home *)ctx)->pending_read = from; },
-			[](void *ctx, once_asker requester, once_verdict verdict,
+			[](void *ctx, once_requester requester, once_verdict verdict,
 			   const once_claim *winner) {
 				((Home *)ctx)
 					->answers.push_back(std::to_string(requester.ask_id) + " " +
@@ -74,7 +74,7 @@
 	{
 		once_claim claim = {(char *)key,     (char *)id,     (char *)"r",	(char *)"h",
 				    (char *)"e1,e2", (char *)"body", (char *)supersedes};
-		once_on_ask(&once, {1, ask}, &claim, now);
+		once_on_claim(&once, {1, ask}, &claim, now);
 	}
 	Partition *log;
 	struct once once;
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -13,7 +13,7 @@
 static void pool_rebuild(struct pool *pool, int64_t now_us);
 
 static const char *const pool_refusal_names[POOL_REFUSE_COUNT] = {
-	[POOL_REFUSE_FULL] = "queue_full",
+	[POOL_REFUSE_QUEUE_FULL] = "queue_full",
 	[POOL_REFUSE_DEADLINE] = "deadline",
 	[POOL_REFUSE_NO_PATH] = "no_pipeline",
 };
@@ -83,7 +83,7 @@
 	g_free(pool->model);
 }
 
-struct pool_endpoint *pool_find(const struct pool *pool, const char *endpoint)
+struct pool_endpoint *pool_find_endpoint(const struct pool *pool, const char *endpoint)
 {
 	for (guint i = 0; i < pool->endpoints->len; i++) {
 		struct pool_endpoint *e = pool->endpoints->pdata[i];
@@ -101,7 +101,7 @@
 
 	if (strcmp(obj->text[ENDPOINT_POOL], pool->name) != 0)
 		return;
-	e = pool_find(pool, obj->name);
+	e = pool_find_endpoint(pool, obj->name);
 	if (!e) {
 		e = g_new0(struct pool_endpoint, 1);
 		e->refs = 1;
@@ -209,7 +209,7 @@
 	return now_us - pool->no_path_since_us >= pool->settings.no_path_grace_us;
 }
 
-void pool_on_ask(struct pool *pool, const struct pool_ask *ask, int64_t now_us)
+void pool_on_grant_request(struct pool *pool, const struct pool_grant_request *ask, int64_t now_us)
 {
 	struct fair_account *account = fair_get_account(&pool->fair, ask->account, &ask->limits);
 	struct fair_item item = {++pool->last_id, MAX(ask->tokens, 1), ask->deadline_us, now_us,
@@ -226,7 +226,7 @@
 	err = fair_push(&pool->fair, account, &item, now_us, &retry_us);
 	if (err < 0) {
 		pool->ops->refuse(pool->ctx, ask->entry, ask->ask_id,
-				  err == FAIR_EFULL ? POOL_REFUSE_FULL : POOL_REFUSE_DEADLINE,
+				  err == FAIR_EFULL ? POOL_REFUSE_QUEUE_FULL : POOL_REFUSE_DEADLINE,
 				  retry_us);
 		return;
 	}
@@ -350,7 +350,7 @@
 static void pool_handle_fault(struct pool *pool, const struct pool_grant *grant,
 			      enum pool_outcome outcome, const char *bad, int64_t now_us)
 {
-	struct pool_endpoint *endpoint = bad ? pool_find(pool, bad) : NULL;
+	struct pool_endpoint *endpoint = bad ? pool_find_endpoint(pool, bad) : NULL;
 
 	if (outcome == POOL_OUTCOME_REFUSED && endpoint) {
 		pool_mark_down(pool, endpoint, now_us);
@@ -363,8 +363,8 @@
 	}
 }
 
-void pool_on_done(struct pool *pool, uint64_t grant_id, uint64_t tokens, enum pool_outcome outcome,
-		  const char *bad, int64_t now_us)
+void pool_on_attempt_end(struct pool *pool, uint64_t grant_id, uint64_t tokens,
+			 enum pool_outcome outcome, const char *bad, int64_t now_us)
 {
 	struct pool_grant *grant = g_hash_table_lookup(pool->grants, &grant_id);
 
@@ -378,14 +378,15 @@
 	pool_schedule(pool, now_us);
 }
 
-uint64_t pool_on_holding(struct pool *pool, const struct pool_ask *ask, const char *const *stages)
+uint64_t pool_adopt_grant(struct pool *pool, const struct pool_grant_request *ask,
+			  const char *const *stages)
 {
 	struct fair_account *account = fair_get_account(&pool->fair, ask->account, &ask->limits);
 	struct pool_grant *grant =
 		pool_grant_new(pool, ask->entry, ask->ask_id, account, ask->tokens);
 
 	for (const char *const *name = stages; *name && grant->count < FLOW_STAGES_MAX; name++) {
-		struct pool_endpoint *endpoint = pool_find(pool, *name);
+		struct pool_endpoint *endpoint = pool_find_endpoint(pool, *name);
 
 		if (endpoint)
 			pool_grant_add_stage(grant, endpoint);
@@ -400,7 +401,7 @@
 	return grant->id;
 }
 
-void pool_on_entry_gone(struct pool *pool, uint64_t entry, int64_t now_us)
+void pool_on_entry_disconnected(struct pool *pool, uint64_t entry, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -431,10 +432,10 @@
  * since. So only requests beyond the highest number recently granted here are attributed to another
  * home.
  */
-void pool_on_load(struct pool *pool, const char *endpoint, int running, bool leaving,
-		  int64_t now_us)
+void pool_on_load_report(struct pool *pool, const char *endpoint, int running, bool leaving,
+			 int64_t now_us)
 {
-	struct pool_endpoint *e = pool_find(pool, endpoint);
+	struct pool_endpoint *e = pool_find_endpoint(pool, endpoint);
 	bool was_usable;
 
 	if (!e)
@@ -457,7 +458,7 @@
 
 void pool_on_endpoint_down(struct pool *pool, const char *endpoint, int64_t now_us)
 {
-	struct pool_endpoint *e = pool_find(pool, endpoint);
+	struct pool_endpoint *e = pool_find_endpoint(pool, endpoint);
 
 	if (e)
 		pool_mark_down(pool, e, now_us);
--- a/pool/pool.h
+++ b/pool/pool.h
@@ -19,9 +19,9 @@
  * delivered through callbacks. All times are in microseconds.
  */
 enum pool_refusal {
-	POOL_REFUSE_FULL,     /* the queue of the client account is full */
-	POOL_REFUSE_DEADLINE, /* the request would start after its deadline */
-	POOL_REFUSE_NO_PATH,  /* no pipeline covers every layer of the model */
+	POOL_REFUSE_QUEUE_FULL, /* the queue of the client account is full */
+	POOL_REFUSE_DEADLINE,	/* the request would start after its deadline */
+	POOL_REFUSE_NO_PATH,	/* no pipeline covers every layer of the model */
 	POOL_REFUSE_COUNT
 };
 
@@ -66,7 +66,7 @@
 };
 
 /* A request for a grant. */
-struct pool_ask {
+struct pool_grant_request {
 	uint64_t entry;	     /* the caller's number for the entry's connection */
 	uint64_t ask_id;     /* the entry's number for this request for a grant */
 	const char *account; /* name of the client account */
@@ -147,7 +147,7 @@
 void pool_on_conf(struct pool *pool, struct conf_state *conf, int64_t now_us);
 
 /* Queues a request for a grant. May call the grant or the refuse callback before it returns. */
-void pool_on_ask(struct pool *pool, const struct pool_ask *ask, int64_t now_us);
+void pool_on_grant_request(struct pool *pool, const struct pool_grant_request *ask, int64_t now_us);
 
 /* Removes a request for a grant that still waits. */
 void pool_on_withdraw(struct pool *pool, uint64_t entry, uint64_t ask_id, int64_t now_us);
@@ -156,22 +156,23 @@
  * Ends a grant after its attempt ended. tokens: number actually generated. bad: name of the
  * endpoint at fault, or NULL if none is known.
  */
-void pool_on_done(struct pool *pool, uint64_t grant_id, uint64_t tokens, enum pool_outcome outcome,
-		  const char *bad, int64_t now_us);
+void pool_on_attempt_end(struct pool *pool, uint64_t grant_id, uint64_t tokens,
+			 enum pool_outcome outcome, const char *bad, int64_t now_us);
 
 /*
  * Records a grant that another home issued, after its entry has moved to this home with the
  * attempt in flight. stages: names of its endpoints, NULL-terminated. Returns the id of the grant
  * here, or 0 if none of the endpoints is known.
  */
-uint64_t pool_on_holding(struct pool *pool, const struct pool_ask *ask, const char *const *stages);
+uint64_t pool_adopt_grant(struct pool *pool, const struct pool_grant_request *ask,
+			  const char *const *stages);
 
 /* Drops the waiting requests and the grants of an entry whose connection was closed. */
-void pool_on_entry_gone(struct pool *pool, uint64_t entry, int64_t now_us);
+void pool_on_entry_disconnected(struct pool *pool, uint64_t entry, int64_t now_us);
 
 /* Applies a load report. running: all requests at the endpoint, whoever granted them. */
-void pool_on_load(struct pool *pool, const char *endpoint, int running, bool leaving,
-		  int64_t now_us);
+void pool_on_load_report(struct pool *pool, const char *endpoint, int running, bool leaving,
+			 int64_t now_us);
 
 /* Marks an endpoint as down until its next load report. */
 void pool_on_endpoint_down(struct pool *pool, const char *endpoint, int64_t now_us);
@@ -180,7 +181,7 @@
 void pool_on_tick(struct pool *pool, int64_t now_us);
 
 /* Returns the endpoint of that name, or NULL. */
-struct pool_endpoint *pool_find(const struct pool *pool, const char *endpoint);
+struct pool_endpoint *pool_find_endpoint(const struct pool *pool, const char *endpoint);
 
 /* Names used in metrics and settings. */
 const char *pool_refusal_name(enum pool_refusal why);
--- a/pool/pool_int.h
+++ b/pool/pool_int.h
@@ -5,7 +5,7 @@
 
 G_BEGIN_DECLS
 
-/* A request that waits for a grant; its fields are copies of those of struct pool_ask. */
+/* A request that waits for a grant; its fields are copies of those of struct pool_grant_request. */
 struct pool_waiting {
 	uint64_t entry;
 	uint64_t ask_id;
--- a/pool/pool_test.cc
+++ b/pool/pool_test.cc
@@ -112,10 +112,10 @@
 		   uint64_t entry = 1, const char *version = "v1")
 	{
 		exclude.push_back(nullptr);
-		pool_ask ask = {entry, id,	    account, {1, 10, 100},  version,
-				10,    now_ + kFar, 0,	     exclude.data()};
+		pool_grant_request ask = {entry, id,	      account, {1, 10, 100},  version,
+					  10,	 now_ + kFar, 0,       exclude.data()};
 		size_t before = answers_.size();
-		pool_on_ask(&pool_, &ask, now_);
+		pool_on_grant_request(&pool_, &ask, now_);
 		return answers_.size() > before ? answers_.back() : Answer{};
 	}
 	pool pool_;
@@ -144,7 +144,7 @@
 	}
 	for (const auto &[name, n] : load)
 		EXPECT_EQ(n, 2) << name;
-	pool_on_done(&pool_, answers_[0].grant, 10, POOL_OUTCOME_OK, nullptr, now_);
+	pool_on_attempt_end(&pool_, answers_[0].grant, 10, POOL_OUTCOME_OK, nullptr, now_);
 	ASSERT_EQ(answers_.size(), 5u);
 	EXPECT_EQ(answers_.back().ask, 5u);
 }
@@ -157,12 +157,12 @@
 	 */
 	Answer first = Ask(1);
 	std::string bad = first.stages.substr(0, 2);
-	pool_on_done(&pool_, first.grant, 0, POOL_OUTCOME_REFUSED, bad.c_str(), now_);
+	pool_on_attempt_end(&pool_, first.grant, 0, POOL_OUTCOME_REFUSED, bad.c_str(), now_);
 	EXPECT_EQ(probed_, std::vector<std::string>{bad});
 	for (uint64_t i = 2; i < 4; i++)
 		EXPECT_EQ(Ask(i).stages.find(bad), std::string::npos);
 	EXPECT_EQ(Ask(4).ask, 0u);
-	pool_on_load(&pool_, bad.c_str(), 0, false, now_);
+	pool_on_load_report(&pool_, bad.c_str(), 0, false, now_);
 	EXPECT_EQ(answers_.back().ask, 4u);
 	EXPECT_NE(answers_.back().stages.find(bad), std::string::npos);
 }
@@ -172,7 +172,7 @@
 	Answer first = Ask(1);
 	std::string a = first.stages.substr(0, 2);
 	std::string b = first.stages.substr(3, 2);
-	pool_on_done(&pool_, first.grant, 3, POOL_OUTCOME_STALLED, nullptr, now_);
+	pool_on_attempt_end(&pool_, first.grant, 3, POOL_OUTCOME_STALLED, nullptr, now_);
 	EXPECT_EQ(probed_.size(), 2u);
 	Answer again = Ask(2, {a.c_str(), b.c_str()});
 	EXPECT_EQ(again.stages.find(a), std::string::npos);
@@ -187,7 +187,7 @@
 	 */
 	Conf("drain endpoint a1");
 	EXPECT_EQ(Ask(1).stages.substr(0, 2), "a2");
-	pool_on_load(&pool_, "a2", 1, true, now_);
+	pool_on_load_report(&pool_, "a2", 1, true, now_);
 	EXPECT_EQ(Ask(2).ask, 0u);
 	Conf("admit endpoint a1");
 	EXPECT_EQ(answers_.back().stages.substr(0, 2), "a1");
@@ -218,11 +218,11 @@
 	Conf("endpoint a2 version v2\nendpoint b2 version v2\nmodel m version v2\n");
 	Answer first = Ask(1, {}, "acc", 1, "v2");
 	EXPECT_EQ(first.stages, "a2,b2");
-	pool_on_done(&pool_, first.grant, 0, POOL_OUTCOME_REFUSED, "a2", now_);
+	pool_on_attempt_end(&pool_, first.grant, 0, POOL_OUTCOME_REFUSED, "a2", now_);
 	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").ask, 0u) << "must wait for the load report";
 	pool_on_tick(&pool_, now_ + kSecond);
 	EXPECT_EQ(answers_.size(), 1u);
-	pool_on_load(&pool_, "a2", 0, false, now_ + kSecond);
+	pool_on_load_report(&pool_, "a2", 0, false, now_ + kSecond);
 	EXPECT_EQ(answers_.back().stages, "a2,b2");
 	pool_on_endpoint_down(&pool_, "a2", now_ + kSecond);
 	now_ += 3 * kSecond;
@@ -241,17 +241,17 @@
 TEST_F(PoolTest, RequestsForAVersionLoadedSinceTheLastReportWait)
 {
 	Conf("endpoint a2 version v2\nendpoint b2 version v2\nmodel m version v2\n");
-	pool_on_load(&pool_, "a2", 0, true, now_);
-	pool_on_load(&pool_, "b2", 0, true, now_);
+	pool_on_load_report(&pool_, "a2", 0, true, now_);
+	pool_on_load_report(&pool_, "b2", 0, true, now_);
 	EXPECT_EQ(Ask(1, {}, "acc", 1, "v2").ask, 0u) << "must wait for the next load report";
 	now_ += kSecond;
-	pool_on_load(&pool_, "a2", 0, false, now_);
+	pool_on_load_report(&pool_, "a2", 0, false, now_);
 	EXPECT_EQ(answers_.size(), 0u);
-	pool_on_load(&pool_, "b2", 0, false, now_);
+	pool_on_load_report(&pool_, "b2", 0, false, now_);
 	EXPECT_EQ(answers_.back().stages, "a2,b2");
-	pool_on_load(&pool_, "a2", 0, true, now_);
+	pool_on_load_report(&pool_, "a2", 0, true, now_);
 	now_ += 3 * kSecond;
-	pool_on_load(&pool_, "a2", 0, true, now_);
+	pool_on_load_report(&pool_, "a2", 0, true, now_);
 	EXPECT_EQ(Ask(2, {}, "acc", 1, "v2").refusal, POOL_REFUSE_NO_PATH) << "grace period over";
 }
 
@@ -264,13 +264,14 @@
 	 */
 	pool_on_endpoint_down(&pool_, "a1", now_);
 	pool_on_endpoint_down(&pool_, "a2", now_);
-	pool_ask ask = {1, 1, "acc", {1, 10, 100}, "v1", 4000, now_ + 60 * kSecond, 0, nullptr};
-	pool_on_ask(&pool_, &ask, now_);
+	pool_grant_request ask = {1, 1,	     "acc", {1, 10, 100}, "v1", 4000, now_ + 60 * kSecond,
+				  0, nullptr};
+	pool_on_grant_request(&pool_, &ask, now_);
 	ask.ask_id = 2;
-	pool_on_ask(&pool_, &ask, now_);
+	pool_on_grant_request(&pool_, &ask, now_);
 	EXPECT_EQ(answers_.size(), 0u)
 		<< "both must wait: 4000 tokens at 200 tokens a second take 20 s";
-	pool_on_load(&pool_, "a1", 0, false, now_);
+	pool_on_load_report(&pool_, "a1", 0, false, now_);
 	EXPECT_EQ(answers_.size(), 2u);
 }
 
@@ -279,9 +280,11 @@
 	for (uint64_t i = 1; i <= 4; i++)
 		Ask(i, {}, "acc", 7);
 	Ask(5, {}, "acc", 8);
-	pool_on_entry_gone(&pool_, 7, now_);
+	pool_on_entry_disconnected(&pool_, 7, now_);
 	EXPECT_EQ(answers_.back().ask, 5u);
-	EXPECT_EQ(pool_find(&pool_, "a1")->inflight + pool_find(&pool_, "a2")->inflight, 1);
+	EXPECT_EQ(pool_find_endpoint(&pool_, "a1")->inflight +
+			  pool_find_endpoint(&pool_, "a2")->inflight,
+		  1);
 }
 
 TEST_F(PoolTest, NewHomeCountsAttemptsInFlight)
@@ -292,14 +295,14 @@
 	 * that they have in flight, not only its own grants.
 	 */
 	const char *stages[] = {"a1", "b1", nullptr};
-	pool_ask held = {1, 0, "acc", {1, 10, 100}, "v1", 10, 0, 0, nullptr};
-	uint64_t grant = pool_on_holding(&pool_, &held, stages);
+	pool_grant_request held = {1, 0, "acc", {1, 10, 100}, "v1", 10, 0, 0, nullptr};
+	uint64_t grant = pool_adopt_grant(&pool_, &held, stages);
 	ASSERT_NE(grant, 0u);
-	pool_on_holding(&pool_, &held, stages);
+	pool_adopt_grant(&pool_, &held, stages);
 	EXPECT_EQ(Ask(1).stages, "a2,b2");
 	EXPECT_EQ(Ask(2).stages, "a2,b2");
 	EXPECT_EQ(Ask(3).ask, 0u);
-	pool_on_done(&pool_, grant, 10, POOL_OUTCOME_OK, nullptr, now_);
+	pool_on_attempt_end(&pool_, grant, 10, POOL_OUTCOME_OK, nullptr, now_);
 	EXPECT_EQ(answers_.back().stages, "a1,b1");
 }
 
@@ -312,11 +315,11 @@
 	 */
 	Answer own = Ask(1);
 	std::string a = own.stages.substr(0, 2);
-	pool_on_done(&pool_, own.grant, 10, POOL_OUTCOME_OK, nullptr, now_);
-	pool_on_load(&pool_, a.c_str(), 1, false, now_);
-	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign_inflight, 0);
-	pool_on_load(&pool_, a.c_str(), 3, false, now_);
-	EXPECT_EQ(pool_find(&pool_, a.c_str())->foreign_inflight, 2);
+	pool_on_attempt_end(&pool_, own.grant, 10, POOL_OUTCOME_OK, nullptr, now_);
+	pool_on_load_report(&pool_, a.c_str(), 1, false, now_);
+	EXPECT_EQ(pool_find_endpoint(&pool_, a.c_str())->foreign_inflight, 0);
+	pool_on_load_report(&pool_, a.c_str(), 3, false, now_);
+	EXPECT_EQ(pool_find_endpoint(&pool_, a.c_str())->foreign_inflight, 2);
 	EXPECT_NE(Ask(2).stages.substr(0, 2), a);
 }
 
@@ -324,7 +327,7 @@
 {
 	Answer a = Ask(1);
 	Conf("delete endpoint a1\ndelete endpoint a2\n" + Endpoint("a3", "0-1"));
-	pool_on_done(&pool_, a.grant, 10, POOL_OUTCOME_OK, nullptr, now_);
+	pool_on_attempt_end(&pool_, a.grant, 10, POOL_OUTCOME_OK, nullptr, now_);
 	EXPECT_EQ(Ask(2).stages.substr(0, 2), "a3");
 }
 
--- a/prog/control_once.c
+++ b/prog/control_once.c
@@ -14,7 +14,7 @@
 
 static void control_part_append(void *ctx, const char *record);
 static void control_part_read(void *ctx, int64_t from);
-static void control_part_answer(void *ctx, struct once_asker asker, enum once_verdict verdict,
+static void control_part_answer(void *ctx, struct once_requester asker, enum once_verdict verdict,
 				const struct once_claim *winner);
 static void control_on_part_appended(void *ctx, int status, int err, bool sent, const char *body,
 				     size_t len);
@@ -103,7 +103,7 @@
 	json_decref(json);
 }
 
-static void control_part_answer(void *ctx, struct once_asker asker, enum once_verdict verdict,
+static void control_part_answer(void *ctx, struct once_requester asker, enum once_verdict verdict,
 				const struct once_claim *winner)
 {
 	struct control_part *part = ctx;
@@ -146,7 +146,7 @@
 
 	g_hash_table_iter_init(&iter, c->parts);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		once_on_conn_gone(&((struct control_part *)value)->once, conn);
+		once_on_conn_closed(&((struct control_part *)value)->once, conn);
 }
 
 int control_on_claim(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
@@ -154,7 +154,7 @@
 	Once__Claim *msg = once__claim__unpack(NULL, len, body);
 	struct control_conn *own = frm_data(conn);
 	struct once_claim claim;
-	struct once_asker asker;
+	struct once_requester asker;
 
 	if (!msg)
 		return BASE_EFRAME;
@@ -167,8 +167,8 @@
 		.digest = msg->digest,
 		.supersedes = msg->supersedes,
 	};
-	asker = (struct once_asker){own->id, msg->ask_id};
-	once_on_ask(&control_part(c, msg->key)->once, asker, &claim, tmr_now());
+	asker = (struct once_requester){own->id, msg->ask_id};
+	once_on_claim(&control_part(c, msg->key)->once, asker, &claim, tmr_now());
 	once__claim__free_unpacked(msg, NULL);
 	return 0;
 }
--- a/prog/control_pool.c
+++ b/prog/control_pool.c
@@ -74,7 +74,7 @@
 	}
 	g_hash_table_iter_init(&iter, cp->polls);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		if (!pool_find(&cp->pool, key))
+		if (!pool_find_endpoint(&cp->pool, key))
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -141,14 +141,14 @@
 
 	g_hash_table_iter_init(&iter, c->pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		pool_on_entry_gone(&((struct control_pool *)value)->pool, conn, tmr_now());
+		pool_on_entry_disconnected(&((struct control_pool *)value)->pool, conn, tmr_now());
 }
 
 static void control_poll_now(void *ctx, int64_t now_us)
 {
 	struct control_poll *poll = ctx;
 	struct control *c = poll->cp->c;
-	const struct pool_endpoint *e = pool_find(&poll->cp->pool, poll->endpoint);
+	const struct pool_endpoint *e = pool_find_endpoint(&poll->cp->pool, poll->endpoint);
 	struct hc_request request = {
 		.method = "GET",
 		.connect_ms = CONTROL_CONNECT_MS,
@@ -188,7 +188,7 @@
  */
 static bool control_holds(const struct control_poll *poll, const json_t *report)
 {
-	const struct pool_endpoint *e = pool_find(&poll->cp->pool, poll->endpoint);
+	const struct pool_endpoint *e = pool_find_endpoint(&poll->cp->pool, poll->endpoint);
 	const char *version = json_string_value(json_object_get(report, "version"));
 
 	return e && version && strcmp(version, e->version) == 0 &&
@@ -209,11 +209,11 @@
 		if (poll->failures >= CONTROL_POLL_FAILURES)
 			log_msg(LOG_NOTICE, "endpoint_up endpoint=%s", poll->endpoint);
 		poll->failures = 0;
-		pool_on_load(&poll->cp->pool, poll->endpoint,
-			     (int)json_integer_value(json_object_get(json, "running")),
-			     json_is_true(json_object_get(json, "leaving")) ||
-				     !control_holds(poll, json),
-			     tmr_now());
+		pool_on_load_report(&poll->cp->pool, poll->endpoint,
+				    (int)json_integer_value(json_object_get(json, "running")),
+				    json_is_true(json_object_get(json, "leaving")) ||
+					    !control_holds(poll, json),
+				    tmr_now());
 	} else {
 		control_poll_failed(poll, err < 0 ? err : BASE_EHTTP);
 		if (poll->failures < CONTROL_POLL_FAILURES)
@@ -305,13 +305,13 @@
 	Pool__Ask *msg = pool__ask__unpack(NULL, len, body);
 	struct control_conn *own = frm_data(conn);
 	int64_t now = tmr_now();
-	struct pool_ask ask;
+	struct pool_grant_request ask;
 	char **exclude;
 
 	if (!msg)
 		return BASE_EFRAME;
 	exclude = control_names(msg->exclude, msg->n_exclude);
-	ask = (struct pool_ask){
+	ask = (struct pool_grant_request){
 		.entry = own->id,
 		.ask_id = msg->ask_id,
 		.account = msg->account,
@@ -323,7 +323,7 @@
 		.exclude = (const char *const *)exclude,
 	};
 	met_add(met_counter("bg_grants_asked_total", ""), 1);
-	pool_on_ask(&control_pool(c, msg->pool)->pool, &ask, now);
+	pool_on_grant_request(&control_pool(c, msg->pool)->pool, &ask, now);
 	g_free(exclude);
 	pool__ask__free_unpacked(msg, NULL);
 	return 0;
@@ -351,8 +351,9 @@
 			pool__done__free_unpacked(msg, NULL);
 		return BASE_EFRAME;
 	}
-	pool_on_done(&control_pool(c, msg->pool)->pool, msg->grant_id, msg->tokens,
-		     (enum pool_outcome)msg->outcome, msg->bad[0] ? msg->bad : NULL, tmr_now());
+	pool_on_attempt_end(&control_pool(c, msg->pool)->pool, msg->grant_id, msg->tokens,
+			    (enum pool_outcome)msg->outcome, msg->bad[0] ? msg->bad : NULL,
+			    tmr_now());
 	pool__done__free_unpacked(msg, NULL);
 	return 0;
 }
@@ -362,13 +363,13 @@
 	Pool__Holding *msg = pool__holding__unpack(NULL, len, body);
 	struct control_conn *own = frm_data(conn);
 	Pool__Held answer = POOL__HELD__INIT;
-	struct pool_ask ask;
+	struct pool_grant_request ask;
 	char **stages;
 
 	if (!msg)
 		return BASE_EFRAME;
 	stages = control_names(msg->stages, msg->n_stages);
-	ask = (struct pool_ask){
+	ask = (struct pool_grant_request){
 		.entry = own->id,
 		.ask_id = msg->ask_id,
 		.account = msg->account,
@@ -376,8 +377,8 @@
 		.tokens = msg->tokens,
 	};
 	answer.ask_id = msg->ask_id;
-	answer.grant_id = pool_on_holding(&control_pool(c, msg->pool)->pool, &ask,
-					  (const char *const *)stages);
+	answer.grant_id = pool_adopt_grant(&control_pool(c, msg->pool)->pool, &ask,
+					   (const char *const *)stages);
 	frm_send(conn, MSG_POOL_HELD, &answer.base);
 	g_free(stages);
 	pool__holding__free_unpacked(msg, NULL);
--- a/prog/entry.h
+++ b/prog/entry.h
@@ -127,7 +127,7 @@
 	enum req_grant_refusal refusal; /* REFUSED: the reason */
 	int64_t retry_us; /* REFUSED: delay before a retry is useful, in microseconds */
 
-	enum req_break failure; /* ATTEMPT_FAILED: the reason */
+	enum req_failure failure; /* ATTEMPT_FAILED: the reason */
 
 	int verdict;		/* CLAIM: enum once_verdict */
 	char *winner_id;	/* CLAIM: id of the winning claim */
--- a/prog/entry_act.c
+++ b/prog/entry_act.c
@@ -46,10 +46,10 @@
 };
 
 static const enum pool_outcome entry_outcomes[] = {
-	[REQ_GRANT_OK] = POOL_OUTCOME_OK,
-	[REQ_GRANT_REFUSED] = POOL_OUTCOME_REFUSED,
-	[REQ_GRANT_STALLED] = POOL_OUTCOME_STALLED,
-	[REQ_GRANT_NOT_RUN] = POOL_OUTCOME_NOT_RUN,
+	[REQ_GRANT_END_OK] = POOL_OUTCOME_OK,
+	[REQ_GRANT_END_REFUSED] = POOL_OUTCOME_REFUSED,
+	[REQ_GRANT_END_STALLED] = POOL_OUTCOME_STALLED,
+	[REQ_GRANT_END_NOT_RUN] = POOL_OUTCOME_NOT_RUN,
 };
 
 static void entry_act_ask(void *ctx, unsigned int attempt, char *const *exclude)
--- a/prog/entry_call.c
+++ b/prog/entry_call.c
@@ -238,13 +238,13 @@
 
 static void entry_call_on_claim(struct entry_call *call, struct entry_event *event)
 {
-	enum req_claim_verdict verdict = REQ_CLAIM_OUT;
+	enum req_claim_verdict verdict = REQ_CLAIM_LOG_UNAVAILABLE;
 
 	if (event->verdict == ONCE_WON)
 		verdict = REQ_CLAIM_WON;
 	if (event->verdict == ONCE_LOST && call->req.state == REQ_WAIT_CLAIM) {
 		verdict = strcmp(event->winner_digest, call->digest) == 0 ? REQ_CLAIM_LOST
-									  : REQ_CLAIM_REUSED;
+									  : REQ_CLAIM_KEY_REUSED;
 		g_free(call->winner_id);
 		g_free(call->winner_entry);
 		g_free(call->run_id);
@@ -287,7 +287,8 @@
 			req_on_refused(&call->req, event->attempt, event->refusal, event->retry_us,
 				       tmr_now());
 		else if (event->kind == ENTRY_EVENT_ATTEMPT_FAILED)
-			req_on_break(&call->req, event->attempt, event->failure, NULL, tmr_now());
+			req_on_attempt_failed(&call->req, event->attempt, event->failure, NULL,
+					      tmr_now());
 		else
 			entry_call_on_claim(call, event);
 	}
@@ -335,7 +336,7 @@
 		hd_unref(call->http);
 		call->http = NULL;
 		met_add(met_counter("bg_callers_gone_total", ""), 1);
-		req_on_caller_gone(&call->req, now_us);
+		req_on_caller_disconnected(&call->req, now_us);
 	}
 	g_list_free(calls);
 	entry_remove_expired_calls(e, now_us);
@@ -361,10 +362,10 @@
 	r->first_ceiling_us = s->first_ceiling_ms * USEC_PER_MSEC;
 	r->gap_floor_us = s->gap_floor_ms * USEC_PER_MSEC;
 	r->gap_ceiling_us = s->gap_ceiling_ms * USEC_PER_MSEC;
-	r->claim_us = s->claim_ms * USEC_PER_MSEC;
-	r->dispatch_us = s->dispatch_ms * USEC_PER_MSEC;
+	r->claim_timeout_us = s->claim_ms * USEC_PER_MSEC;
+	r->claim_max_age_us = s->dispatch_ms * USEC_PER_MSEC;
 	r->backoff_us = s->backoff_ms * USEC_PER_MSEC;
-	r->resume_us = s->resume_ms * USEC_PER_MSEC;
+	r->resume_timeout_us = s->resume_ms * USEC_PER_MSEC;
 	r->retry_after_us = USEC_PER_SEC;
 	r->attempts = (unsigned int)s->attempts_max;
 	req_budget_init(&e->traffic.budget, (double)s->retry_burst, (double)s->retry_percent / 100);
--- a/prog/entry_claim.c
+++ b/prog/entry_claim.c
@@ -80,7 +80,7 @@
 	g_free(pending->home);
 	pending->home = home ? g_strdup(home->host) : NULL;
 	if (!home) {
-		entry_send_verdict(e, pending, ONCE_OUT, NULL);
+		entry_send_verdict(e, pending, ONCE_UNAVAILABLE, NULL);
 		return;
 	}
 	msg.ask_id = pending->ask_id;
--- a/prog/entry_grant.c
+++ b/prog/entry_grant.c
@@ -22,8 +22,8 @@
 
 /* Reasons of pools as reasons of the request state machine. */
 static const enum req_grant_refusal entry_refusals[POOL_REFUSE_COUNT] = {
-	[POOL_REFUSE_FULL] = REQ_GRANT_QUEUE,
-	[POOL_REFUSE_DEADLINE] = REQ_GRANT_WAIT,
+	[POOL_REFUSE_QUEUE_FULL] = REQ_GRANT_QUEUE_FULL,
+	[POOL_REFUSE_DEADLINE] = REQ_GRANT_PAST_DEADLINE,
 	[POOL_REFUSE_NO_PATH] = REQ_GRANT_NO_PATH,
 };
 
@@ -237,8 +237,9 @@
 		struct pool *local = g_hash_table_lookup(e->broker.local_pools, grant->pool->name);
 
 		if (local)
-			pool_on_done(local, grant->grant_id, grant_end->tokens, grant_end->outcome,
-				     grant_end->faulty_endpoint, tmr_now());
+			pool_on_attempt_end(local, grant->grant_id, grant_end->tokens,
+					    grant_end->outcome, grant_end->faulty_endpoint,
+					    tmr_now());
 	}
 	if (grant)
 		entry_grant_remove(e, grant);
--- a/prog/entry_join.c
+++ b/prog/entry_join.c
@@ -135,7 +135,7 @@
 		return;
 	}
 	if (state == ENTRY_JOIN_NOT_RUN) {
-		req_on_join_never(&call->req, now);
+		req_on_join_not_dispatched(&call->req, now);
 		return;
 	}
 	call->service_status = status;
@@ -145,7 +145,7 @@
 
 		req_on_token(&call->req, call->req.attempt, i, text, len, now);
 	}
-	req_on_joined(&call->req, code, tokens->len, now);
+	req_on_join_answer(&call->req, code, tokens->len, now);
 }
 
 static void entry_join_send_answer(struct entry_call *from, const struct entry_joiner *joiner)
--- a/prog/entry_local.c
+++ b/prog/entry_local.c
@@ -63,7 +63,7 @@
 {
 	const struct conf_obj *account =
 		conf_get(e->view.clog.state, CONF_ACCOUNT, grant->request->account);
-	struct pool_ask ask = {
+	struct pool_grant_request ask = {
 		.ask_id = grant->ask_id,
 		.account = grant->request->account,
 		.limits = {1, 1, 1},
@@ -79,7 +79,7 @@
 		ask.limits.inflight = (uint32_t)account->value[ACCOUNT_LIMIT];
 	}
 	met_add(met_counter("bg_grants_decided_alone_total", ""), 1);
-	pool_on_ask(entry_local_pool(e, grant->pool->name), &ask, tmr_now());
+	pool_on_grant_request(entry_local_pool(e, grant->pool->name), &ask, tmr_now());
 }
 
 static void entry_local_grant(void *ctx, const struct pool_grant *decision, int64_t wait_us)
@@ -130,7 +130,7 @@
 			struct pool_endpoint *endpoint = pool->endpoints->pdata[i];
 
 			if (endpoint->down && now_us - endpoint->report_us > ENTRY_LOCAL_RETRY_US)
-				pool_on_load(pool, endpoint->name, 0, false, now_us);
+				pool_on_load_report(pool, endpoint->name, 0, false, now_us);
 		}
 		pool_on_tick(pool, now_us);
 	}
--- a/prog/entry_stream.c
+++ b/prog/entry_stream.c
@@ -56,7 +56,7 @@
  * Reports a failed attempt to the request's state machine as an event, since its actions must not
  * call back into it.
  */
-static void entry_post_attempt_failed(struct entry_call *call, enum req_break why)
+static void entry_post_attempt_failed(struct entry_call *call, enum req_failure why)
 {
 	struct entry_event *event =
 		entry_event_new(ENTRY_EVENT_ATTEMPT_FAILED, call->id, call->req.attempt);
@@ -102,7 +102,7 @@
 	}
 	entry_stream_reset(call);
 	if (call->stages->len == 0) {
-		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_FAILURE_NOT_SENT);
 		return;
 	}
 	first = call->stages->pdata[0];
@@ -133,7 +133,7 @@
 	entry_stream_cancel(call, false);
 	entry_stream_reset(call);
 	if (!call->run_address || !call->run_id) {
-		entry_post_attempt_failed(call, REQ_BREAK_MISSING);
+		entry_post_attempt_failed(call, REQ_FAILURE_RUN_UNKNOWN);
 		return;
 	}
 	url = g_strdup_printf("http://%s/v1/requests/%s?from=%" G_GUINT64_FORMAT, call->run_address,
@@ -195,8 +195,8 @@
 		g_free(call->faulty_endpoint);
 		call->faulty_endpoint = g_strdup(at && at[0] ? at : NULL);
 		call->last_frame_seen = true;
-		req_on_break(&call->req, attempt, REQ_BREAK_FAILED, call->faulty_endpoint,
-			     tmr_now());
+		req_on_attempt_failed(&call->req, attempt, REQ_FAILURE_ENGINE,
+				      call->faulty_endpoint, tmr_now());
 	}
 }
 
@@ -228,17 +228,17 @@
  * Classifies the end of a stream. The request counts as not run only if the engine says so or if no
  * connection was established; in all other cases it may have run.
  */
-static enum req_break entry_stream_failure(int status, bool sent, const json_t *answer)
+static enum req_failure entry_stream_failure(int status, bool sent, const json_t *answer)
 {
 	const char *ran = json_string_value(json_object_get(answer, "ran"));
 
 	if (status == 404)
-		return REQ_BREAK_MISSING;
+		return REQ_FAILURE_RUN_UNKNOWN;
 	if (status >= 400 && ran && strcmp(ran, "no") == 0)
-		return REQ_BREAK_NOT_RUN;
+		return REQ_FAILURE_NOT_RUN;
 	if (status == 0 && !sent)
-		return REQ_BREAK_NOT_SENT;
-	return REQ_BREAK_LOST;
+		return REQ_FAILURE_NOT_SENT;
+	return REQ_FAILURE_STREAM_LOST;
 }
 
 /*
@@ -262,7 +262,7 @@
 {
 	struct entry_call *call = ctx;
 	json_t *answer = json_loadb(body, len, 0, NULL);
-	enum req_break why = entry_stream_failure(status, sent, answer);
+	enum req_failure why = entry_stream_failure(status, sent, answer);
 	const char *fault = entry_stream_faulty_endpoint(call, answer);
 
 	call->hc = NULL;
@@ -270,13 +270,13 @@
 		json_decref(answer);
 		return;
 	}
-	if (why == REQ_BREAK_NOT_SENT && call->req.state == REQ_RESUMING)
-		why = REQ_BREAK_LOST;
+	if (why == REQ_FAILURE_NOT_SENT && call->req.state == REQ_RESUMING)
+		why = REQ_FAILURE_STREAM_LOST;
 	log_msg(LOG_INFO,
 		"attempt_broken request=%s attempt=%u endpoint=%s status=%d reason=\"%s\"",
 		call->request, call->req.attempt, fault ? fault : "", status, base_strerror(err));
 	met_add(met_counter("bg_attempts_broken_total", ""), 1);
-	req_on_break(&call->req, call->req.attempt, why, fault, tmr_now());
+	req_on_attempt_failed(&call->req, call->req.attempt, why, fault, tmr_now());
 	json_decref(answer);
 }
 
@@ -315,7 +315,7 @@
 	};
 
 	if (!address) {
-		entry_post_attempt_failed(call, REQ_BREAK_NOT_SENT);
+		entry_post_attempt_failed(call, REQ_FAILURE_NOT_SENT);
 		return;
 	}
 	url = g_strdup_printf("http://%s/%s", address, call->service_path);
@@ -349,8 +349,9 @@
 	if (status == 0) {
 		log_msg(LOG_INFO, "service_broken request=%s service=%s reason=\"%s\"",
 			call->request, call->service, base_strerror(err));
-		req_on_break(&call->req, call->req.attempt,
-			     sent ? REQ_BREAK_LOST : REQ_BREAK_NOT_SENT, NULL, tmr_now());
+		req_on_attempt_failed(&call->req, call->req.attempt,
+				      sent ? REQ_FAILURE_STREAM_LOST : REQ_FAILURE_NOT_SENT, NULL,
+				      tmr_now());
 		return;
 	}
 	call->service_status = status;
--- a/regress/fuzz/records.c
+++ b/regress/fuzz/records.c
@@ -22,7 +22,7 @@
 	(void)from;
 }
 
-static void fuzz_answer(void *ctx, struct once_asker asker, enum once_verdict verdict,
+static void fuzz_answer(void *ctx, struct once_requester asker, enum once_verdict verdict,
 			const struct once_claim *winner)
 {
 	(void)ctx;
--- a/req/matrix_test.cc
+++ b/req/matrix_test.cc
@@ -257,7 +257,7 @@
 	});
 }
 
-void HomeAnswer(void *ctx, once_asker requester, once_verdict verdict, const once_claim *winner)
+void HomeAnswer(void *ctx, once_requester requester, once_verdict verdict, const once_claim *winner)
 {
 	Home *h = (Home *)ctx;
 	World *w = h->world;
@@ -283,7 +283,7 @@
 		req_on_claim(&s->req, attempt,
 			     verdict == ONCE_WON    ? REQ_CLAIM_WON
 			     : verdict == ONCE_LOST ? REQ_CLAIM_LOST
-						    : REQ_CLAIM_OUT,
+						    : REQ_CLAIM_LOG_UNAVAILABLE,
 			     w->now);
 	});
 }
@@ -373,11 +373,12 @@
 	w->ScheduleAfter(kMs, [=]() {
 		const Pipeline &state = w->pipelines[p];
 		if (state.first_dead || state.drained) {
-			req_break why = state.first_dead ? REQ_BREAK_NOT_SENT : REQ_BREAK_NOT_RUN;
+			req_failure why =
+				state.first_dead ? REQ_FAILURE_NOT_SENT : REQ_FAILURE_NOT_RUN;
 			w->ToEntry(s->entry, kMs, [=]() {
 				if (!s->finished)
-					req_on_break(&s->req, attempt, why,
-						     std::to_string(p).c_str(), w->now);
+					req_on_attempt_failed(&s->req, attempt, why,
+							      std::to_string(p).c_str(), w->now);
 			});
 			return;
 		}
@@ -405,12 +406,13 @@
 				found = run;
 		}
 		if (w->pipelines[p].first_dead || !found || found->failed) {
-			req_break why = w->pipelines[p].first_dead ? REQ_BREAK_LOST
-					: !found		   ? REQ_BREAK_MISSING
-								   : REQ_BREAK_FAILED;
+			req_failure why = w->pipelines[p].first_dead ? REQ_FAILURE_STREAM_LOST
+					  : !found		     ? REQ_FAILURE_RUN_UNKNOWN
+								     : REQ_FAILURE_ENGINE;
 			w->ToEntry(s->entry, kMs, [=]() {
 				if (!s->finished)
-					req_on_break(&s->req, attempt, why, nullptr, w->now);
+					req_on_attempt_failed(&s->req, attempt, why, nullptr,
+							      w->now);
 			});
 			return;
 		}
@@ -549,7 +551,7 @@
 				    (char *)handle.c_str(), (char *)"e",
 				    (char *)route.c_str(),  (char *)"d",
 				    (char *)old.c_str()};
-		once_on_ask(&homes[home].once, {(uint64_t)s->index, attempt}, &claim, now);
+		once_on_claim(&homes[home].once, {(uint64_t)s->index, attempt}, &claim, now);
 	});
 	/* A lost home is detected by its silence; the claim is then sent to the other home. */
 	if (down && tries < 2)
@@ -602,9 +604,11 @@
 				if (s->finished || run->listeners[i].muted)
 					return;
 				if (dead) {
-					req_on_break(&s->req, attempt,
-						     first ? REQ_BREAK_LOST : REQ_BREAK_FAILED,
-						     std::to_string(run->pipeline).c_str(), now);
+					req_on_attempt_failed(&s->req, attempt,
+							      first ? REQ_FAILURE_STREAM_LOST
+								    : REQ_FAILURE_ENGINE,
+							      std::to_string(run->pipeline).c_str(),
+							      now);
 					return;
 				}
 				req_on_token(&s->req, attempt, index, "t", 1, now);
@@ -650,12 +654,12 @@
 		if (s->finished || s->req.state != REQ_JOINING)
 			return;
 		if (never) {
-			req_on_join_never(&s->req, now);
+			req_on_join_not_dispatched(&s->req, now);
 			return;
 		}
 		for (size_t i = 0; i < n; i++)
 			req_on_token(&s->req, s->req.attempt, i, "t", 1, now);
-		req_on_joined(&s->req, code, n, now);
+		req_on_join_answer(&s->req, code, n, now);
 	});
 }
 
--- a/req/req.c
+++ b/req/req.c
@@ -5,7 +5,7 @@
 static void req_request_grant(struct req *req);
 static void req_dispatch(struct req *req, int64_t now_us);
 static void req_end(struct req *req, enum req_code code, int64_t retry_us);
-static void req_retry(struct req *req, enum req_break why, int64_t now_us);
+static void req_retry(struct req *req, enum req_failure why, int64_t now_us);
 static void req_resume(struct req *req, int64_t now_us);
 static void req_release_grant(struct req *req, enum req_grant_end end, const char *bad);
 static void req_set_timer(struct req *req, int64_t now_us);
@@ -23,14 +23,16 @@
 };
 
 static const enum req_grant_end req_failure_grant_ends[] = {
-	[REQ_BREAK_NOT_SENT] = REQ_GRANT_REFUSED, [REQ_BREAK_NOT_RUN] = REQ_GRANT_NOT_RUN,
-	[REQ_BREAK_LOST] = REQ_GRANT_REFUSED,	  [REQ_BREAK_FAILED] = REQ_GRANT_STALLED,
-	[REQ_BREAK_MISSING] = REQ_GRANT_OK,
+	[REQ_FAILURE_NOT_SENT] = REQ_GRANT_END_REFUSED,
+	[REQ_FAILURE_NOT_RUN] = REQ_GRANT_END_NOT_RUN,
+	[REQ_FAILURE_STREAM_LOST] = REQ_GRANT_END_REFUSED,
+	[REQ_FAILURE_ENGINE] = REQ_GRANT_END_STALLED,
+	[REQ_FAILURE_RUN_UNKNOWN] = REQ_GRANT_END_OK,
 };
 
 static const enum req_code req_refusal_codes[] = {
-	[REQ_GRANT_QUEUE] = REQ_EQUEUE,
-	[REQ_GRANT_WAIT] = REQ_EWAIT,
+	[REQ_GRANT_QUEUE_FULL] = REQ_EQUEUE,
+	[REQ_GRANT_PAST_DEADLINE] = REQ_EWAIT,
 	[REQ_GRANT_NO_PATH] = REQ_ENOPIPELINE,
 };
 
@@ -126,7 +128,7 @@
 
 	(void)now_us;
 	if (req->state == REQ_WAIT_CLAIM)
-		due = MIN(due, req->claim_sent_us + req->settings->claim_us);
+		due = MIN(due, req->claim_sent_us + req->settings->claim_timeout_us);
 	silence = req_silence_limit_us(req);
 	if (req->state == REQ_RUNNING && silence < due - req->last_progress_us)
 		due = req->last_progress_us + silence;
@@ -170,7 +172,7 @@
 		req->ops->release(req->ctx, req->attempt);
 	if ((previous == REQ_RUNNING || previous == REQ_RESUMING) && code != REQ_OK)
 		req->ops->cancel(req->ctx, req->attempt, !req->joined);
-	req_release_grant(req, REQ_GRANT_OK, NULL);
+	req_release_grant(req, REQ_GRANT_END_OK, NULL);
 	req->ops->finish(req->ctx, code, retry_us);
 }
 
@@ -221,17 +223,18 @@
 {
 	if (!req_is_current(req, attempt) || req->state != REQ_WAIT_CLAIM)
 		return;
-	if (verdict == REQ_CLAIM_WON && now_us - req->claim_sent_us <= req->settings->dispatch_us) {
+	if (verdict == REQ_CLAIM_WON &&
+	    now_us - req->claim_sent_us <= req->settings->claim_max_age_us) {
 		req_dispatch(req, now_us);
 		return;
 	}
-	if (verdict == REQ_CLAIM_WON || verdict == REQ_CLAIM_OUT) {
+	if (verdict == REQ_CLAIM_WON || verdict == REQ_CLAIM_LOG_UNAVAILABLE) {
 		req_end(req, REQ_ECLAIM, req->settings->retry_after_us);
 		return;
 	}
 	req->claimed = false;
-	req_release_grant(req, REQ_GRANT_OK, NULL);
-	if (verdict == REQ_CLAIM_REUSED) {
+	req_release_grant(req, REQ_GRANT_END_OK, NULL);
+	if (verdict == REQ_CLAIM_KEY_REUSED) {
 		req->state = REQ_BACKOFF;
 		req_end(req, REQ_EKEYREUSED, 0);
 		return;
@@ -308,19 +311,19 @@
 		req_end(req, REQ_OK, 0);
 		return;
 	}
-	req_on_break(req, attempt, REQ_BREAK_LOST, NULL, now_us);
+	req_on_attempt_failed(req, attempt, REQ_FAILURE_STREAM_LOST, NULL, now_us);
 }
 
-void req_on_break(struct req *req, unsigned int attempt, enum req_break why, const char *bad,
-		  int64_t now_us)
+void req_on_attempt_failed(struct req *req, unsigned int attempt, enum req_failure why,
+			   const char *bad, int64_t now_us)
 {
 	if (!req_is_current(req, attempt))
 		return;
 	if (req->state != REQ_RUNNING && req->state != REQ_RESUMING)
 		return;
 	if (req->joined ||
-	    (!req->idempotent && why != REQ_BREAK_NOT_SENT && why != REQ_BREAK_NOT_RUN)) {
-		if (why == REQ_BREAK_LOST)
+	    (!req->idempotent && why != REQ_FAILURE_NOT_SENT && why != REQ_FAILURE_NOT_RUN)) {
+		if (why == REQ_FAILURE_STREAM_LOST)
 			req_resume(req, now_us);
 		else
 			req_end(req, REQ_EUNKNOWN, 0);
@@ -342,9 +345,9 @@
  * endpoint never received it or answered that it did not run it; it then claims its key again for
  * the new route.
  */
-static void req_retry(struct req *req, enum req_break why, int64_t now_us)
+static void req_retry(struct req *req, enum req_failure why, int64_t now_us)
 {
-	bool never_ran = why == REQ_BREAK_NOT_SENT || why == REQ_BREAK_NOT_RUN;
+	bool never_ran = why == REQ_FAILURE_NOT_SENT || why == REQ_FAILURE_NOT_RUN;
 	int64_t wait = req->settings->backoff_us << MIN(req->attempt - 1, 4U);
 
 	req->may_have_run_before = req->may_have_run_before || !never_ran;
@@ -378,7 +381,7 @@
 	}
 	if (req->state != REQ_RESUMING) {
 		req->state = REQ_RESUMING;
-		req->resume_until_us = now_us + req->settings->resume_us;
+		req->resume_until_us = now_us + req->settings->resume_timeout_us;
 	}
 	if (now_us >= req->resume_until_us) {
 		req_end(req, REQ_EUNKNOWN, 0);
@@ -401,8 +404,8 @@
 	for (guint i = 0; i < req->route->len; i++)
 		req_exclude(req, req->route->pdata[i]);
 	req->ops->cancel(req->ctx, req->attempt, true);
-	req_release_grant(req, REQ_GRANT_STALLED, NULL);
-	req_retry(req, REQ_BREAK_LOST, now_us);
+	req_release_grant(req, REQ_GRANT_END_STALLED, NULL);
+	req_retry(req, REQ_FAILURE_STREAM_LOST, now_us);
 }
 
 static void req_on_deadline(struct req *req)
@@ -423,7 +426,7 @@
 	}
 	switch (req->state) {
 	case REQ_WAIT_CLAIM:
-		if (now_us - req->claim_sent_us >= req->settings->claim_us)
+		if (now_us - req->claim_sent_us >= req->settings->claim_timeout_us)
 			req_end(req, REQ_ECLAIM, req->settings->retry_after_us);
 		else
 			req_set_timer(req, now_us);
@@ -456,7 +459,7 @@
 	}
 }
 
-void req_on_joined(struct req *req, enum req_code code, uint64_t count, int64_t now_us)
+void req_on_join_answer(struct req *req, enum req_code code, uint64_t count, int64_t now_us)
 {
 	(void)now_us;
 	if (req->state != REQ_JOINING)
@@ -475,12 +478,12 @@
 		return;
 	}
 	req->state = REQ_RESUMING;
-	req->resume_until_us = now_us + req->settings->resume_us;
+	req->resume_until_us = now_us + req->settings->resume_timeout_us;
 	req->ops->resume(req->ctx, req->attempt, req->next);
 	req->ops->timer(req->ctx, MIN(now_us + req->settings->first_ceiling_us, req->deadline_us));
 }
 
-void req_on_join_never(struct req *req, int64_t now_us)
+void req_on_join_not_dispatched(struct req *req, int64_t now_us)
 {
 	if (req->state != REQ_JOINING)
 		return;
@@ -496,7 +499,7 @@
  * The run of a non-idempotent request continues without its caller: a repeated request with the
  * same key must receive the complete answer.
  */
-void req_on_caller_gone(struct req *req, int64_t now_us)
+void req_on_caller_disconnected(struct req *req, int64_t now_us)
 {
 	(void)now_us;
 	if (req->state == REQ_DONE)
--- a/req/req.h
+++ b/req/req.h
@@ -30,34 +30,34 @@
 
 /* Why a grant was refused. */
 enum req_grant_refusal {
-	REQ_GRANT_QUEUE,  /* the queue of the client account is full */
-	REQ_GRANT_WAIT,	  /* the request would start after its deadline */
-	REQ_GRANT_NO_PATH /* no pipeline covers every layer of the model */
+	REQ_GRANT_QUEUE_FULL,	 /* the queue of the client account is full */
+	REQ_GRANT_PAST_DEADLINE, /* the request would start after its deadline */
+	REQ_GRANT_NO_PATH	 /* no pipeline covers every layer of the model */
 };
 
 /* Outcome of the claim for an idempotency key. */
 enum req_claim_verdict {
-	REQ_CLAIM_WON,	  /* this attempt may be dispatched */
-	REQ_CLAIM_LOST,	  /* another request with the same body holds the claim */
-	REQ_CLAIM_REUSED, /* a request with another body holds the claim */
-	REQ_CLAIM_OUT	  /* the log of claims is unavailable */
+	REQ_CLAIM_WON,		  /* this attempt may be dispatched */
+	REQ_CLAIM_LOST,		  /* another request with the same body holds the claim */
+	REQ_CLAIM_KEY_REUSED,	  /* a request with another body holds the claim */
+	REQ_CLAIM_LOG_UNAVAILABLE /* the log of claims is unavailable */
 };
 
 /* How an attempt failed before the last frame of its stream. */
-enum req_break {
-	REQ_BREAK_NOT_SENT, /* no connection was established: nothing was sent */
-	REQ_BREAK_NOT_RUN,  /* the endpoint answered that it did not run the request */
-	REQ_BREAK_LOST,	    /* the stream broke */
-	REQ_BREAK_FAILED,   /* the engine reported that the run failed and has ended */
-	REQ_BREAK_MISSING   /* the endpoint does not know the run that was to be resumed */
+enum req_failure {
+	REQ_FAILURE_NOT_SENT,	 /* no connection was established: nothing was sent */
+	REQ_FAILURE_NOT_RUN,	 /* the endpoint answered that it did not run the request */
+	REQ_FAILURE_STREAM_LOST, /* the stream broke */
+	REQ_FAILURE_ENGINE,	 /* the engine reported that the run failed and has ended */
+	REQ_FAILURE_RUN_UNKNOWN	 /* the endpoint does not know the run that was to be resumed */
 };
 
 /* How a grant ended, as reported to the pool's home. */
 enum req_grant_end {
-	REQ_GRANT_OK,	   /* the endpoints are not at fault */
-	REQ_GRANT_REFUSED, /* an endpoint refused the connection or broke it */
-	REQ_GRANT_STALLED, /* an engine failed, or no token arrived within the time limit */
-	REQ_GRANT_NOT_RUN  /* the endpoint answered that it did not run the request */
+	REQ_GRANT_END_OK,      /* the endpoints are not at fault */
+	REQ_GRANT_END_REFUSED, /* an endpoint refused the connection or broke it */
+	REQ_GRANT_END_STALLED, /* an engine failed, or no token arrived within the time limit */
+	REQ_GRANT_END_NOT_RUN  /* the endpoint answered that it did not run the request */
 };
 
 struct req_ops {
@@ -112,16 +112,16 @@
 };
 
 struct req_settings {
-	int64_t first_floor_us;	  /* minimum time limit for the first token */
-	int64_t first_ceiling_us; /* maximum time limit for the first token */
-	int64_t gap_floor_us;	  /* minimum time limit for each next token */
-	int64_t gap_ceiling_us;	  /* maximum time limit for each next token */
-	int64_t claim_us;	  /* time limit for the verdict on a claim */
-	int64_t dispatch_us;	  /* a claim won later than this after it was sent is not used */
-	int64_t backoff_us;	  /* base delay of retries; doubles with each one, plus jitter */
-	int64_t resume_us;	  /* time limit for reattaching to a lost run */
-	int64_t retry_after_us;	  /* retry time given to callers when no estimate exists */
-	unsigned int attempts;	  /* maximum number of attempts */
+	int64_t first_floor_us;	   /* minimum time limit for the first token */
+	int64_t first_ceiling_us;  /* maximum time limit for the first token */
+	int64_t gap_floor_us;	   /* minimum time limit for each next token */
+	int64_t gap_ceiling_us;	   /* maximum time limit for each next token */
+	int64_t claim_timeout_us;  /* time limit for the verdict on a claim */
+	int64_t claim_max_age_us;  /* a claim won later than this after it was sent is not used */
+	int64_t backoff_us;	   /* base delay of retries; doubles with each one, plus jitter */
+	int64_t resume_timeout_us; /* time limit for reattaching to a lost run */
+	int64_t retry_after_us;	   /* retry time given to callers when no estimate exists */
+	unsigned int attempts;	   /* maximum number of attempts */
 };
 
 struct req {
@@ -191,20 +191,20 @@
 void req_on_end(struct req *req, unsigned int attempt, uint64_t count, int64_t now_us);
 
 /* The attempt failed. bad: name of the endpoint at fault, or NULL if it is not known. */
-void req_on_break(struct req *req, unsigned int attempt, enum req_break why, const char *bad,
-		  int64_t now_us);
+void req_on_attempt_failed(struct req *req, unsigned int attempt, enum req_failure why,
+			   const char *bad, int64_t now_us);
 
 /* The joined entry host ended its answer; its `count` tokens were passed to req_on_token(). */
-void req_on_joined(struct req *req, enum req_code code, uint64_t count, int64_t now_us);
+void req_on_join_answer(struct req *req, enum req_code code, uint64_t count, int64_t now_us);
 
 /* The joined entry host cannot be reached. */
 void req_on_join_lost(struct req *req, int64_t now_us);
 
 /* The joined entry host answered that it has not dispatched under its claim and never will. */
-void req_on_join_never(struct req *req, int64_t now_us);
+void req_on_join_not_dispatched(struct req *req, int64_t now_us);
 
 /* The caller closed its connection. */
-void req_on_caller_gone(struct req *req, int64_t now_us);
+void req_on_caller_disconnected(struct req *req, int64_t now_us);
 
 /* The time set by the timer callback was reached. */
 void req_on_timer(struct req *req, int64_t now_us);
--- a/req/req_test.cc
+++ b/req/req_test.cc
@@ -159,7 +159,7 @@
 	Start(true);
 	Granted(1);
 	Token(1, 0);
-	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_STREAM_LOST, "e1", 0);
 	Granted(2);
 	Token(1, 1);
 	req_on_end(&req_, 1, 1, 0);
@@ -199,9 +199,9 @@
 	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
-	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_STREAM_LOST, "e1", 0);
 	req_on_timer(&req_, timer_);
-	req_on_break(&req_, 1, REQ_BREAK_MISSING, nullptr, 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_RUN_UNKNOWN, nullptr, 0);
 	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "dispatch 1 0", "close 1", "resume 1 0",
 				       "stop 1", "ungrant 1 0"}));
 	EXPECT_EQ(end_, "unknown");
@@ -212,7 +212,7 @@
 	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
-	req_on_break(&req_, 1, REQ_BREAK_NOT_RUN, nullptr, 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_NOT_RUN, nullptr, 0);
 	Granted(2);
 	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "dispatch 1 0", "ungrant 1 3", "ask 2",
 				       "claim-over 2"}));
@@ -229,7 +229,7 @@
 	 */
 	Start(false);
 	Granted(1);
-	req_on_claim(&req_, 1, REQ_CLAIM_WON, settings_.dispatch_us + 1);
+	req_on_claim(&req_, 1, REQ_CLAIM_WON, settings_.claim_max_age_us + 1);
 	EXPECT_EQ(TakeActions(), (List{"ask 1", "claim 1", "release 1", "ungrant 1 0"}));
 	EXPECT_EQ(end_, "claim_failed");
 }
@@ -239,9 +239,9 @@
 	req_budget_init(&budget_, 1, 0);
 	Start(true);
 	Granted(1);
-	req_on_break(&req_, 1, REQ_BREAK_NOT_RUN, nullptr, 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_NOT_RUN, nullptr, 0);
 	Granted(2);
-	req_on_break(&req_, 2, REQ_BREAK_NOT_RUN, nullptr, 0);
+	req_on_attempt_failed(&req_, 2, REQ_FAILURE_NOT_RUN, nullptr, 0);
 	EXPECT_EQ(end_, "retry_budget") << "no attempt has run";
 }
 
@@ -249,12 +249,12 @@
 {
 	Start(true);
 	Granted(1);
-	req_on_break(&req_, 1, REQ_BREAK_LOST, "e1", 0);
+	req_on_attempt_failed(&req_, 1, REQ_FAILURE_STREAM_LOST, "e1", 0);
 	Granted(2);
-	req_on_break(&req_, 2, REQ_BREAK_NOT_RUN, nullptr, 0);
+	req_on_attempt_failed(&req_, 2, REQ_FAILURE_NOT_RUN, nullptr, 0);
 	req_on_timer(&req_, timer_);
 	Granted(3);
-	req_on_break(&req_, 3, REQ_BREAK_NOT_RUN, nullptr, 0);
+	req_on_attempt_failed(&req_, 3, REQ_FAILURE_NOT_RUN, nullptr, 0);
 	EXPECT_EQ(end_, "broken") << "the first attempt may have run";
 }
 
@@ -283,7 +283,7 @@
 {
 	Start(true);
 	Granted(1);
-	req_on_caller_gone(&req_, 0);
+	req_on_caller_disconnected(&req_, 0);
 	EXPECT_EQ(TakeActions(), (List{"ask 1", "dispatch 1 0", "stop 1", "ungrant 1 0"}));
 }
 
@@ -292,7 +292,7 @@
 	Start(false);
 	Granted(1);
 	req_on_claim(&req_, 1, REQ_CLAIM_WON, 0);
-	req_on_caller_gone(&req_, 0);
+	req_on_caller_disconnected(&req_, 0);
 	EXPECT_EQ(end_, "");
 	Token(1, 0);
 	req_on_end(&req_, 1, 1, 0);
