--- a/prog/router.c
+++ b/prog/router.c
@@ -29,7 +29,7 @@
 		section, key, type, offsetof(struct router_settings, field), initial, min, max     \
 	}
 
-const struct set_item router_items[] = {
+const struct set_item router_setting_items[] = {
 	ITEM("host", "name", SET_TEXT, name, NULL, 1, 0),
 	ITEM("host", "zone", SET_TEXT, zone, NULL, 1, 0),
 	ITEM("host", "first_start", SET_INT, first_start, "0", 0, 1),
@@ -51,7 +51,7 @@
 	ITEM("stop", "grace_s", SET_INT, grace_s, "8", 1, 3600),
 	ITEM("log", "lines_per_s", SET_INT, log_lines, "300", 0, 1000000),
 };
-const size_t router_items_n = G_N_ELEMENTS(router_items);
+const size_t router_setting_items_n = G_N_ELEMENTS(router_setting_items);
 
 /* Sections in which hosts should agree; the others say who and where a host is. */
 static const char *const router_shared[] = {"store", "endpoints", "repeats", "stop", "log", NULL};
@@ -98,7 +98,7 @@
 	GString *text;
 
 	if (strcmp(hd_path(call), ROUTER_STATE_PATH) == 0) {
-		state_answer(ctx, call);
+		state_reply(ctx, call);
 		return;
 	}
 	if (strcmp(hd_path(call), ROUTER_CLEAR_PATH) == 0 && strcmp(hd_method(call), "POST") == 0) {
@@ -152,9 +152,10 @@
 /* Notes which settings are in force, and how that came about. */
 static void router_note_settings(struct router *router, const char *by)
 {
-	router_origin_set(
-		&router->settings_origin,
-		set_digest(router_items, router_items_n, &router->settings, router_shared), by);
+	router_origin_set(&router->settings_origin,
+			  set_digest(router_setting_items, router_setting_items_n,
+				     &router->settings, router_shared),
+			  by);
 }
 
 /*
@@ -173,7 +174,8 @@
 	router->settings.grace_s = fresh->grace_s;
 	fresh->first_start = router->settings.first_start;
 	jl_set_rate(fresh->log_lines);
-	set_differing(router_items, router_items_n, &router->settings, fresh, waiting);
+	set_differing(router_setting_items, router_setting_items_n, &router->settings, fresh,
+		      waiting);
 	router->settings_waiting = g_string_free(waiting, FALSE);
 	router_note_settings(router, by);
 	changed = digest != router->settings_origin.digest ||
@@ -191,7 +193,8 @@
 	GString *errors = g_string_new(NULL);
 
 	memset(&fresh, 0, sizeof(fresh));
-	if (set_load(prog_config_path(), router_items, router_items_n, &fresh, errors) < 0) {
+	if (set_load(prog_config_path(), router_setting_items, router_setting_items_n, &fresh,
+		     errors) < 0) {
 		g_strdelimit(errors->str, "\n", ' ');
 		router_log("reload_failed", errors->str);
 	} else if (router_adopt(&m->router, &fresh, by) || asked) {
@@ -199,7 +202,7 @@
 	} else {
 		m->router.settings_origin = before;
 	}
-	set_clear(router_items, router_items_n, &fresh);
+	set_clear(router_setting_items, router_setting_items_n, &fresh);
 	g_string_free(errors, TRUE);
 }
 
@@ -266,7 +269,7 @@
 	router_log("stopping", NULL);
 	g_atomic_int_set(&m->router.stopping, 1);
 	hd_set_closing(m->router.front);
-	rc_stop(m->router.rc);
+	ctrl_stop(m->router.ctrl);
 	loop_after(&m->loop, &m->stop_timer, 0, router_on_stop_time, m);
 }
 
@@ -276,7 +279,7 @@
 	struct router *router = &m->router;
 
 	prog_start(&argc, &argv, "Routes requests to endpoints and pipelines of engines.",
-		   router_items, router_items_n, &router->settings);
+		   router_setting_items, router_setting_items_n, &router->settings);
 	jl_open(router->settings.name);
 	jl_set_rate(router->settings.log_lines);
 	loop_init(&m->loop);
@@ -288,7 +291,7 @@
 	router->ready_hd = router_listen(router->settings.ready, router_on_ready_call, router);
 	router->metrics_hd =
 		router_listen(router->settings.metrics, router_on_metrics_call, router);
-	router->rc = rc_start(router, &m->loop);
+	router->ctrl = ctrl_start(router, &m->loop);
 	router_note_settings(router, "start");
 	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_MS),
 		   router_on_settings_time, m);
--- a/router/crash.c
+++ b/router/crash.c
@@ -2,7 +2,7 @@
 #include "base/err.h"
 #include "base/jl.h"
 #include "base/met.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf.h"
 #include "router/tf_heard.h"
 #include "router/tf_quar.h"
@@ -343,7 +343,7 @@
 	const char *endpoint = check->ep->rec->incarnation;
 
 	tf_suspect(check->tf, check->ep, tmr_ms(CRASH_ENDED_MS), SUSPECT_ENDED, NULL);
-	suspect_post(check->tf->router->rc, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
+	suspect_post(check->tf->router->ctrl, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
 }
 
 /* Handles a further probe of an endpoint that seemed to have ended. */
--- a/router/rc.h
+++ b/router/ctrl.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_RC_H
-#define ROUTER_RC_H
+#ifndef ROUTER_CTRL_H
+#define ROUTER_CTRL_H
 
 #include "base/frm.h"
 #include "era/era.h"
@@ -26,8 +26,8 @@
  */
 
 /* Reading of one topic of the store. */
-struct sf_topic {
-	struct rc *rc;
+struct reader_topic {
+	struct ctrl *ctrl;
 	enum seam_topic topic;
 	int64_t next;	 /* Place of the next record to read; -1 to read a full listing next */
 	int64_t end;	 /* Place from which records are read after the listing in progress */
@@ -42,14 +42,14 @@
 };
 
 /* A host of this system, as in its entry in the store's list of hosts. */
-struct rc_host {
+struct ctrl_host {
 	char *addr;	 /* Address of its control thread */
 	double capacity; /* Bandwidth of its link in Mbit/s times its number of cores */
 	char *zone;	 /* Availability zone; "" if not stated */
 };
 
 /* State of the control thread. */
-struct rc {
+struct ctrl {
 	struct router *router;
 	struct loop *loop;
 	struct hc *hc;		 /* HTTP client for calls to the store and to engines */
@@ -63,22 +63,23 @@
 	struct router_origin conf_origin; /* Digest and source of the configuration */
 	struct ep_list endpoints;	  /* Endpoints of the system */
 	bool listed;		 /* Whether the list of endpoints has been read completely */
-	bool hosts_heard;	 /* Whether the list of hosts has been read completely */
-	GHashTable *hosts;	 /* Host name -> struct rc_host */
+	bool hosts_known;	 /* Whether the list of hosts has been read completely */
+	GHashTable *hosts;	 /* Host name -> struct ctrl_host */
 	struct hdelta host_news; /* Numbered changes of the list of hosts, for followers */
-	struct sf_topic topics[SEAM_TOPIC_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
-	bool direct;				      /* Whether this host reads the store itself */
-	bool settled; /* Whether the time to find a first feeder is over */
+	struct reader_topic
+		topics[SEAM_TOPIC_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
+	bool direct;			      /* Whether this host reads the store itself */
+	bool settled;			      /* Whether the time to find a first feeder is over */
 	/* Whether this host may become leader, as a reader or as a host without a feed */
 	bool candidate;
-	struct rank rank;	 /* Role of this host and its feeder, as of the last tick */
-	struct rank_round round; /* Newest known round of load reports */
-	struct tmr tick_timer;	 /* Timer of the next tick */
-	struct tmr list_timer;	 /* Timer for this host's own entry in the list of hosts */
-	struct hosts *host_list; /* Maintenance of the store's list of hosts */
+	struct rank rank;	     /* Role of this host and its feeder, as of the last tick */
+	struct rank_round round;     /* Newest known round of load reports */
+	struct tmr tick_timer;	     /* Timer of the next tick */
+	struct tmr self_entry_timer; /* Timer for this host's own entry in the list of hosts */
+	struct hosts *host_list;     /* Maintenance of the store's list of hosts */
 	int64_t listed_self_us;	 /* Time at which this host last wrote its own entry; 0 if never */
 	int64_t listed_self_era; /* Era of the store when that entry was written */
-	bool list_failed;	 /* Whether that write failed */
+	bool self_entry_failed;	 /* Whether that write failed */
 	bool feed_lacks_self;	 /* Whether the list of hosts from the feed lacks this host */
 	struct lead lead;	 /* Lease of the lead; its holder sends orders to engines */
 	int64_t left_us;	 /* Time at which this host last left the group; 0 if never */
@@ -104,25 +105,25 @@
 	guint loads_version;	/* Incremented with each change of loads */
 	int64_t loads_us;	/* Time at which loads last changed and were passed on */
 	/* Incarnation -> last report that this host's own polling got (struct router_load) */
-	GHashTable *polled;
+	GHashTable *polled_loads;
 	int64_t last_fed_us; /* Last time at which this host had a feed; 0 if never */
 	/* Last time at which this host or its feeder had contact with the store; 0 if never */
-	int64_t fresh_us;
-	int64_t fresh_posted_us; /* Time at which fresh_us was last posted; 0 if never */
-	bool view_pending;	 /* Whether the next tick posts a new view */
-	bool view_complete;	 /* Whether the last view had a configuration and complete lists */
-	bool stopping;		 /* Whether the process has been asked to stop */
+	int64_t synced_us;
+	int64_t synced_posted_us; /* Time at which synced_us was last posted; 0 if never */
+	bool view_pending;	  /* Whether the next tick posts a new view */
+	bool view_complete;	  /* Whether the last view had a configuration and complete lists */
+	bool stopping;		  /* Whether the process has been asked to stop */
 };
 
 /* store_reader.c: reading the store. */
-void sf_start(struct rc *rc);
-void sf_stop(struct rc *rc);
+void reader_start(struct ctrl *ctrl);
+void reader_stop(struct ctrl *ctrl);
 
 /* Starts full listings of all topics, after the store was restored from an older copy. */
-void sf_on_return(struct rc *rc);
+void reader_on_store_restored(struct ctrl *ctrl);
 
 /* Whether this host reads the store and its last reads of configuration and endpoints succeeded. */
-bool sf_is_reached(const struct rc *rc);
+bool reader_is_current(const struct ctrl *ctrl);
 
 /* ctrl.c: state that the modules of the control thread share, and its views. */
 
@@ -131,47 +132,47 @@
  * "from" names the source in the log. On a change of era all data is read from the store again and
  * this host's own entries are written again.
  */
-enum era_change rc_hear_era(struct rc *rc, int64_t era, const char *from);
+enum era_change ctrl_on_era(struct ctrl *ctrl, int64_t era, const char *from);
 
 /*
  * Converts the era of the store to its encoding in messages between hosts, and back. The encoding
  * is the era plus one; 0 means that the era is unknown.
  */
-int64_t rc_era_for_msg(const struct rc *rc);
-int64_t rc_era_of_msg(int64_t encoded);
+int64_t ctrl_era_to_msg(const struct ctrl *ctrl);
+int64_t ctrl_era_from_msg(int64_t encoded);
 
 /* Schedules a new view for the next tick. */
-void rc_view_due(struct rc *rc);
+void ctrl_schedule_view(struct ctrl *ctrl);
 
 /* Posts the view immediately if it is the first one with which requests can be served. */
-void rc_first_view(struct rc *rc);
+void ctrl_post_first_view(struct ctrl *ctrl);
 
 /*
  * Apply a record of the store that was read here or received from another host; "from" names the
  * source in the log. Records older than the known ones are ignored.
  */
-void rc_take_conf(struct rc *rc, int64_t place, struct str text, const char *from);
-void rc_take_endpoint(struct rc *rc, int64_t place, const char *id, struct str text);
+void ctrl_apply_conf(struct ctrl *ctrl, int64_t place, struct str text, const char *from);
+void ctrl_apply_endpoint(struct ctrl *ctrl, int64_t place, const char *id, struct str text);
 /* Returns whether the list of hosts has changed. */
-bool rc_take_host(struct rc *rc, const char *name, struct str text);
+bool ctrl_apply_host(struct ctrl *ctrl, const char *name, struct str text);
 
-/* Formats an entry of the list of hosts, for rc_take_host(). Free with g_free(). */
-char *rc_host_text(const struct rc_host *host);
+/* Formats an entry of the list of hosts, for ctrl_apply_host(). Free with g_free(). */
+char *ctrl_host_format(const struct ctrl_host *host);
 
 /* Called when the list of hosts has been read completely, as far as this host can know. */
-void rc_on_hosts_heard(struct rc *rc);
+void ctrl_on_hosts_known(struct ctrl *ctrl);
 
 /* Starts or stops reading the store on this host. */
-void rc_set_direct(struct rc *rc, bool direct);
+void ctrl_set_store_reading(struct ctrl *ctrl, bool direct);
 
 /*
  * Returns how long changes of endpoints may be delayed so that several are read or sent together,
  * in milliseconds: a part of the time by which drain_ms exceeds two seconds, else 0.
  */
-int64_t rc_endpoints_slack_ms(const struct rc *rc);
+int64_t ctrl_endpoints_delay_ms(const struct ctrl *ctrl);
 
 /* Whether this host polls all engines for their load reports. */
-bool rc_polls(const struct rc *rc);
+bool ctrl_polls_engines(const struct ctrl *ctrl);
 
 /*
  * hosts.c: the list of hosts in the store. After the store was restored from an older copy, its
@@ -179,7 +180,7 @@
  * start later would not know the former, and would count and contact the latter. So the first
  * reader compares the restored list with the list it knows and writes the differences.
  */
-struct hosts *hosts_new(struct rc *rc);
+struct hosts *hosts_new(struct ctrl *ctrl);
 void hosts_free(struct hosts *hosts);
 void hosts_on_store_restored(struct hosts *hosts);
 void hosts_on_tick(struct hosts *hosts, int64_t now_us);
@@ -198,7 +199,7 @@
  * followers. The store's list may not contain it yet. New hosts are announced to the feeder in
  * turn, up to the first reader, which writes them to the store.
  */
-void hosts_on_announced(struct hosts *hosts, const char *name, const struct rc_host *host);
+void hosts_on_announced(struct hosts *hosts, const char *name, const struct ctrl_host *host);
 
 /* Announces all hosts that the store's list lacks to the feeder, after a new feed was opened. */
 void hosts_announce_to_feeder(const struct hosts *hosts);
@@ -207,7 +208,7 @@
  * member.c: this host's entry in the list of hosts, and its membership in the group of hosts from
  * which the store chooses a leader.
  */
-void member_start(struct rc *rc);
+void member_start(struct ctrl *ctrl);
 
 /* Returns the address at which other hosts reach this host's control thread. */
 const char *member_control_addr(const struct router_settings *s);
@@ -216,37 +217,37 @@
 double member_capacity(const struct router_settings *s);
 
 /* Called when the list of hosts is known: adds this host to it unless it is there already. */
-void member_on_host_list(struct rc *rc);
+void member_on_host_list(struct ctrl *ctrl);
 
 /* Leaves the group and removes this host from the list of hosts. */
-void member_stop(struct rc *rc);
+void member_stop(struct ctrl *ctrl);
 
 /* Whether this host holds the lead now, so that it may send orders to engines. */
-bool member_may_give_orders(const struct rc *rc);
+bool member_may_give_orders(const struct ctrl *ctrl);
 
 /* Another host has reported this fencing number: requests the state of the group again. */
-void member_on_remote_fence(struct rc *rc, int64_t fence);
+void member_on_remote_fence(struct ctrl *ctrl, int64_t fence);
 
 /* Requests the state of the group, after the store was restored from an older copy. */
-void member_on_store_restored(struct rc *rc);
+void member_on_store_restored(struct ctrl *ctrl);
 
 /*
  * Sets whether this host is a candidate for leader. A host that has just started and will soon have
  * a feed is none: it would lose the lead again as soon as it has the feed.
  */
-void member_set_candidate(struct rc *rc, bool candidate);
+void member_set_candidate(struct ctrl *ctrl, bool candidate);
 
 /* loads.c: load reports of engines, from this host's own polling or from another host. */
 GArray *loads_new(void);
 
 /* Replaces the newest load reports (struct router_load) and passes them on. Owns the array. */
-void loads_publish(struct rc *rc, GArray *loads);
+void loads_publish(struct ctrl *ctrl, GArray *loads);
 
 /* Frees a single struct router_load that is not an element of an array. */
 void loads_free_entry(gpointer load);
 
 /* Processes a round of this host's own polling and passes on what changed. Owns the array. */
-void loads_publish_round(struct rc *rc, GArray *loads);
+void loads_publish_round(struct ctrl *ctrl, GArray *loads);
 
 /* suspect.c: suspicions that an endpoint is at fault; feeds carry them in both directions. */
 
@@ -284,25 +285,25 @@
 };
 
 /* Passes on a suspicion from this host's traffic thread. May be called from any thread. */
-void suspect_post(struct rc *rc, const char *endpoint, int64_t for_ms, const char *why);
+void suspect_post(struct ctrl *ctrl, const char *endpoint, int64_t for_ms, const char *why);
 
 /*
  * Processes a suspicion and sends it to the other hosts, except over the connection source, and to
  * the traffic thread. source is NULL if the suspicion came from that thread, which then gets none.
  */
-void suspect_on_news(struct rc *rc, const struct suspect *suspect, const void *source);
+void suspect_on_report(struct ctrl *ctrl, const struct suspect *suspect, const void *source);
 
 /* Whether the endpoint is regarded as dead, by a recent report of any host. */
-bool suspect_is_dead(const struct rc *rc, const char *endpoint, int64_t now_us);
+bool suspect_is_dead(const struct ctrl *ctrl, const char *endpoint, int64_t now_us);
 
 /* Processes a Suspect message of another host. Returns 0, or BASE_EFRAME if it is malformed. */
-int suspect_on_msg(struct rc *rc, struct frm_conn *conn, const uint8_t *body, size_t len);
+int suspect_on_msg(struct ctrl *ctrl, struct frm_conn *conn, const uint8_t *body, size_t len);
 
 /* Sends a suspicion to one host. */
 void suspect_send(struct frm_conn *conn, const struct suspect *suspect);
 
 /* state.c: updates the gauges of the control thread in the metrics. */
-void state_update_gauges(const struct rc *rc, int64_t now_us);
+void state_update_gauges(const struct ctrl *ctrl, int64_t now_us);
 
 /*
  * recall.c: a copy of the list of endpoints in the store. While the store is unavailable, the
@@ -311,7 +312,7 @@
  * first reader saves the list to the store whenever it has changed; a host that found the store
  * unavailable adds the saved endpoints that its list lacks, for those two seconds.
  */
-struct recall *recall_new(struct rc *rc);
+struct recall *recall_new(struct ctrl *ctrl);
 void recall_free(struct recall *recall);
 void recall_on_tick(struct recall *recall, int64_t now_us);
 
@@ -329,7 +330,7 @@
 bool recall_is_saved(const struct recall *recall);
 
 /* placer.c: assignment of model layers to engines. */
-struct placer *placer_new(struct rc *rc);
+struct placer *placer_new(struct ctrl *ctrl);
 void placer_free(struct placer *placer);
 void placer_on_tick(struct placer *placer, int64_t now_us);
 
@@ -337,60 +338,60 @@
 void placer_on_change(struct placer *placer);
 
 /* poll.c: polling of all engines for their load reports, on one host. */
-struct poll *poll_new(struct rc *rc);
+struct poll *poll_new(struct ctrl *ctrl);
 void poll_free(struct poll *poll);
 void poll_on_tick(struct poll *poll, int64_t now_us);
 
 /* Fills in the state of this host for rank_should_read_store() and rank_may_feed(). */
-void rc_rank_host(const struct rc *rc, struct rank_state *host);
+void ctrl_fill_rank_host(const struct ctrl *ctrl, struct rank_state *host);
 
 /* feed.c: sending the data of the store to followers. */
-struct feed *feed_new(struct rc *rc);
+struct feed *feed_new(struct ctrl *ctrl);
 void feed_free(struct feed *feed);
 
 /* Queues an endpoint record for followers; text.data is NULL if the endpoint was removed. */
 void feed_on_record(struct feed *feed, int64_t place, const char *id, struct str text);
 
 /* Called when the list of endpoints was read again completely, or changed without a record. */
-void feed_on_listing(struct feed *feed);
+void feed_on_list_replaced(struct feed *feed);
 
 /* Returns the queue of endpoint records for followers. */
-struct fp *feed_pack(struct feed *feed);
+struct fpack *feed_packer(struct feed *feed);
 
 /* Sends each follower the changes that it does not have yet. */
 void feed_flush(struct feed *feed);
 
 /* Calls fn for the connection to each follower, except the connection source. */
 typedef void (*feed_conn_fn)(void *ctx, struct frm_conn *conn);
-void feed_each(struct feed *feed, const void *source, feed_conn_fn fn, void *ctx);
+void feed_for_each_follower(struct feed *feed, const void *source, feed_conn_fn fn, void *ctx);
 
 /* follow.c: receiving the data of the store from a feeder. */
-struct follow *follow_new(struct rc *rc);
+struct follow *follow_new(struct ctrl *ctrl);
 void follow_free(struct follow *follow);
 void follow_on_tick(struct follow *follow, int64_t now_us);
 
 /* Called when the list of hosts has changed. */
-void follow_on_hosts(struct follow *follow);
+void follow_on_hosts_changed(struct follow *follow);
 
 /* Whether this host has a feed and the feeder has contact with the store. */
 bool follow_is_fed(const struct follow *follow);
 
 /* Announces another host to the feeder. */
-void follow_tell_host(struct follow *follow, const char *name, const struct rc_host *host);
+void follow_announce_host(struct follow *follow, const char *name, const struct ctrl_host *host);
 
 /* Returns the name of the feeder, or NULL if there is no connection. */
 const char *follow_feeder(const struct follow *follow);
 
 /* Calls fn for the connection to the feeder, unless there is none or it is source. */
-void follow_each(struct follow *follow, const void *source, feed_conn_fn fn, void *ctx);
+void follow_call_feeder(struct follow *follow, const void *source, feed_conn_fn fn, void *ctx);
 
 /*
  * Returns the host that owns the key by rendezvous hashing; NULL if none. All hosts choose the same
  * one if they have found the same hosts unresponsive.
  */
-const struct host *follow_home(const struct follow *follow, const char *key);
+const struct host *follow_key_owner(const struct follow *follow, const char *key);
 
 /* Records whether another host answered, for the choice of feeders and key owners. */
-void follow_on_evidence(struct follow *follow, const char *host, enum host_evidence evidence);
+void follow_on_contact_result(struct follow *follow, const char *host, enum host_evidence evidence);
 
 #endif
--- a/router/feed.c
+++ b/router/feed.c
@@ -5,7 +5,7 @@
 #include "msg/feed.pb-c.h"
 #include "msg/kind.h"
 #include "router/feed_pack.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -45,11 +45,11 @@
 };
 
 struct feed {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct frm_server server; /* Server to which followers connect */
 	bool listening;		  /* Whether the server could be started */
 	GPtrArray *followers;	  /* Connected followers, as struct feed_follower */
-	struct fp endpoints;	  /* Queue of endpoint records for followers */
+	struct fpack endpoints;	  /* Queue of endpoint records for followers */
 };
 
 static int feed_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -67,22 +67,22 @@
 	g_free(follower);
 }
 
-struct feed *feed_new(struct rc *rc)
+struct feed *feed_new(struct ctrl *ctrl)
 {
 	const struct frm_limits limits = {tmr_ms(FEED_HEARTBEAT_MS), tmr_ms(FEED_SILENT_MS),
 					  tmr_ms(FEED_HEARTBEAT_MS)};
 	struct feed *feed = g_new0(struct feed, 1);
 	int err;
 
-	feed->rc = rc;
+	feed->ctrl = ctrl;
 	feed->followers = g_ptr_array_new_with_free_func(feed_follower_free);
-	fp_init(&feed->endpoints);
-	err = frm_listen(&feed->server, rc->loop, rc->router->settings.control, &feed_ops, &limits,
-			 feed);
+	fpack_init(&feed->endpoints);
+	err = frm_listen(&feed->server, ctrl->loop, ctrl->router->settings.control, &feed_ops,
+			 &limits, feed);
 	feed->listening = err == 0;
 	if (err < 0) {
 		jl_begin(JL_KEEP, "feed_not_listening");
-		jl_str("addr", rc->router->settings.control);
+		jl_str("addr", ctrl->router->settings.control);
 		jl_str("error", base_strerror(err));
 		jl_end();
 	}
@@ -94,26 +94,26 @@
 	if (feed->listening)
 		frm_server_finish(&feed->server);
 	g_ptr_array_unref(feed->followers);
-	fp_finish(&feed->endpoints);
+	fpack_finish(&feed->endpoints);
 	g_free(feed);
 }
 
 void feed_on_record(struct feed *feed, int64_t place, const char *id, struct str text)
 {
-	fp_set_length(&feed->endpoints, feed->followers->len > 0
-						? g_hash_table_size(feed->rc->endpoints.entries)
-						: 0);
-	fp_on_record(&feed->endpoints, place, id, text);
+	fpack_set_max_records(
+		&feed->endpoints,
+		feed->followers->len > 0 ? g_hash_table_size(feed->ctrl->endpoints.entries) : 0);
+	fpack_add_record(&feed->endpoints, place, id, text);
 }
 
-struct fp *feed_pack(struct feed *feed)
+struct fpack *feed_packer(struct feed *feed)
 {
 	return &feed->endpoints;
 }
 
-void feed_on_listing(struct feed *feed)
+void feed_on_list_replaced(struct feed *feed)
 {
-	fp_on_listing(&feed->endpoints, &feed->rc->endpoints);
+	fpack_on_list_replaced(&feed->endpoints, &feed->ctrl->endpoints);
 }
 
 /* Returns the follower of a connection, which is allocated at its first message. */
@@ -133,10 +133,10 @@
 /* Processes a follower's own address. Hosts that run the previous version do not send it. */
 static void feed_announce_host(struct feed *feed, const Feed__Ask *ask)
 {
-	const struct rc_host host = {ask->addr, ask->capacity, ask->zone};
+	const struct ctrl_host host = {ask->addr, ask->capacity, ask->zone};
 
 	if (ask->host[0] && ask->addr[0])
-		hosts_on_announced(feed->rc->host_list, ask->host, &host);
+		hosts_on_announced(feed->ctrl->host_list, ask->host, &host);
 }
 
 /* Processes the announcement of another host by a follower. */
@@ -147,9 +147,9 @@
 	if (!msg)
 		return BASE_EFRAME;
 	if (msg->name[0] && msg->addr[0]) {
-		const struct rc_host host = {msg->addr, msg->capacity, msg->zone};
+		const struct ctrl_host host = {msg->addr, msg->capacity, msg->zone};
 
-		hosts_on_announced(feed->rc->host_list, msg->name, &host);
+		hosts_on_announced(feed->ctrl->host_list, msg->name, &host);
 	}
 	feed__host__free_unpacked(msg, NULL);
 	return 0;
@@ -168,7 +168,7 @@
 	follower->conf_version = ask->conf_version;
 	follower->conf_digest = ask->conf_digest;
 	follower->era = FEED_NONE;
-	rc_hear_era(feed->rc, rc_era_of_msg(ask->era), ask->host);
+	ctrl_on_era(feed->ctrl, ctrl_era_from_msg(ask->era), ask->host);
 	feed_announce_host(feed, ask);
 	follower->endpoints_next = ask->endpoints_next;
 	follower->listing = ask->endpoints_next < 0 ? 0 : feed->endpoints.listing;
@@ -177,9 +177,9 @@
 	follower->loads_version = 0;
 	feed__ask__free_unpacked(ask, NULL);
 	feed_send_update(feed, follower);
-	quarantine_send_all(feed->rc->quarantine, conn);
-	limits_send_all(feed->rc->limits, conn);
-	notice_send_leaving(feed->rc, conn);
+	quarantine_send_all(feed->ctrl->quarantine, conn);
+	limits_send_all(feed->ctrl->limits, conn);
+	notice_send_leaving(feed->ctrl, conn);
 	return 0;
 }
 
@@ -192,13 +192,13 @@
 	case MSG_FEED_HOST:
 		return feed_on_host(ctx, body, len);
 	case MSG_FEED_SUSPECT:
-		return suspect_on_msg(((struct feed *)ctx)->rc, conn, body, len);
+		return suspect_on_msg(((struct feed *)ctx)->ctrl, conn, body, len);
 	case MSG_FEED_QUARANTINE:
-		return quarantine_on_msg(((struct feed *)ctx)->rc->quarantine, conn, body, len);
+		return quarantine_on_msg(((struct feed *)ctx)->ctrl->quarantine, conn, body, len);
 	case MSG_FEED_LIMITS:
-		return limits_on_msg(((struct feed *)ctx)->rc->limits, conn, body, len);
+		return limits_on_msg(((struct feed *)ctx)->ctrl->limits, conn, body, len);
 	case MSG_LIMIT_ASK:
-		return limit_home_on_msg(limits_get_home(((struct feed *)ctx)->rc->limits), conn,
+		return limit_home_on_msg(limits_get_home(((struct feed *)ctx)->ctrl->limits), conn,
 					 body, len);
 	default:
 		return BASE_EFRAME;
@@ -211,42 +211,42 @@
 	struct feed_follower *follower = frm_data(conn);
 
 	(void)err;
-	limit_home_on_close(limits_get_home(feed->rc->limits), conn);
+	limit_home_on_close(limits_get_home(feed->ctrl->limits), conn);
 	if (follower)
 		g_ptr_array_remove_fast(feed->followers, follower);
 }
 
 static void feed_add_endpoints(struct feed *feed, struct feed_follower *follower, Feed__Update *msg)
 {
-	const struct ep_list *list = &feed->rc->endpoints;
-	struct fp *fp = &feed->endpoints;
+	const struct ep_list *list = &feed->ctrl->endpoints;
+	struct fpack *fpack = &feed->endpoints;
 
-	msg->endpoints_next = feed->rc->listed ? list->next : FEED_NONE;
-	if (!feed->rc->listed)
+	msg->endpoints_next = feed->ctrl->listed ? list->next : FEED_NONE;
+	if (!feed->ctrl->listed)
 		return;
-	msg->listing = fp_needs_whole(fp, follower->listing, follower->endpoints_next);
-	if (msg->listing || fp_has_news(fp, follower->endpoints_next)) {
-		fp_pack(fp, list, msg->listing, follower->endpoints_next);
-		msg->endpoints.data = fp->packed->data;
-		msg->endpoints.len = fp->packed->len;
-		msg->endpoints_len = (int64_t)fp->whole_len;
+	msg->listing = fpack_needs_full_list(fpack, follower->listing, follower->endpoints_next);
+	if (msg->listing || fpack_has_records(fpack, follower->endpoints_next)) {
+		fpack_serialize(fpack, list, msg->listing, follower->endpoints_next);
+		msg->endpoints.data = fpack->packed->data;
+		msg->endpoints.len = fpack->packed->len;
+		msg->endpoints_len = (int64_t)fpack->whole_len;
 	}
-	follower->listing = fp->listing;
+	follower->listing = fpack->listing;
 	follower->endpoints_next = MAX(follower->endpoints_next, list->next);
 	follower->place_sent_us = tmr_now();
 }
 
 static bool feed_has_new_endpoints(const struct feed *feed, const struct feed_follower *follower)
 {
-	const struct rc *rc = feed->rc;
+	const struct ctrl *ctrl = feed->ctrl;
 	int64_t since_us = tmr_now() - follower->place_sent_us;
 
-	if (!rc->listed || since_us < tmr_ms(rc_endpoints_slack_ms(rc)))
+	if (!ctrl->listed || since_us < tmr_ms(ctrl_endpoints_delay_ms(ctrl)))
 		return false;
 	if (follower->listing != feed->endpoints.listing ||
-	    fp_has_news(&feed->endpoints, follower->endpoints_next))
+	    fpack_has_records(&feed->endpoints, follower->endpoints_next))
 		return true;
-	return follower->endpoints_next < rc->endpoints.next &&
+	return follower->endpoints_next < ctrl->endpoints.next &&
 	       since_us >= tmr_ms(FEED_PLACE_INTERVAL_MS);
 }
 
@@ -254,53 +254,53 @@
  * Whether this host's configuration has a newer version than the follower's, or another text under
  * the same version; the follower then decides by their places which one is newer.
  */
-static bool feed_has_new_conf(const struct rc *rc, const struct feed_follower *follower)
+static bool feed_has_new_conf(const struct ctrl *ctrl, const struct feed_follower *follower)
 {
-	if (!rc->conf || rc->conf->version < follower->conf_version)
+	if (!ctrl->conf || ctrl->conf->version < follower->conf_version)
 		return false;
-	return rc->conf->version > follower->conf_version ||
-	       rc->conf_origin.digest != follower->conf_digest;
+	return ctrl->conf->version > follower->conf_version ||
+	       ctrl->conf_origin.digest != follower->conf_digest;
 }
 
 static void feed_add_conf(const struct feed *feed, struct feed_follower *follower,
 			  Feed__Update *msg)
 {
-	const struct rc *rc = feed->rc;
+	const struct ctrl *ctrl = feed->ctrl;
 
-	if (!feed_has_new_conf(rc, follower))
+	if (!feed_has_new_conf(ctrl, follower))
 		return;
-	msg->conf.data = rc->conf_deflated->data;
-	msg->conf.len = rc->conf_deflated->len;
-	msg->conf_len = (int64_t)rc->conf_len;
-	msg->conf_place = rc->conf_place;
-	follower->conf_version = rc->conf->version;
-	follower->conf_digest = rc->conf_origin.digest;
+	msg->conf.data = ctrl->conf_deflated->data;
+	msg->conf.len = ctrl->conf_deflated->len;
+	msg->conf_len = (int64_t)ctrl->conf_len;
+	msg->conf_place = ctrl->conf_place;
+	follower->conf_version = ctrl->conf->version;
+	follower->conf_digest = ctrl->conf_origin.digest;
 }
 
 /* Whether this host has no current data of the store, so that others should not follow it. */
-static bool feed_has_no_source(const struct rc *rc)
+static bool feed_has_no_source(const struct ctrl *ctrl)
 {
 	struct rank_state host;
 
-	rc_rank_host(rc, &host);
+	ctrl_fill_rank_host(ctrl, &host);
 	return !rank_may_feed(&host);
 }
 
 static bool feed_has_changes(const struct feed *feed, const struct feed_follower *follower)
 {
-	const struct rc *rc = feed->rc;
+	const struct ctrl *ctrl = feed->ctrl;
 
-	if (!follower->updated || follower->away != feed_has_no_source(rc) ||
-	    follower->generation != rc->lead.newest || follower->era != rc_era_for_msg(rc) ||
-	    follower->hosts_version != rc->host_news.version ||
-	    follower->loads_version != rc->loads_version || follower->round != rc->round.number)
+	if (!follower->updated || follower->away != feed_has_no_source(ctrl) ||
+	    follower->generation != ctrl->lead.newest || follower->era != ctrl_era_to_msg(ctrl) ||
+	    follower->hosts_version != ctrl->host_news.version ||
+	    follower->loads_version != ctrl->loads_version || follower->round != ctrl->round.number)
 		return true;
-	return feed_has_new_conf(rc, follower) || feed_has_new_endpoints(feed, follower);
+	return feed_has_new_conf(ctrl, follower) || feed_has_new_endpoints(feed, follower);
 }
 
 /* Buffers for the hosts of one Update message. */
 struct feed_hosts {
-	const struct rc *rc;
+	const struct ctrl *ctrl;
 	GArray *items;	 /* Hosts as Feed__Host */
 	GPtrArray *refs; /* Pointers to the items */
 };
@@ -308,7 +308,7 @@
 static void feed_add_host(void *ctx, const char *name, bool gone)
 {
 	struct feed_hosts *hosts = ctx;
-	const struct rc_host *from = gone ? NULL : g_hash_table_lookup(hosts->rc->hosts, name);
+	const struct ctrl_host *from = gone ? NULL : g_hash_table_lookup(hosts->ctrl->hosts, name);
 	Feed__Host host = FEED__HOST__INIT;
 
 	host.name = (char *)name;
@@ -322,7 +322,7 @@
 
 static void feed_add_hosts(struct feed_hosts *hosts, guint since, Feed__Update *msg)
 {
-	const struct hdelta *news = &hosts->rc->host_news;
+	const struct hdelta *news = &hosts->ctrl->host_news;
 
 	msg->hosts_whole = hdelta_needs_full(news, since);
 	hdelta_each_since(news, msg->hosts_whole ? 0 : since, feed_add_host, hosts);
@@ -332,10 +332,11 @@
 	msg->n_hosts = hosts->refs->len;
 }
 
-static void feed_add_loads(const struct rc *rc, Feed__Update *msg, GArray *loads, GPtrArray *refs)
+static void feed_add_loads(const struct ctrl *ctrl, Feed__Update *msg, GArray *loads,
+			   GPtrArray *refs)
 {
-	for (guint i = 0; i < rc->loads->len; i++) {
-		const struct router_load *from = &g_array_index(rc->loads, struct router_load, i);
+	for (guint i = 0; i < ctrl->loads->len; i++) {
+		const struct router_load *from = &g_array_index(ctrl->loads, struct router_load, i);
 		Feed__Load load = FEED__LOAD__INIT;
 
 		load.endpoint = from->endpoint;
@@ -351,29 +352,29 @@
 
 static void feed_send_update(struct feed *feed, struct feed_follower *follower)
 {
-	struct rc *rc = feed->rc;
-	struct feed_hosts hosts = {rc, g_array_new(FALSE, FALSE, sizeof(Feed__Host)),
+	struct ctrl *ctrl = feed->ctrl;
+	struct feed_hosts hosts = {ctrl, g_array_new(FALSE, FALSE, sizeof(Feed__Host)),
 				   g_ptr_array_new()};
 	GArray *loads = g_array_new(FALSE, FALSE, sizeof(Feed__Load));
 	GPtrArray *load_refs = g_ptr_array_new();
 	Feed__Update msg = FEED__UPDATE__INIT;
 
-	follower->away = feed_has_no_source(rc);
+	follower->away = feed_has_no_source(ctrl);
 	msg.away = follower->away;
-	msg.generation = rc->lead.newest;
-	msg.era = rc_era_for_msg(rc);
+	msg.generation = ctrl->lead.newest;
+	msg.era = ctrl_era_to_msg(ctrl);
 	follower->era = msg.era;
 	feed_add_conf(feed, follower, &msg);
 	feed_add_endpoints(feed, follower, &msg);
-	if (follower->hosts_version != rc->host_news.version)
+	if (follower->hosts_version != ctrl->host_news.version)
 		feed_add_hosts(&hosts, follower->hosts_version, &msg);
-	if (follower->loads_version != rc->loads_version)
-		feed_add_loads(rc, &msg, loads, load_refs);
-	msg.round = rc->round.number;
-	follower->round = rc->round.number;
-	follower->loads_version = rc->loads_version;
-	follower->hosts_version = rc->host_news.version;
-	follower->generation = rc->lead.newest;
+	if (follower->loads_version != ctrl->loads_version)
+		feed_add_loads(ctrl, &msg, loads, load_refs);
+	msg.round = ctrl->round.number;
+	follower->round = ctrl->round.number;
+	follower->loads_version = ctrl->loads_version;
+	follower->hosts_version = ctrl->host_news.version;
+	follower->generation = ctrl->lead.newest;
 	follower->updated = true;
 	frm_send(follower->conn, MSG_FEED_UPDATE, &msg.base);
 	g_array_unref(hosts.items);
@@ -392,7 +393,7 @@
 	}
 }
 
-void feed_each(struct feed *feed, const void *source, feed_conn_fn fn, void *ctx)
+void feed_for_each_follower(struct feed *feed, const void *source, feed_conn_fn fn, void *ctx)
 {
 	for (guint i = 0; i < feed->followers->len; i++) {
 		const struct feed_follower *follower = feed->followers->pdata[i];
--- a/router/feed_take.c
+++ b/router/feed_merge.c
@@ -1,4 +1,4 @@
-#include "router/feed_take.h"
+#include "router/feed_merge.h"
 
 static void fmerge_apply_item(const struct fmerge *fmerge, const Feed__Endpoint *item)
 {
@@ -62,7 +62,7 @@
 {
 	for (guint i = 0; i < ids->len; i++) {
 		if (!g_hash_table_contains(fmerge->list->entries, ids->pdata[i]))
-			fp_on_record(fmerge->out, next - 1, ids->pdata[i], str_make(NULL, 0));
+			fpack_add_record(fmerge->out, next - 1, ids->pdata[i], str_make(NULL, 0));
 	}
 }
 
--- a/router/feed_take.h
+++ b/router/feed_merge.h
@@ -14,7 +14,7 @@
  */
 struct fmerge {
 	struct ep_list *list; /* List of endpoints of this host */
-	struct fp *out;	      /* Queue of records for this host's followers */
+	struct fpack *out;    /* Queue of records for this host's followers */
 
 	/*
 	 * Adds an entry to the list, and queues it for followers if it changes the list. text.data
--- a/router/feed_take_test.cc
+++ b/router/feed_merge_test.cc
@@ -1,4 +1,4 @@
-#include "router/feed_take.h"
+#include "router/feed_merge.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -18,11 +18,11 @@
 	Relay()
 	{
 		ep_list_init(&list);
-		fp_init(&out);
+		fpack_init(&out);
 	}
 	~Relay()
 	{
-		fp_finish(&out);
+		fpack_finish(&out);
 		ep_list_finish(&list);
 	}
 	static void Apply(void *ctx, int64_t place, const char *id, str text)
@@ -38,7 +38,7 @@
 			rec->layer_to = (int)text.len; /* Differs with the length of the text */
 		}
 		if (ep_on_record(&relay->list, place, id, rec, SEC) == EP_CHANGED) {
-			fp_on_record(&relay->out, place, id, text);
+			fpack_add_record(&relay->out, place, id, text);
 			relay->changes.push_back((text.data ? "" : "-") + std::string(id));
 		}
 	}
@@ -67,7 +67,7 @@
 	/* Returns the number of records for a follower at the place; -1 for the full list. */
 	int Queued(guint listing, int64_t from)
 	{
-		if (fp_needs_whole(&out, listing, from))
+		if (fpack_needs_full_list(&out, listing, from))
 			return -1;
 		int n = 0;
 		for (GList *l = out.records->head; l; l = l->next)
@@ -76,7 +76,7 @@
 	}
 
 	ep_list list;
-	fp out;
+	fpack out;
 	std::vector<std::string> changes;
 };
 
@@ -89,9 +89,9 @@
 		for (int i = 0; i < n; i++)
 			entries.push_back({"e" + std::to_string(i), "x"});
 		Relay relay;
-		fp_set_length(&relay.out, n);
+		fpack_set_max_records(&relay.out, n);
 		EXPECT_TRUE(relay.Merge(entries, 0, true, n)) << "first listing";
-		fp_on_listing(&relay.out, &relay.list);
+		fpack_on_list_replaced(&relay.out, &relay.list);
 		guint listing = relay.out.listing;
 		/* All entries were written again: one has changed and one was removed. */
 		entries[5].second = "xy";
@@ -123,7 +123,7 @@
 	for (const auto &c : cases) {
 		Relay relay;
 		relay.Merge({{"a", "x"}, {"b", "x"}}, 10, true, 100);
-		fp_on_listing(&relay.out, &relay.list);
+		fpack_on_list_replaced(&relay.out, &relay.list);
 		std::vector<std::pair<std::string, std::string>> next = {{"a", "xy"}};
 		if (!c.removed)
 			next.push_back({"b", "x"});
--- a/router/feed_pack.c
+++ b/router/feed_pack.c
@@ -6,85 +6,85 @@
 
 enum {
 	/* Minimum number of records that are kept, for followers that reconnect after a moment */
-	FP_RECORDS_LEAST = 512,
-	FP_DEFLATE_MIN = 1024 /* Shortest message worth deflating, in bytes */
+	FPACK_RECORDS_MIN = 512,
+	FPACK_DEFLATE_MIN = 1024 /* Shortest message worth deflating, in bytes */
 };
 
-struct fp_record {
+struct fpack_record {
 	int64_t offset;
 	char *id;
 	char *text; /* NULL if the endpoint was removed */
 };
 
-static void fp_record_free(gpointer data)
+static void fpack_record_free(gpointer data)
 {
-	struct fp_record *record = data;
+	struct fpack_record *record = data;
 
 	g_free(record->id);
 	g_free(record->text);
 	g_free(record);
 }
 
-void fp_init(struct fp *fp)
+void fpack_init(struct fpack *fpack)
 {
-	memset(fp, 0, sizeof(*fp));
-	fp->records = g_queue_new();
-	fp->listing = 1;
-	fp->records_most = FP_RECORDS_LEAST;
-	fp->packed = g_byte_array_new();
+	memset(fpack, 0, sizeof(*fpack));
+	fpack->records = g_queue_new();
+	fpack->listing = 1;
+	fpack->records_max = FPACK_RECORDS_MIN;
+	fpack->packed = g_byte_array_new();
 }
 
-void fp_finish(struct fp *fp)
+void fpack_finish(struct fpack *fpack)
 {
-	g_queue_free_full(fp->records, fp_record_free);
-	g_byte_array_unref(fp->packed);
+	g_queue_free_full(fpack->records, fpack_record_free);
+	g_byte_array_unref(fpack->packed);
 }
 
-void fp_set_length(struct fp *fp, guint endpoints)
+void fpack_set_max_records(struct fpack *fpack, guint endpoints)
 {
-	fp->records_most = MAX(endpoints, (guint)FP_RECORDS_LEAST);
+	fpack->records_max = MAX(endpoints, (guint)FPACK_RECORDS_MIN);
 }
 
-void fp_on_record(struct fp *fp, int64_t offset, const char *id, struct str text)
+void fpack_add_record(struct fpack *fpack, int64_t offset, const char *id, struct str text)
 {
-	struct fp_record *record;
+	struct fpack_record *record;
 
-	if (offset < fp->records_from)
+	if (offset < fpack->records_from)
 		return;
-	record = g_new0(struct fp_record, 1);
+	record = g_new0(struct fpack_record, 1);
 	record->offset = offset;
 	record->id = g_strdup(id);
 	record->text = text.data ? str_dup(text) : NULL;
-	g_queue_push_tail(fp->records, record);
-	fp->records_next = MAX(fp->records_next, offset + 1);
-	while (fp->records->length > fp->records_most) {
-		struct fp_record *oldest = g_queue_pop_head(fp->records);
+	g_queue_push_tail(fpack->records, record);
+	fpack->records_next = MAX(fpack->records_next, offset + 1);
+	while (fpack->records->length > fpack->records_max) {
+		struct fpack_record *oldest = g_queue_pop_head(fpack->records);
 
-		fp->records_from = oldest->offset + 1;
-		fp_record_free(oldest);
+		fpack->records_from = oldest->offset + 1;
+		fpack_record_free(oldest);
 	}
 }
 
-void fp_on_listing(struct fp *fp, const struct ep_list *list)
+void fpack_on_list_replaced(struct fpack *fpack, const struct ep_list *list)
 {
-	g_queue_clear_full(fp->records, fp_record_free);
-	fp->records_from = list->next;
-	fp->records_next = list->next;
-	fp->listing++;
+	g_queue_clear_full(fpack->records, fpack_record_free);
+	fpack->records_from = list->next;
+	fpack->records_next = list->next;
+	fpack->listing++;
 }
 
-bool fp_needs_whole(const struct fp *fp, guint listing, int64_t from)
+bool fpack_needs_full_list(const struct fpack *fpack, guint listing, int64_t from)
 {
-	return listing != fp->listing || from < fp->records_from;
+	return listing != fpack->listing || from < fpack->records_from;
 }
 
-bool fp_has_news(const struct fp *fp, int64_t from)
+bool fpack_has_records(const struct fpack *fpack, int64_t from)
 {
-	return from < fp->records_next;
+	return from < fpack->records_next;
 }
 
 /* Adds an item that refers to the texts without copying them. */
-static void fp_add(GArray *items, int64_t offset, char *id, char *text)
+static void fpack_add(GArray *items, int64_t offset, char *id, char *text)
 {
 	Feed__Endpoint item = FEED__ENDPOINT__INIT;
 
@@ -95,7 +95,7 @@
 	g_array_append_val(items, item);
 }
 
-static void fp_add_list(GArray *items, const struct ep_list *list)
+static void fpack_add_list(GArray *items, const struct ep_list *list)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -105,28 +105,28 @@
 		const struct ep_entry *entry = value;
 
 		if (entry->rec->text)
-			fp_add(items, entry->place, entry->rec->id, entry->rec->text);
+			fpack_add(items, entry->place, entry->rec->id, entry->rec->text);
 	}
 }
 
-static void fp_add_records(GArray *items, const struct fp *fp, int64_t from)
+static void fpack_add_records(GArray *items, const struct fpack *fpack, int64_t from)
 {
-	for (GList *link = fp->records->head; link; link = link->next) {
-		const struct fp_record *record = link->data;
+	for (GList *link = fpack->records->head; link; link = link->next) {
+		const struct fpack_record *record = link->data;
 
 		if (record->offset >= from)
-			fp_add(items, record->offset, record->id, record->text);
+			fpack_add(items, record->offset, record->id, record->text);
 	}
 }
 
-static bool fp_is_packed(const struct fp *fp, bool whole, int64_t from)
+static bool fpack_is_cached(const struct fpack *fpack, bool whole, int64_t from)
 {
-	return fp->packed_listing == fp->listing && fp->packed_whole == whole &&
-	       fp->packed_next == fp->records_next && (whole || fp->packed_from == from);
+	return fpack->packed_listing == fpack->listing && fpack->packed_full_list == whole &&
+	       fpack->packed_next == fpack->records_next && (whole || fpack->packed_from == from);
 }
 
 /* Serializes the items into the cache, deflated if the message is long enough. */
-static void fp_write(struct fp *fp, const GArray *items)
+static void fpack_write(struct fpack *fpack, const GArray *items)
 {
 	Feed__Endpoints msg = FEED__ENDPOINTS__INIT;
 	GPtrArray *refs = g_ptr_array_new();
@@ -140,18 +140,18 @@
 	len = feed__endpoints__get_packed_size(&msg);
 	text = g_malloc(len + 1);
 	feed__endpoints__pack(&msg, text);
-	if (len >= FP_DEFLATE_MIN && zip_pack(text, len, fp->packed) == 0) {
-		fp->whole_len = len;
+	if (len >= FPACK_DEFLATE_MIN && zip_pack(text, len, fpack->packed) == 0) {
+		fpack->whole_len = len;
 	} else {
-		fp->whole_len = 0;
-		g_byte_array_set_size(fp->packed, 0);
-		g_byte_array_append(fp->packed, text, (guint)len);
+		fpack->whole_len = 0;
+		g_byte_array_set_size(fpack->packed, 0);
+		g_byte_array_append(fpack->packed, text, (guint)len);
 	}
 	g_free(text);
 	g_ptr_array_unref(refs);
 }
 
-Feed__Endpoints *fp_unpack(const uint8_t *data, size_t packed_len, int64_t whole_len)
+Feed__Endpoints *fpack_parse(const uint8_t *data, size_t packed_len, int64_t whole_len)
 {
 	size_t len = (size_t)MAX(whole_len, 0);
 	Feed__Endpoints *items;
@@ -165,21 +165,21 @@
 	return items;
 }
 
-void fp_pack(struct fp *fp, const struct ep_list *list, bool whole, int64_t from)
+void fpack_serialize(struct fpack *fpack, const struct ep_list *list, bool whole, int64_t from)
 {
 	GArray *items;
 
-	if (fp_is_packed(fp, whole, from))
+	if (fpack_is_cached(fpack, whole, from))
 		return;
 	items = g_array_new(FALSE, FALSE, sizeof(Feed__Endpoint));
 	if (whole)
-		fp_add_list(items, list);
+		fpack_add_list(items, list);
 	else
-		fp_add_records(items, fp, from);
-	fp_write(fp, items);
-	fp->packed_listing = fp->listing;
-	fp->packed_whole = whole;
-	fp->packed_from = from;
-	fp->packed_next = fp->records_next;
+		fpack_add_records(items, fpack, from);
+	fpack_write(fpack, items);
+	fpack->packed_listing = fpack->listing;
+	fpack->packed_full_list = whole;
+	fpack->packed_from = from;
+	fpack->packed_next = fpack->records_next;
 	g_array_unref(items);
 }
--- a/router/feed_pack.h
+++ b/router/feed_pack.h
@@ -17,50 +17,50 @@
  *
  * A place is a position in the store's log, see era/era.h.
  */
-struct fp {
-	GQueue *records;      /* Latest records as struct fp_record, oldest first, without gaps */
-	guint records_most;   /* Maximum number of records that are kept */
-	int64_t records_from; /* Oldest place from which the records are complete */
-	int64_t records_next; /* Place after the newest record */
-	guint listing;	      /* Number of the newest full list, from 1 */
-	GByteArray *packed;   /* Cached message, deflated if whole_len is not 0 */
-	gsize whole_len;      /* Length of the cached message before it was deflated, in bytes */
-	bool packed_whole;    /* Whether the cached message holds the full list */
-	guint packed_listing; /* Value of listing for the cached message; 0 if there is none */
-	int64_t packed_from;  /* Place of the first record in the cached message */
-	int64_t packed_next;  /* Value of records_next for the cached message */
+struct fpack {
+	GQueue *records;   /* Latest records as struct fpack_record, oldest first, without gaps */
+	guint records_max; /* Maximum number of records that are kept */
+	int64_t records_from;  /* Oldest place from which the records are complete */
+	int64_t records_next;  /* Place after the newest record */
+	guint listing;	       /* Number of the newest full list, from 1 */
+	GByteArray *packed;    /* Cached message, deflated if whole_len is not 0 */
+	gsize whole_len;       /* Length of the cached message before it was deflated, in bytes */
+	bool packed_full_list; /* Whether the cached message holds the full list */
+	guint packed_listing;  /* Value of listing for the cached message; 0 if there is none */
+	int64_t packed_from;   /* Place of the first record in the cached message */
+	int64_t packed_next;   /* Value of records_next for the cached message */
 };
 
-void fp_init(struct fp *fp);
-void fp_finish(struct fp *fp);
+void fpack_init(struct fpack *fpack);
+void fpack_finish(struct fpack *fpack);
 
 /*
  * Sets the maximum number of records to the number of endpoints, as this many records cost a
  * follower as much as the full list. With a fixed maximum, all followers of a large system got the
  * full list repeatedly when more endpoints than that changed between two updates.
  */
-void fp_set_length(struct fp *fp, guint endpoints);
+void fpack_set_max_records(struct fpack *fpack, guint endpoints);
 
 /* Appends a record; text.data is NULL if the endpoint was removed. */
-void fp_on_record(struct fp *fp, int64_t offset, const char *id, struct str text);
+void fpack_add_record(struct fpack *fpack, int64_t offset, const char *id, struct str text);
 
 /* Discards the records: the list was read again completely, or changed without a record. */
-void fp_on_listing(struct fp *fp, const struct ep_list *list);
+void fpack_on_list_replaced(struct fpack *fpack, const struct ep_list *list);
 
 /* Whether a follower that has full list number "listing" up to place "from" needs a new one. */
-bool fp_needs_whole(const struct fp *fp, guint listing, int64_t from);
+bool fpack_needs_full_list(const struct fpack *fpack, guint listing, int64_t from);
 
 /* Whether there are records for a follower that has all records before place "from". */
-bool fp_has_news(const struct fp *fp, int64_t from);
+bool fpack_has_records(const struct fpack *fpack, int64_t from);
 
 /* Serializes the full list, or the records from place "from" on, into packed and whole_len. */
-void fp_pack(struct fp *fp, const struct ep_list *list, bool whole, int64_t from);
+void fpack_serialize(struct fpack *fpack, const struct ep_list *list, bool whole, int64_t from);
 
 /*
  * Parses a message of packed_len bytes; whole_len is its length before it was deflated, 0 if it was
  * not. Returns NULL if it is malformed. Free with feed__endpoints__free_unpacked().
  */
-Feed__Endpoints *fp_unpack(const uint8_t *data, size_t packed_len, int64_t whole_len);
+Feed__Endpoints *fpack_parse(const uint8_t *data, size_t packed_len, int64_t whole_len);
 
 G_END_DECLS
 
--- a/router/feed_pack_test.cc
+++ b/router/feed_pack_test.cc
@@ -15,12 +15,12 @@
 	FeedPackTest()
 	{
 		ep_list_init(&list_);
-		fp_init(&pack_);
+		fpack_init(&pack_);
 	}
 
 	~FeedPackTest() override
 	{
-		fp_finish(&pack_);
+		fpack_finish(&pack_);
 		ep_list_finish(&list_);
 	}
 
@@ -33,14 +33,14 @@
 		rec->addr = g_strdup(("10.0.0." + id).c_str());
 		rec->zone = g_strdup("a");
 		rec->text = g_strdup(text.c_str());
-		fp_on_record(&pack_, offset, id.c_str(), str_of(text.c_str()));
+		fpack_add_record(&pack_, offset, id.c_str(), str_of(text.c_str()));
 		ep_on_record(&list_, offset, id.c_str(), rec, 0);
 	}
 
 	/* Returns the ids of the items that a follower would get, with "-" before a removed one. */
 	std::set<std::string> Packed(bool whole, int64_t from)
 	{
-		fp_pack(&pack_, &list_, whole, from);
+		fpack_serialize(&pack_, &list_, whole, from);
 		uint8_t *text = pack_.whole_len > 0 ? zip_unpack(pack_.packed->data,
 								 pack_.packed->len, pack_.whole_len)
 						    : nullptr;
@@ -58,7 +58,7 @@
 	}
 
 	ep_list list_;
-	fp pack_;
+	fpack pack_;
 };
 
 using Ids = std::set<std::string>;
@@ -67,9 +67,9 @@
 {
 	for (int i = 0; i < 100; i++)
 		Put(i, std::to_string(i));
-	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 98));
+	EXPECT_FALSE(fpack_needs_full_list(&pack_, pack_.listing, 98));
 	EXPECT_EQ(Packed(false, 98), (Ids{"98", "99"}));
-	fp_on_record(&pack_, 100, "7", str_make(nullptr, 0));
+	fpack_add_record(&pack_, 100, "7", str_make(nullptr, 0));
 	ep_on_record(&list_, 100, "7", nullptr, 0);
 	EXPECT_EQ(Packed(false, 99), (Ids{"99", "-7"}));
 	EXPECT_EQ(Packed(true, 0).size(), 99u);
@@ -79,11 +79,12 @@
 {
 	for (int i = 0; i < 600; i++)
 		Put(i, std::to_string(i % 50));
-	EXPECT_TRUE(fp_needs_whole(&pack_, pack_.listing, 10));
-	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 590));
-	fp_on_listing(&pack_, &list_);
-	EXPECT_TRUE(fp_needs_whole(&pack_, pack_.listing - 1, 600)) << "it has an older listing";
-	EXPECT_FALSE(fp_needs_whole(&pack_, pack_.listing, 600));
+	EXPECT_TRUE(fpack_needs_full_list(&pack_, pack_.listing, 10));
+	EXPECT_FALSE(fpack_needs_full_list(&pack_, pack_.listing, 590));
+	fpack_on_list_replaced(&pack_, &list_);
+	EXPECT_TRUE(fpack_needs_full_list(&pack_, pack_.listing - 1, 600))
+		<< "it has an older listing";
+	EXPECT_FALSE(fpack_needs_full_list(&pack_, pack_.listing, 600));
 }
 
 /*
@@ -101,7 +102,7 @@
 	EXPECT_EQ(Packed(false, 3), (Ids{"3"}));
 	/* An expired entry is removed without a record. */
 	g_hash_table_remove(list_.entries, "1");
-	fp_on_listing(&pack_, &list_);
+	fpack_on_list_replaced(&pack_, &list_);
 	EXPECT_EQ(Packed(true, 0), (Ids{"2", "3"}));
 }
 
@@ -118,7 +119,7 @@
 	uint8_t *first = pack_.packed->data;
 	first[0] ^= 0xff; /* Would be overwritten if the list were serialized again */
 	uint8_t changed = first[0];
-	fp_pack(&pack_, &list_, true, 0);
+	fpack_serialize(&pack_, &list_, true, 0);
 	EXPECT_EQ(pack_.packed->data[0], changed);
 }
 
@@ -127,17 +128,18 @@
 {
 	for (int hosts : {30, 300, 984, 1968}) {
 		int endpoints = 3 * hosts, place = 0;
-		fp pack;
+		fpack pack;
 
-		fp_init(&pack);
-		fp_set_length(&pack, endpoints);
+		fpack_init(&pack);
+		fpack_set_max_records(&pack, endpoints);
 		for (int i = 0; i < 5 * endpoints; i++)
-			fp_on_record(&pack, place++, std::to_string(i % endpoints).c_str(),
-				     str_of("x"));
+			fpack_add_record(&pack, place++, std::to_string(i % endpoints).c_str(),
+					 str_of("x"));
 		/* The follower lacks one record of each endpoint. */
-		EXPECT_FALSE(fp_needs_whole(&pack, pack.listing, place - endpoints)) << hosts;
+		EXPECT_FALSE(fpack_needs_full_list(&pack, pack.listing, place - endpoints))
+			<< hosts;
 		EXPECT_LE(pack.records->length, (guint)std::max(endpoints, 512)) << hosts;
-		fp_finish(&pack);
+		fpack_finish(&pack);
 	}
 }
 
@@ -149,12 +151,12 @@
 {
 	for (int endpoints : {93, 915, 3001, 6002}) {
 		ep_list list;
-		fp pack;
+		fpack pack;
 		size_t queued = 0;
 		int64_t place = 0;
 
 		ep_list_init(&list);
-		fp_init(&pack);
+		fpack_init(&pack);
 		for (int beat = 0; beat < 10; beat++) {
 			for (int i = 0; i < endpoints; i++) {
 				std::string id = std::to_string(i);
@@ -167,16 +169,17 @@
 				rec->heartbeat = beat + 1;
 				rec->layer_to = beat >= 5 && i == 7 ? 8 : 0;
 				if (ep_on_record(&list, place, id.c_str(), rec, 0) == EP_CHANGED) {
-					fp_on_record(&pack, place, id.c_str(), str_of(id.c_str()));
+					fpack_add_record(&pack, place, id.c_str(),
+							 str_of(id.c_str()));
 					queued++;
 				}
 				place++;
 			}
 		}
 		EXPECT_EQ(queued, (size_t)endpoints + 1) << endpoints;
-		EXPECT_FALSE(fp_has_news(&pack, list.next));
-		EXPECT_TRUE(fp_has_news(&pack, 5 * endpoints));
-		fp_finish(&pack);
+		EXPECT_FALSE(fpack_has_records(&pack, list.next));
+		EXPECT_TRUE(fpack_has_records(&pack, 5 * endpoints));
+		fpack_finish(&pack);
 		ep_list_finish(&list);
 	}
 }
--- a/router/follow.c
+++ b/router/follow.c
@@ -7,8 +7,8 @@
 #include "msg/kind.h"
 #include "router/feed_pack.h"
 #include "router/rank.h"
-#include "router/feed_take.h"
-#include "router/rc.h"
+#include "router/feed_merge.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -47,7 +47,7 @@
 };
 
 struct follow {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct host_table table; /* Hosts that may be feeders, and whether they answered */
 	struct frm_conn *conn;	 /* Connection to the feeder; NULL if none */
 	char *host;		 /* Name of the feeder; its address if it is a seed */
@@ -69,11 +69,11 @@
 
 static const struct frm_ops follow_ops = {follow_on_msg, follow_on_close};
 
-struct follow *follow_new(struct rc *rc)
+struct follow *follow_new(struct ctrl *ctrl)
 {
 	struct follow *follow = g_new0(struct follow, 1);
 
-	follow->rc = rc;
+	follow->ctrl = ctrl;
 	follow->settle_us = tmr_now() + tmr_ms(FOLLOW_SETTLE_MS);
 	host_table_init(&follow->table, tmr_ms(FOLLOW_SUSPECT_MS));
 	return follow;
@@ -99,19 +99,19 @@
 }
 
 /* Returns the capacity that a reader or relay must have: half of the largest capacity. */
-static double follow_min_capacity(const struct rc *rc)
+static double follow_min_capacity(const struct ctrl *ctrl)
 {
 	GHashTableIter iter;
 	gpointer value;
 	double most = 0;
 
-	g_hash_table_iter_init(&iter, rc->hosts);
+	g_hash_table_iter_init(&iter, ctrl->hosts);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		most = MAX(most, ((const struct rc_host *)value)->capacity);
+		most = MAX(most, ((const struct ctrl_host *)value)->capacity);
 	return most / 2;
 }
 
-void follow_on_hosts(struct follow *follow)
+void follow_on_hosts_changed(struct follow *follow)
 {
 	follow->table_outdated = true;
 }
@@ -120,14 +120,14 @@
 static void follow_update_table(struct follow *follow)
 {
 	GArray *hosts = g_array_new(FALSE, TRUE, sizeof(struct host));
-	double least = follow_min_capacity(follow->rc);
+	double least = follow_min_capacity(follow->ctrl);
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, follow->rc->hosts);
+	g_hash_table_iter_init(&iter, follow->ctrl->hosts);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		const struct rc_host *from = value;
+		const struct ctrl_host *from = value;
 		struct host host;
 
 		if (from->capacity < least)
@@ -155,35 +155,35 @@
 {
 	const struct frm_limits limits = {tmr_ms(FOLLOW_HEARTBEAT_MS), tmr_ms(FOLLOW_SILENT_MS),
 					  tmr_ms(FOLLOW_HEARTBEAT_MS)};
-	struct rc *rc = follow->rc;
+	struct ctrl *ctrl = follow->ctrl;
 	Feed__Ask ask = FEED__ASK__INIT;
 
-	follow->conn = frm_connect(rc->loop, addr, &follow_ops, &limits, follow);
+	follow->conn = frm_connect(ctrl->loop, addr, &follow_ops, &limits, follow);
 	if (!follow->conn)
 		return;
 	follow->host = g_strdup(name);
 	frm_set_active(follow->conn, true);
-	ask.host = rc->router->settings.name;
-	ask.conf_version = rc->conf ? rc->conf->version : -1;
-	ask.conf_digest = rc->conf_origin.digest;
-	ask.era = rc_era_for_msg(rc);
-	ask.endpoints_next = rc->listed ? rc->endpoints.next : -1;
+	ask.host = ctrl->router->settings.name;
+	ask.conf_version = ctrl->conf ? ctrl->conf->version : -1;
+	ask.conf_digest = ctrl->conf_origin.digest;
+	ask.era = ctrl_era_to_msg(ctrl);
+	ask.endpoints_next = ctrl->listed ? ctrl->endpoints.next : -1;
 	/* A host that is stopping must not be added to the list of hosts again. */
-	if (!rc->stopping)
-		ask.addr = (char *)member_control_addr(&rc->router->settings);
-	ask.capacity = member_capacity(&rc->router->settings);
-	ask.zone = rc->router->settings.zone;
+	if (!ctrl->stopping)
+		ask.addr = (char *)member_control_addr(&ctrl->router->settings);
+	ask.capacity = member_capacity(&ctrl->router->settings);
+	ask.zone = ctrl->router->settings.zone;
 	frm_send(follow->conn, MSG_FEED_ASK, &ask.base);
-	hosts_announce_to_feeder(rc->host_list);
-	quarantine_send_all(rc->quarantine, follow->conn);
-	limits_send_all(rc->limits, follow->conn);
-	notice_send_leaving(rc, follow->conn);
+	hosts_announce_to_feeder(ctrl->host_list);
+	quarantine_send_all(ctrl->quarantine, follow->conn);
+	limits_send_all(ctrl->limits, follow->conn);
+	notice_send_leaving(ctrl, follow->conn);
 }
 
 /* Connects to the next seed; used while no other host is known. */
 static void follow_connect_seed(struct follow *follow)
 {
-	const struct router_settings *s = &follow->rc->router->settings;
+	const struct router_settings *s = &follow->ctrl->router->settings;
 	char **seeds = g_strsplit(s->seeds, ",", -1);
 	guint n = g_strv_length(seeds);
 
@@ -203,7 +203,7 @@
  */
 static int64_t follow_stale_limit_ms(const struct follow *follow)
 {
-	const struct rank *rank = &follow->rc->rank;
+	const struct rank *rank = &follow->ctrl->rank;
 	unsigned int all = RANK_FEEDERS_TRIED + (rank->follows_relay ? RANK_RELAYS_TRIED : 0);
 
 	if (follow->feeders_tried >= all)
@@ -237,10 +237,10 @@
  */
 static bool follow_should_move(struct follow *follow, const struct host *feeder, int64_t now_us)
 {
-	const char *name = follow->rc->router->settings.name;
+	const char *name = follow->ctrl->router->settings.name;
 	int64_t after_us = tmr_ms(FOLLOW_MOVE_DELAY_MS + g_str_hash(name) % FOLLOW_MOVE_SPREAD_MS);
 
-	if (!follow->rc->rank.follows_relay || !follow->fed || !feeder ||
+	if (!follow->ctrl->rank.follows_relay || !follow->fed || !feeder ||
 	    follow_is_connected_to(follow, feeder)) {
 		follow->misplaced_us = 0;
 		return false;
@@ -266,31 +266,31 @@
 	follow->next_try_us = now_us + tmr_ms(FOLLOW_RETRY_MS);
 	if (feeder)
 		follow_connect(follow, feeder->name, feeder->control_addr);
-	else if (!sf_is_reached(follow->rc))
+	else if (!reader_is_current(follow->ctrl))
 		follow_connect_seed(follow);
 }
 
 void follow_on_tick(struct follow *follow, int64_t now_us)
 {
-	struct rc *rc = follow->rc;
-	const struct rank *rank = &rc->rank;
+	struct ctrl *ctrl = follow->ctrl;
+	const struct rank *rank = &ctrl->rank;
 	const struct rank_self self = {
-		.name = rc->router->settings.name,
-		.zone = rc->router->settings.zone,
-		.hosts = g_hash_table_size(rc->hosts),
+		.name = ctrl->router->settings.name,
+		.zone = ctrl->router->settings.zone,
+		.hosts = g_hash_table_size(ctrl->hosts),
 		.turn = follow->feeders_tried,
 	};
 	struct rank_state host;
 
-	rc->settled = now_us >= follow->settle_us;
+	ctrl->settled = now_us >= follow->settle_us;
 	if (follow->table_outdated)
 		follow_update_table(follow);
-	rank_choose_roles(&follow->table, &self, now_us, &rc->rank);
+	rank_choose_roles(&follow->table, &self, now_us, &ctrl->rank);
 	follow_reconnect(follow, rank->feeder, now_us);
-	rc_rank_host(rc, &host);
-	rc_set_direct(rc, rank_should_read_store(&host));
-	member_set_candidate(rc,
-			     rank->reader || (!follow->fed && rc->settled && sf_is_reached(rc)));
+	ctrl_fill_rank_host(ctrl, &host);
+	ctrl_set_store_reading(ctrl, rank_should_read_store(&host));
+	member_set_candidate(
+		ctrl, rank->reader || (!follow->fed && ctrl->settled && reader_is_current(ctrl)));
 }
 
 static void follow_log(const struct follow *follow, const char *event, const char *error)
@@ -311,61 +311,62 @@
 	jl_begin(JL_INFO, "endpoints_listed_by_feed");
 	jl_str("feeder", follow->host);
 	jl_int("endpoints", (int64_t)items);
-	jl_int("known", g_hash_table_size(follow->rc->endpoints.entries));
+	jl_int("known", g_hash_table_size(follow->ctrl->endpoints.entries));
 	jl_end();
 }
 
 static void follow_apply_record(void *ctx, int64_t place, const char *id, struct str text)
 {
-	rc_take_endpoint(ctx, place, id, text);
+	ctrl_apply_endpoint(ctx, place, id, text);
 }
 
 /* Returns 0, or BASE_EFRAME if the data is malformed; it is requested on a new connection then. */
 static int follow_apply_endpoints(struct follow *follow, const Feed__Update *msg)
 {
-	struct rc *rc = follow->rc;
-	const struct fmerge merge = {&rc->endpoints, feed_pack(rc->feed), follow_apply_record, rc};
+	struct ctrl *ctrl = follow->ctrl;
+	const struct fmerge merge = {&ctrl->endpoints, feed_packer(ctrl->feed), follow_apply_record,
+				     ctrl};
 	Feed__Endpoints *items;
 
-	if (msg->endpoints_next < 0 || (rc->listed && msg->endpoints_next < rc->endpoints.next))
+	if (msg->endpoints_next < 0 || (ctrl->listed && msg->endpoints_next < ctrl->endpoints.next))
 		return 0;
-	items = fp_unpack(msg->endpoints.data, msg->endpoints.len, msg->endpoints_len);
+	items = fpack_parse(msg->endpoints.data, msg->endpoints.len, msg->endpoints_len);
 	if (!items)
 		return BASE_EFRAME;
 	if (msg->listing)
 		follow_log_full_list(follow, items->n_items);
 	if (fmerge_apply(&merge, items, msg->listing, msg->endpoints_next, tmr_now()))
-		feed_on_listing(rc->feed);
+		feed_on_list_replaced(ctrl->feed);
 	feed__endpoints__free_unpacked(items, NULL);
-	rc->listed = rc->listed || msg->listing;
+	ctrl->listed = ctrl->listed || msg->listing;
 	return 0;
 }
 
 /* Applies one entry of the list of hosts; an empty address means that the host has left. */
-static void follow_apply_host(struct rc *rc, const Feed__Host *host)
+static void follow_apply_host(struct ctrl *ctrl, const Feed__Host *host)
 {
-	const struct rc_host from = {host->addr, host->capacity, host->zone};
-	char *text = host->addr[0] ? rc_host_text(&from) : NULL;
-	bool self = strcmp(host->name, rc->router->settings.name) == 0;
+	const struct ctrl_host from = {host->addr, host->capacity, host->zone};
+	char *text = host->addr[0] ? ctrl_host_format(&from) : NULL;
+	bool self = strcmp(host->name, ctrl->router->settings.name) == 0;
 
 	if (self && text)
-		rc->feed_lacks_self = false;
+		ctrl->feed_lacks_self = false;
 	if (!self || text)
-		rc_take_host(rc, host->name, text ? str_of(text) : str_make(NULL, 0));
+		ctrl_apply_host(ctrl, host->name, text ? str_of(text) : str_make(NULL, 0));
 	g_free(text);
 }
 
 static void follow_apply_hosts(struct follow *follow, const Feed__Update *msg)
 {
-	struct rc *rc = follow->rc;
+	struct ctrl *ctrl = follow->ctrl;
 
 	if (msg->n_hosts == 0)
 		return;
 	if (msg->hosts_whole)
-		rc->feed_lacks_self = true;
+		ctrl->feed_lacks_self = true;
 	for (size_t i = 0; i < msg->n_hosts; i++)
-		follow_apply_host(rc, msg->hosts[i]);
-	rc_on_hosts_heard(rc);
+		follow_apply_host(ctrl, msg->hosts[i]);
+	ctrl_on_hosts_known(ctrl);
 }
 
 static int follow_apply_conf(struct follow *follow, const Feed__Update *msg)
@@ -378,7 +379,8 @@
 	text = zip_unpack(msg->conf.data, msg->conf.len, len);
 	if (!text)
 		return BASE_EFRAME;
-	rc_take_conf(follow->rc, msg->conf_place, str_make((const char *)text, len), follow->host);
+	ctrl_apply_conf(follow->ctrl, msg->conf_place, str_make((const char *)text, len),
+			follow->host);
 	g_free(text);
 	return 0;
 }
@@ -388,7 +390,7 @@
 {
 	GArray *loads;
 
-	if (msg->n_loads == 0 || rc_polls(follow->rc))
+	if (msg->n_loads == 0 || ctrl_polls_engines(follow->ctrl))
 		return;
 	loads = loads_new();
 	for (size_t i = 0; i < msg->n_loads; i++) {
@@ -397,17 +399,17 @@
 
 		g_array_append_val(loads, load);
 	}
-	loads_publish(follow->rc, loads);
+	loads_publish(follow->ctrl, loads);
 }
 
 static int follow_on_update(struct follow *follow, const uint8_t *body, size_t len)
 {
-	struct rc *rc = follow->rc;
+	struct ctrl *ctrl = follow->ctrl;
 	Feed__Update *msg = feed__update__unpack(NULL, len, body);
 
 	if (!msg)
 		return BASE_EFRAME;
-	rc_hear_era(rc, rc_era_of_msg(msg->era), follow->host);
+	ctrl_on_era(ctrl, ctrl_era_from_msg(msg->era), follow->host);
 	if (follow->fed == msg->away)
 		follow_log(follow, msg->away ? "feed_stale" : "feed_good", NULL);
 	follow->fed = !msg->away;
@@ -416,7 +418,7 @@
 	follow->stale_us = follow->fed ? 0 : (follow->stale_us > 0 ? follow->stale_us : tmr_now());
 	host_on_evidence(&follow->table, follow->host, HOST_ANSWERED, tmr_now());
 	if (follow->fed)
-		ep_on_store_success(&rc->endpoints, tmr_now());
+		ep_on_store_success(&ctrl->endpoints, tmr_now());
 	if (follow_apply_conf(follow, msg) < 0 || follow_apply_endpoints(follow, msg) < 0) {
 		follow_log(follow, "feed_unreadable", base_strerror(BASE_EFRAME));
 		feed__update__free_unpacked(msg, NULL);
@@ -424,12 +426,12 @@
 	}
 	follow_apply_hosts(follow, msg);
 	follow_apply_loads(follow, msg);
-	rank_round_received(&rc->round, msg->round, tmr_now());
-	if (msg->generation > rc->lead.newest)
-		member_on_remote_fence(rc, msg->generation);
+	rank_round_received(&ctrl->round, msg->round, tmr_now());
+	if (msg->generation > ctrl->lead.newest)
+		member_on_remote_fence(ctrl, msg->generation);
 	feed__update__free_unpacked(msg, NULL);
-	rc_first_view(rc);
-	feed_flush(rc->feed);
+	ctrl_post_first_view(ctrl);
+	feed_flush(ctrl->feed);
 	return 0;
 }
 
@@ -440,11 +442,11 @@
 	case MSG_FEED_UPDATE:
 		return follow_on_update(ctx, body, len);
 	case MSG_FEED_SUSPECT:
-		return suspect_on_msg(((struct follow *)ctx)->rc, conn, body, len);
+		return suspect_on_msg(((struct follow *)ctx)->ctrl, conn, body, len);
 	case MSG_FEED_QUARANTINE:
-		return quarantine_on_msg(((struct follow *)ctx)->rc->quarantine, conn, body, len);
+		return quarantine_on_msg(((struct follow *)ctx)->ctrl->quarantine, conn, body, len);
 	case MSG_FEED_LIMITS:
-		return limits_on_msg(((struct follow *)ctx)->rc->limits, conn, body, len);
+		return limits_on_msg(((struct follow *)ctx)->ctrl->limits, conn, body, len);
 	default:
 		return BASE_EFRAME;
 	}
@@ -463,13 +465,13 @@
 	follow_on_tick(follow, tmr_now());
 }
 
-void follow_each(struct follow *follow, const void *source, feed_conn_fn fn, void *ctx)
+void follow_call_feeder(struct follow *follow, const void *source, feed_conn_fn fn, void *ctx)
 {
 	if (follow->conn && follow->conn != source)
 		fn(ctx, follow->conn);
 }
 
-void follow_tell_host(struct follow *follow, const char *name, const struct rc_host *host)
+void follow_announce_host(struct follow *follow, const char *name, const struct ctrl_host *host)
 {
 	Feed__Host msg = FEED__HOST__INIT;
 
@@ -482,12 +484,12 @@
 	frm_send(follow->conn, MSG_FEED_HOST, &msg.base);
 }
 
-const struct host *follow_home(const struct follow *follow, const char *key)
+const struct host *follow_key_owner(const struct follow *follow, const char *key)
 {
 	return host_home(&follow->table, key, 0, tmr_now());
 }
 
-void follow_on_evidence(struct follow *follow, const char *host, enum host_evidence evidence)
+void follow_on_contact_result(struct follow *follow, const char *host, enum host_evidence evidence)
 {
 	host_on_evidence(&follow->table, host, evidence, tmr_now());
 }
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -1,5 +1,5 @@
 #include "base/jl.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -18,7 +18,7 @@
 };
 
 struct hosts {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	GHashTable *removed;  /* names of hosts that have left */
 	GHashTable *listed;   /* names in the listing that is being read */
 	GHashTable *pending;  /* host name -> enum hosts_write_op, changes still to be written */
@@ -36,11 +36,11 @@
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-struct hosts *hosts_new(struct rc *rc)
+struct hosts *hosts_new(struct ctrl *ctrl)
 {
 	struct hosts *hosts = g_new0(struct hosts, 1);
 
-	hosts->rc = rc;
+	hosts->ctrl = ctrl;
 	hosts->removed = hosts_name_table();
 	hosts->listed = hosts_name_table();
 	hosts->pending = hosts_name_table();
@@ -101,7 +101,7 @@
 	}
 	g_hash_table_remove(hosts->pending, name);
 	hosts_set_removed(hosts, name, !text.data);
-	rc_take_host(hosts->rc, name, text);
+	ctrl_apply_host(hosts->ctrl, name, text);
 }
 
 void hosts_on_listing_end(struct hosts *hosts)
@@ -113,13 +113,13 @@
 		return;
 	hosts->comparing = false;
 	hosts->compare_next = false;
-	g_hash_table_iter_init(&iter, hosts->rc->hosts);
+	g_hash_table_iter_init(&iter, hosts->ctrl->hosts);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
 		if (!g_hash_table_contains(hosts->listed, name))
 			hosts_schedule_write(hosts, name, HOSTS_ADD);
 	}
 	/* Each follower gets the whole list and checks whether it is in there itself. */
-	hdelta_on_compared(&hosts->rc->host_news);
+	hdelta_on_compared(&hosts->ctrl->host_news);
 }
 
 /*
@@ -127,15 +127,15 @@
  * first reader writes, see hosts_on_tick(); an entry that is read from the store meanwhile cancels
  * the write.
  */
-void hosts_on_announced(struct hosts *hosts, const char *name, const struct rc_host *host)
+void hosts_on_announced(struct hosts *hosts, const char *name, const struct ctrl_host *host)
 {
-	char *text = rc_host_text(host);
+	char *text = ctrl_host_format(host);
 
 	if (!g_hash_table_contains(hosts->in_store, name))
 		hosts_schedule_write(hosts, name, HOSTS_ADD);
 	hosts_set_removed(hosts, name, false);
-	if (rc_take_host(hosts->rc, name, str_of(text)))
-		follow_tell_host(hosts->rc->follow, name, host);
+	if (ctrl_apply_host(hosts->ctrl, name, str_of(text)))
+		follow_announce_host(hosts->ctrl->follow, name, host);
 	g_free(text);
 }
 
@@ -146,19 +146,19 @@
 
 	g_hash_table_iter_init(&iter, hosts->pending);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
-		const struct rc_host *host = g_hash_table_lookup(hosts->rc->hosts, name);
+		const struct ctrl_host *host = g_hash_table_lookup(hosts->ctrl->hosts, name);
 
 		if (host)
-			follow_tell_host(hosts->rc->follow, name, host);
+			follow_announce_host(hosts->ctrl->follow, name, host);
 	}
 }
 
 static void hosts_append_record(const struct hosts *hosts, const char *name, enum hosts_write_op op,
 				GString *body)
 {
-	const struct rc_host *host = g_hash_table_lookup(hosts->rc->hosts, name);
-	char *text = op == HOSTS_ADD && host ? rc_host_text(host) : NULL;
-	GString *record = hosts->rc->router->seam->store.make_record(
+	const struct ctrl_host *host = g_hash_table_lookup(hosts->ctrl->hosts, name);
+	char *text = op == HOSTS_ADD && host ? ctrl_host_format(host) : NULL;
+	GString *record = hosts->ctrl->router->seam->store.make_record(
 		name, text ? str_of(text) : str_make(NULL, 0));
 
 	g_string_append_len(body, record->str, (gssize)record->len);
@@ -175,7 +175,7 @@
 {
 	GString *body = g_string_new(NULL);
 	struct store_request request = {
-		.path = hosts->rc->router->seam->store.append_path(SEAM_TOPIC_HOSTS),
+		.path = hosts->ctrl->router->seam->store.append_path(SEAM_TOPIC_HOSTS),
 		.body = body,
 		.total_ms = HOSTS_CALL_MS,
 	};
@@ -186,7 +186,7 @@
 	g_hash_table_iter_init(&iter, hosts->pending);
 	while (g_hash_table_iter_next(&iter, &name, &op))
 		hosts_append_record(hosts, name, GPOINTER_TO_INT(op), body);
-	hosts->write = store_call(hosts->rc, &request, hosts_on_written, hosts);
+	hosts->write = store_call(hosts->ctrl, &request, hosts_on_written, hosts);
 	g_string_free(body, TRUE);
 }
 
@@ -208,9 +208,9 @@
 
 void hosts_on_tick(struct hosts *hosts, int64_t now_us)
 {
-	const struct rc *rc = hosts->rc;
+	const struct ctrl *ctrl = hosts->ctrl;
 
-	if (!rc->rank.first || rc->stopping || !sf_is_reached(rc) || hosts->write)
+	if (!ctrl->rank.first || ctrl->stopping || !reader_is_current(ctrl) || hosts->write)
 		return;
 	if (now_us >= hosts->next_write_us && g_hash_table_size(hosts->pending) > 0)
 		hosts_write(hosts);
--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -3,7 +3,7 @@
 #include "lim/members.h"
 #include "msg/kind.h"
 #include "router/limits.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -30,7 +30,7 @@
 };
 
 struct limit_ask {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct limits *limits;
 	struct limit_home *own; /* home that runs on this host, used if this host is chosen */
 	struct frm_conn *conn;	/* connection to the home; NULL if there is none or it is local */
@@ -49,11 +49,11 @@
 
 static const struct frm_ops limit_ask_ops = {limit_ask_on_msg, limit_ask_on_close};
 
-struct limit_ask *limit_ask_new(struct rc *rc, struct limits *limits, struct limit_home *home)
+struct limit_ask *limit_ask_new(struct ctrl *ctrl, struct limits *limits, struct limit_home *home)
 {
 	struct limit_ask *ask = g_new0(struct limit_ask, 1);
 
-	ask->rc = rc;
+	ask->ctrl = ctrl;
 	ask->limits = limits;
 	ask->own = home;
 	return ask;
@@ -61,7 +61,7 @@
 
 void limit_ask_free(struct limit_ask *ask)
 {
-	tmr_cancel(&ask->rc->loop->tmr, &ask->timer);
+	tmr_cancel(&ask->ctrl->loop->tmr, &ask->timer);
 	if (ask->conn)
 		frm_close(ask->conn);
 	g_free(ask->home);
@@ -75,7 +75,7 @@
 
 static bool limit_ask_is_local(const struct limit_ask *ask)
 {
-	return ask->home && strcmp(ask->home, ask->rc->router->settings.name) == 0;
+	return ask->home && strcmp(ask->home, ask->ctrl->router->settings.name) == 0;
 }
 
 /*
@@ -118,8 +118,8 @@
 
 	ask->home = g_strdup(home->name);
 	if (!limit_ask_is_local(ask)) {
-		ask->conn = frm_connect(ask->rc->loop, home->control_addr, &limit_ask_ops, &limits,
-					ask);
+		ask->conn = frm_connect(ask->ctrl->loop, home->control_addr, &limit_ask_ops,
+					&limits, ask);
 		if (!ask->conn) {
 			limit_ask_log(ask, "limit_home_bad_address", home->control_addr);
 			limit_ask_reset(ask);
@@ -136,7 +136,7 @@
  */
 static void limit_ask_update_home(struct limit_ask *ask, int64_t now_us)
 {
-	const struct host *home = follow_home(ask->rc->follow, limit_ask_key);
+	const struct host *home = follow_key_owner(ask->ctrl->follow, limit_ask_key);
 
 	if (!limits_any_binding(ask->limits)) {
 		limit_ask_disconnect(ask);
@@ -150,7 +150,7 @@
 
 static void limit_ask_send(struct limit_ask *ask, int64_t now_us)
 {
-	const char *name = ask->rc->router->settings.name;
+	const char *name = ask->ctrl->router->settings.name;
 	GArray *updates = limits_collect_demand(ask->limits, now_us);
 	Feed__LimitAsk msg = FEED__LIMIT_ASK__INIT;
 	struct limit_items items;
@@ -175,7 +175,7 @@
 
 static int64_t limit_ask_due_us(const struct limit_ask *ask)
 {
-	int64_t hosts = g_hash_table_size(ask->rc->hosts);
+	int64_t hosts = g_hash_table_size(ask->ctrl->hosts);
 	int64_t wait_ms = MAX(hosts * LIMIT_ASK_PER_HOST_MS, (int64_t)LIMIT_ASK_MIN_MS);
 
 	if (ask->asked_us == 0)
@@ -206,7 +206,7 @@
 		return;
 	ask->scheduled = true;
 	wait_us = MAX(limit_ask_due_us(ask) - tmr_boot_now(), 0);
-	loop_after(ask->rc->loop, &ask->timer, wait_us, limit_ask_on_timer, ask);
+	loop_after(ask->ctrl->loop, &ask->timer, wait_us, limit_ask_on_timer, ask);
 }
 
 static int limit_ask_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -246,7 +246,7 @@
 
 	(void)conn;
 	limit_ask_log(ask, "limit_home_lost", base_strerror(err));
-	follow_on_evidence(ask->rc->follow, ask->home,
-			   err == BASE_ESILENT ? HOST_TIMED_OUT : HOST_REFUSED);
+	follow_on_contact_result(ask->ctrl->follow, ask->home,
+				 err == BASE_ESILENT ? HOST_TIMED_OUT : HOST_REFUSED);
 	limit_ask_reset(ask);
 }
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -5,7 +5,7 @@
 #include "lim/members.h"
 #include "msg/kind.h"
 #include "router/limits.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -29,7 +29,7 @@
 };
 
 struct limit_home {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct limits *limits;
 	GHashTable *divided; /* incarnation of an endpoint -> struct limit_divided */
 	GHashTable *askers;  /* name of a host -> struct limit_asker */
@@ -49,11 +49,11 @@
 	g_free(divided);
 }
 
-struct limit_home *limit_home_new(struct rc *rc, struct limits *limits)
+struct limit_home *limit_home_new(struct ctrl *ctrl, struct limits *limits)
 {
 	struct limit_home *home = g_new0(struct limit_home, 1);
 
-	home->rc = rc;
+	home->ctrl = ctrl;
 	home->limits = limits;
 	home->divided = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, limit_divided_free);
 	home->askers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -63,7 +63,7 @@
 
 void limit_home_free(struct limit_home *home)
 {
-	tmr_cancel(&home->rc->loop->tmr, &home->timer);
+	tmr_cancel(&home->ctrl->loop->tmr, &home->timer);
 	g_hash_table_destroy(home->divided);
 	g_hash_table_destroy(home->askers);
 	lim_members_finish(&home->members);
@@ -163,7 +163,7 @@
 			next_us = wait_us;
 	}
 	if (next_us >= 0)
-		loop_after(home->rc->loop, &home->timer, next_us, limit_home_issue, home);
+		loop_after(home->ctrl->loop, &home->timer, next_us, limit_home_issue, home);
 }
 
 void limit_home_on_ask(struct limit_home *home, const char *host, int64_t sent_us,
@@ -249,7 +249,7 @@
 	GHashTableIter iter;
 	gpointer name;
 
-	g_hash_table_iter_init(&iter, home->rc->hosts);
+	g_hash_table_iter_init(&iter, home->ctrl->hosts);
 	while (g_hash_table_iter_next(&iter, &name, NULL))
 		g_ptr_array_add(names, name);
 	lim_members_set_hosts(&home->members, names, now_us);
@@ -264,7 +264,7 @@
 	if (now_us < home->update_us)
 		return;
 	home->update_us = now_us + tmr_ms(LIMIT_HOME_UPDATE_MS);
-	if (home->rc->hosts_heard)
+	if (home->ctrl->hosts_known)
 		limit_home_update_members(home, now_us);
 	g_hash_table_iter_init(&iter, home->divided);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
--- a/router/limits.c
+++ b/router/limits.c
@@ -2,7 +2,7 @@
 #include "base/err.h"
 #include "base/met.h"
 #include "msg/kind.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf.h"
 
 #include <string.h>
@@ -33,7 +33,7 @@
 };
 
 struct limits {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	GHashTable *known;	 /* incarnation of an endpoint -> struct limit_known */
 	struct limit_home *home; /* home that runs on this host */
 	struct limit_ask *ask;	 /* asks the chosen home for permits */
@@ -42,7 +42,7 @@
 
 /* An update that the traffic thread posts to the control thread. */
 struct limits_post {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct limit_update update;
 };
 
@@ -59,14 +59,14 @@
 	return updates;
 }
 
-struct limits *limits_new(struct rc *rc)
+struct limits *limits_new(struct ctrl *ctrl)
 {
 	struct limits *limits = g_new0(struct limits, 1);
 
-	limits->rc = rc;
+	limits->ctrl = ctrl;
 	limits->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	limits->home = limit_home_new(rc, limits);
-	limits->ask = limit_ask_new(rc, limits, limits->home);
+	limits->home = limit_home_new(ctrl, limits);
+	limits->ask = limit_ask_new(ctrl, limits, limits->home);
 	return limits;
 }
 
@@ -115,8 +115,8 @@
 	struct limit_update copy = {.endpoint = g_strdup(update->endpoint), .news = update->news};
 
 	g_array_append_val(updates, copy);
-	feed_each(limits->rc->feed, source, limits_send_to, updates);
-	follow_each(limits->rc->follow, source, limits_send_to, updates);
+	feed_for_each_follower(limits->ctrl->feed, source, limits_send_to, updates);
+	follow_call_feeder(limits->ctrl->follow, source, limits_send_to, updates);
 	g_array_unref(updates);
 }
 
@@ -135,7 +135,7 @@
 	else if (known->since_us == 0)
 		known->since_us = tmr_boot_now();
 	if (source)
-		tf_limit_post(limits->rc->router->tf, update);
+		tf_limit_post(limits->ctrl->router->tf, update);
 	limits_forward(limits, update, source);
 	limit_ask_schedule(limits->ask);
 }
@@ -143,7 +143,7 @@
 static void limits_on_post(void *ctx)
 {
 	struct limits_post *post = ctx;
-	struct limits *limits = post->rc->limits;
+	struct limits *limits = post->ctrl->limits;
 	struct limit_known *known;
 
 	limits_merge(limits, &post->update, NULL);
@@ -156,20 +156,20 @@
 	g_free(post);
 }
 
-void limits_post(struct rc *rc, const struct limit_update *update)
+void limits_post(struct ctrl *ctrl, const struct limit_update *update)
 {
 	struct limits_post *post = g_new0(struct limits_post, 1);
 
-	post->rc = rc;
+	post->ctrl = ctrl;
 	post->update = *update;
 	post->update.endpoint = g_strdup(update->endpoint);
-	loop_post(rc->loop, limits_on_post, post);
+	loop_post(ctrl->loop, limits_on_post, post);
 }
 
 void limits_deliver_permits(struct limits *limits, const struct limit_update *update)
 {
 	met_add(met_counter("bg_limit_permits_total", ""), (uint64_t)update->permits);
-	tf_limit_post(limits->rc->router->tf, update);
+	tf_limit_post(limits->ctrl->router->tf, update);
 }
 
 int limits_on_msg(struct limits *limits, struct frm_conn *conn, const uint8_t *body, size_t len)
@@ -273,7 +273,7 @@
  */
 static void limits_prune(struct limits *limits, int64_t now_us)
 {
-	GHashTable *listed = ep_incarnation_set(&limits->rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&limits->ctrl->endpoints);
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
--- a/router/limits.h
+++ b/router/limits.h
@@ -18,7 +18,7 @@
  * All functions run in the control thread, except limits_post(). All times are by tmr_boot_now(),
  * in microseconds.
  */
-struct rc;
+struct ctrl;
 struct tf;
 struct limits;
 struct limit_ask;
@@ -38,7 +38,7 @@
 };
 
 /* limits.c: the limits known to this host. */
-struct limits *limits_new(struct rc *rc);
+struct limits *limits_new(struct ctrl *ctrl);
 void limits_free(struct limits *limits);
 void limits_on_tick(struct limits *limits, int64_t now_us);
 
@@ -46,7 +46,7 @@
  * Passes a limit, and the demand of this host, from the traffic thread to the control thread. May
  * be called from any thread.
  */
-void limits_post(struct rc *rc, const struct limit_update *update);
+void limits_post(struct ctrl *ctrl, const struct limit_update *update);
 
 /*
  * Merges a limit into those known to this host and forwards it if it is new. source is the
@@ -94,7 +94,7 @@
 bool limits_have_demand(const struct limits *limits);
 
 /* limit_ask.c: asking the home for permits. */
-struct limit_ask *limit_ask_new(struct rc *rc, struct limits *limits, struct limit_home *home);
+struct limit_ask *limit_ask_new(struct ctrl *ctrl, struct limits *limits, struct limit_home *home);
 void limit_ask_free(struct limit_ask *ask);
 void limit_ask_on_tick(struct limit_ask *ask, int64_t now_us);
 
@@ -105,7 +105,7 @@
 const char *limit_ask_home_name(const struct limit_ask *ask);
 
 /* limit_home.c: dividing limits, on the host that is the home. */
-struct limit_home *limit_home_new(struct rc *rc, struct limits *limits);
+struct limit_home *limit_home_new(struct ctrl *ctrl, struct limits *limits);
 void limit_home_free(struct limit_home *home);
 void limit_home_on_tick(struct limit_home *home, int64_t now_us);
 
--- a/router/loads.c
+++ b/router/loads.c
@@ -1,4 +1,4 @@
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 enum {
 	/*
@@ -21,14 +21,14 @@
 	return loads;
 }
 
-void loads_publish(struct rc *rc, GArray *loads)
+void loads_publish(struct ctrl *ctrl, GArray *loads)
 {
-	g_array_unref(rc->loads);
-	rc->loads = loads;
-	rc->loads_version++;
-	rc->loads_us = tmr_now();
-	tf_post_loads(rc->router->tf, loads);
-	feed_flush(rc->feed);
+	g_array_unref(ctrl->loads);
+	ctrl->loads = loads;
+	ctrl->loads_version++;
+	ctrl->loads_us = tmr_now();
+	tf_post_loads(ctrl->router->tf, loads);
+	feed_flush(ctrl->feed);
 }
 
 /*
@@ -37,8 +37,9 @@
  */
 static bool loads_differ(const struct router_load *old, const struct router_load *load)
 {
-	int full = MAX(load->full, (int)ROUTER_FULL_NEWS);
-	int old_full = old ? MAX(old->full, (int)ROUTER_FULL_NEWS) : ROUTER_FULL_NEWS;
+	int full = MAX(load->full, (int)ROUTER_MEMORY_STEPS_SENT);
+	int old_full =
+		old ? MAX(old->full, (int)ROUTER_MEMORY_STEPS_SENT) : ROUTER_MEMORY_STEPS_SENT;
 
 	return (old ? old->pace : 1) != load->pace || old_full != full;
 }
@@ -52,15 +53,15 @@
 }
 
 /* Stores the load that an engine reported. Returns whether it must be sent to the other hosts. */
-static bool loads_record(struct rc *rc, const struct router_load *load)
+static bool loads_record(struct ctrl *ctrl, const struct router_load *load)
 {
-	struct router_load *old = g_hash_table_lookup(rc->polled, load->endpoint);
+	struct router_load *old = g_hash_table_lookup(ctrl->polled_loads, load->endpoint);
 	bool differs = loads_differ(old, load);
 
 	if (!old) {
 		old = g_new0(struct router_load, 1);
 		old->endpoint = g_strdup(load->endpoint);
-		g_hash_table_insert(rc->polled, old->endpoint, old);
+		g_hash_table_insert(ctrl->polled_loads, old->endpoint, old);
 	}
 	old->pace = load->pace;
 	old->full = load->full;
@@ -74,15 +75,15 @@
 }
 
 /* Adds the loads of all unusual engines, for hosts that have not received them. */
-static void loads_add_unusual(struct rc *rc, GArray *loads)
+static void loads_add_unusual(struct ctrl *ctrl, GArray *loads)
 {
-	GHashTable *listed = ep_incarnation_set(&rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&ctrl->endpoints);
 	GHashTableIter iter;
 	gpointer load;
 
-	g_hash_table_foreach_remove(rc->polled, loads_is_gone, listed);
+	g_hash_table_foreach_remove(ctrl->polled_loads, loads_is_gone, listed);
 	g_hash_table_destroy(listed);
-	g_hash_table_iter_init(&iter, rc->polled);
+	g_hash_table_iter_init(&iter, ctrl->polled_loads);
 	while (g_hash_table_iter_next(&iter, NULL, &load)) {
 		if (loads_differ(NULL, load))
 			loads_add(loads, load);
@@ -101,23 +102,23 @@
  * were the largest part of a feed: 16 MB/s at a reader in a system of 300 hosts with 3,000 engines,
  * and changes of the configuration were queued behind them for 5 s.
  */
-void loads_publish_round(struct rc *rc, GArray *loads)
+void loads_publish_round(struct ctrl *ctrl, GArray *loads)
 {
-	bool again = tmr_now() - rc->loads_us >= tmr_ms(LOADS_AGAIN_MS);
+	bool again = tmr_now() - ctrl->loads_us >= tmr_ms(LOADS_AGAIN_MS);
 	GArray *changed = loads_new();
 
-	rank_round_ended(&rc->round);
+	rank_round_ended(&ctrl->round);
 	for (guint i = 0; i < loads->len; i++) {
 		const struct router_load *load = &g_array_index(loads, struct router_load, i);
 
-		if (loads_record(rc, load))
+		if (loads_record(ctrl, load))
 			loads_add(changed, load);
 	}
 	if (again)
-		loads_add_unusual(rc, changed);
+		loads_add_unusual(ctrl, changed);
 	g_array_unref(loads);
 	if (changed->len > 0)
-		loads_publish(rc, changed);
+		loads_publish(ctrl, changed);
 	else
 		g_array_unref(changed);
 }
--- a/router/member.c
+++ b/router/member.c
@@ -1,6 +1,6 @@
 #include "base/jl.h"
 #include "router/reg_delay.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -57,11 +57,11 @@
 static void member_on_list_timer(void *ctx, int64_t now_us);
 
 /* Sends a join or a leave to the store. Takes ownership of the path and the body. */
-static struct store_call *member_call_group(struct rc *rc, char *path, char *body, store_fn fn)
+static struct store_call *member_call_group(struct ctrl *ctrl, char *path, char *body, store_fn fn)
 {
 	struct store_request request = {
 		.path = path, .json = body, .total_ms = MEMBER_JOIN_CALL_MS};
-	struct store_call *call = store_call(rc, &request, fn, rc);
+	struct store_call *call = store_call(ctrl, &request, fn, ctrl);
 
 	g_free(body);
 	return call;
@@ -78,12 +78,12 @@
 }
 
 /* Adds this host to the store's list of hosts, or removes it from there. */
-static void member_write_entry(struct rc *rc, bool listed)
+static void member_write_entry(struct ctrl *ctrl, bool listed)
 {
-	const struct router_settings *s = &rc->router->settings;
-	const struct seam_store *store = &rc->router->seam->store;
-	const struct rc_host self = {(char *)member_control_addr(s), member_capacity(s), s->zone};
-	char *text = rc_host_text(&self);
+	const struct router_settings *s = &ctrl->router->settings;
+	const struct seam_store *store = &ctrl->router->seam->store;
+	const struct ctrl_host self = {(char *)member_control_addr(s), member_capacity(s), s->zone};
+	char *text = ctrl_host_format(&self);
 	GString *record = store->make_record(s->name, listed ? str_of(text) : str_make(NULL, 0));
 	struct store_request request = {
 		.path = store->append_path(SEAM_TOPIC_HOSTS),
@@ -91,34 +91,34 @@
 		.total_ms = MEMBER_CALL_MS,
 	};
 
-	rc->listed_self_us = tmr_now();
-	rc->listed_self_era = rc->era.now;
-	store_call(rc, &request, member_on_entry_written, rc);
+	ctrl->listed_self_us = tmr_now();
+	ctrl->listed_self_era = ctrl->era.now;
+	store_call(ctrl, &request, member_on_entry_written, ctrl);
 	g_string_free(record, TRUE);
 	g_free(text);
 }
 
-static void member_send_leave(struct rc *rc)
+static void member_send_leave(struct ctrl *ctrl)
 {
-	const struct seam_store *store = &rc->router->seam->store;
+	const struct seam_store *store = &ctrl->router->seam->store;
 
-	member_call_group(rc, store->leave_path(), store->make_leave(rc->router->settings.name),
+	member_call_group(ctrl, store->leave_path(), store->make_leave(ctrl->router->settings.name),
 			  member_on_left);
-	rc->left_us = tmr_now();
+	ctrl->left_us = tmr_now();
 }
 
 /* Leaves the group, so that the lead does not stay unused until the membership expires. */
-static void member_leave(struct rc *rc)
+static void member_leave(struct ctrl *ctrl)
 {
-	if (rc->lead.joined_us > 0)
-		member_send_leave(rc);
-	lead_on_group_left(&rc->lead);
+	if (ctrl->lead.joined_us > 0)
+		member_send_leave(ctrl);
+	lead_on_group_left(&ctrl->lead);
 }
 
 /* Returns whether a copy of the store may still name this host as a member of the group. */
-static bool member_has_left_recently(const struct rc *rc)
+static bool member_has_left_recently(const struct ctrl *ctrl)
 {
-	return rc->left_us > 0 && tmr_now() - rc->left_us < tmr_ms(MEMBER_COPY_MS);
+	return ctrl->left_us > 0 && tmr_now() - ctrl->left_us < tmr_ms(MEMBER_COPY_MS);
 }
 
 static void member_log_failure(const char *event, const struct store_answer *answer)
@@ -137,155 +137,155 @@
 }
 
 /* Returns an offset for the writes of this host, so that hosts don't write at the same time. */
-static int64_t member_write_offset_ms(const struct rc *rc)
+static int64_t member_write_offset_ms(const struct ctrl *ctrl)
 {
-	return g_str_hash(rc->router->settings.name) % MEMBER_LIST_SPREAD_MS;
+	return g_str_hash(ctrl->router->settings.name) % MEMBER_LIST_SPREAD_MS;
 }
 
 static void member_on_entry_written(void *ctx, const struct store_answer *answer)
 {
-	struct rc *rc = ctx;
+	struct ctrl *ctrl = ctx;
 
-	rc->list_failed = answer->status != HTTP_OK;
-	if (!rc->list_failed)
+	ctrl->self_entry_failed = answer->status != HTTP_OK;
+	if (!ctrl->self_entry_failed)
 		return;
-	if (!rc->stopping)
-		loop_after(rc->loop, &rc->list_timer,
-			   tmr_ms(MEMBER_LIST_RETRY_MS + member_write_offset_ms(rc)),
-			   member_on_list_timer, rc);
+	if (!ctrl->stopping)
+		loop_after(ctrl->loop, &ctrl->self_entry_timer,
+			   tmr_ms(MEMBER_LIST_RETRY_MS + member_write_offset_ms(ctrl)),
+			   member_on_list_timer, ctrl);
 	member_log_failure("host_not_listed", answer);
 }
 
-static bool member_has_entry(const struct rc *rc)
+static bool member_has_entry(const struct ctrl *ctrl)
 {
-	const struct router_settings *s = &rc->router->settings;
-	const struct rc_host *own = g_hash_table_lookup(rc->hosts, s->name);
+	const struct router_settings *s = &ctrl->router->settings;
+	const struct ctrl_host *own = g_hash_table_lookup(ctrl->hosts, s->name);
 
-	return own && strcmp(own->addr, member_control_addr(s)) == 0 && !rc->feed_lacks_self &&
-	       !rc->list_failed;
+	return own && strcmp(own->addr, member_control_addr(s)) == 0 && !ctrl->feed_lacks_self &&
+	       !ctrl->self_entry_failed;
 }
 
 static void member_on_list_timer(void *ctx, int64_t now_us)
 {
-	struct rc *rc = ctx;
+	struct ctrl *ctrl = ctx;
 
 	(void)now_us;
-	if (!rc->stopping && !member_has_entry(rc))
-		member_write_entry(rc, true);
+	if (!ctrl->stopping && !member_has_entry(ctrl))
+		member_write_entry(ctrl, true);
 }
 
 /* Returns the latest generation of the group that is known in this era; 0 if none is. */
-static int64_t member_known_generation(const struct rc *rc)
+static int64_t member_known_generation(const struct ctrl *ctrl)
 {
-	if (era_of_fence(rc->lead.newest) != rc->era.now)
+	if (era_of_fence(ctrl->lead.newest) != ctrl->era.now)
 		return 0;
-	return era_generation_of_fence(rc->lead.newest);
+	return era_generation_of_fence(ctrl->lead.newest);
 }
 
 /* Joins the group or renews the membership. The answer says whether this host is the leader. */
 static void member_join(void *ctx, int64_t now_us)
 {
-	struct rc *rc = ctx;
-	const struct seam_store *store = &rc->router->seam->store;
+	struct ctrl *ctrl = ctx;
+	const struct seam_store *store = &ctrl->router->seam->store;
 	char *body;
 
 	(void)now_us;
-	if (rc->stopping)
+	if (ctrl->stopping)
 		return;
-	body = store->make_join(rc->router->settings.name, MEMBER_TTL_MS,
-				member_known_generation(rc));
-	lead_on_join_sent(&rc->lead, tmr_boot_now());
-	rc->join = member_call_group(rc, store->join_path(), body, member_on_joined);
+	body = store->make_join(ctrl->router->settings.name, MEMBER_TTL_MS,
+				member_known_generation(ctrl));
+	lead_on_join_sent(&ctrl->lead, tmr_boot_now());
+	ctrl->join = member_call_group(ctrl, store->join_path(), body, member_on_joined);
 }
 
 static void member_on_joined(void *ctx, const struct store_answer *answer)
 {
-	struct rc *rc = ctx;
+	struct ctrl *ctrl = ctx;
 	int64_t generation = 0;
 	bool leader = false;
 	int64_t fence;
 
-	rc->join = NULL;
-	loop_after(rc->loop, &rc->join_timer, tmr_ms(MEMBER_JOIN_MS), member_join, rc);
+	ctrl->join = NULL;
+	loop_after(ctrl->loop, &ctrl->join_timer, tmr_ms(MEMBER_JOIN_MS), member_join, ctrl);
 	if (answer->status != HTTP_OK ||
-	    rc->router->seam->store.parse_join(answer->body, &generation, &leader) < 0)
+	    ctrl->router->seam->store.parse_join(answer->body, &generation, &leader) < 0)
 		return;
-	fence = era_make_fence(rc->era.now, generation);
-	if (lead_on_join_answered(&rc->lead, fence, leader)) {
+	fence = era_make_fence(ctrl->era.now, generation);
+	if (lead_on_join_answered(&ctrl->lead, fence, leader)) {
 		jl_begin(JL_KEEP, "group");
-		jl_int("era", rc->era.now);
+		jl_int("era", ctrl->era.now);
 		jl_int("generation", generation);
 		jl_int("leader", leader);
 		jl_end();
-		rc_view_due(rc);
+		ctrl_schedule_view(ctrl);
 	}
 }
 
-void member_on_remote_fence(struct rc *rc, int64_t fence)
+void member_on_remote_fence(struct ctrl *ctrl, int64_t fence)
 {
-	lead_on_fence_reported(&rc->lead, fence);
-	rc_view_due(rc);
-	if (rc->candidate && !rc->join)
-		loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
+	lead_on_fence_reported(&ctrl->lead, fence);
+	ctrl_schedule_view(ctrl);
+	if (ctrl->candidate && !ctrl->join)
+		loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 }
 
-void member_on_store_restored(struct rc *rc)
+void member_on_store_restored(struct ctrl *ctrl)
 {
-	lead_on_store_restored(&rc->lead, tmr_boot_now());
-	if (!rc->candidate && member_has_left_recently(rc))
-		member_send_leave(rc);
-	if (!rc->candidate)
+	lead_on_store_restored(&ctrl->lead, tmr_boot_now());
+	if (!ctrl->candidate && member_has_left_recently(ctrl))
+		member_send_leave(ctrl);
+	if (!ctrl->candidate)
 		return;
-	if (rc->join)
-		store_call_cancel(rc->join);
-	rc->join = NULL;
-	loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
+	if (ctrl->join)
+		store_call_cancel(ctrl->join);
+	ctrl->join = NULL;
+	loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 }
 
 /* Uses a clock that also runs while the machine is suspended, so that a lease ends in time. */
-bool member_may_give_orders(const struct rc *rc)
+bool member_may_give_orders(const struct ctrl *ctrl)
 {
-	return !rc->stopping && lead_may_send_orders(&rc->lead, tmr_boot_now());
+	return !ctrl->stopping && lead_may_send_orders(&ctrl->lead, tmr_boot_now());
 }
 
-void member_set_candidate(struct rc *rc, bool candidate)
+void member_set_candidate(struct ctrl *ctrl, bool candidate)
 {
-	if (candidate == rc->candidate)
+	if (candidate == ctrl->candidate)
 		return;
-	rc->candidate = candidate;
+	ctrl->candidate = candidate;
 	if (candidate) {
-		loop_after(rc->loop, &rc->join_timer, 0, member_join, rc);
+		loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 		return;
 	}
-	tmr_cancel(&rc->loop->tmr, &rc->join_timer);
-	if (rc->join)
-		store_call_cancel(rc->join);
-	rc->join = NULL;
-	member_leave(rc);
+	tmr_cancel(&ctrl->loop->tmr, &ctrl->join_timer);
+	if (ctrl->join)
+		store_call_cancel(ctrl->join);
+	ctrl->join = NULL;
+	member_leave(ctrl);
 }
 
 /*
  * Returns whether the system starts for the first time, so the store has no list of hosts yet, and
  * this host has not registered itself; see reg_delay_us().
  */
-static bool member_is_first_start(const struct rc *rc)
+static bool member_is_first_start(const struct ctrl *ctrl)
 {
-	return rc->router->settings.first_start && rc->listed_self_us == 0;
+	return ctrl->router->settings.first_start && ctrl->listed_self_us == 0;
 }
 
-static void member_schedule_first_write(struct rc *rc)
+static void member_schedule_first_write(struct ctrl *ctrl)
 {
-	int64_t delay_us = reg_delay_us(rc->router->settings.name, g_hash_table_size(rc->hosts),
-					tmr_now() - rc->start_us);
+	int64_t delay_us = reg_delay_us(ctrl->router->settings.name, g_hash_table_size(ctrl->hosts),
+					tmr_now() - ctrl->start_us);
 
-	loop_after(rc->loop, &rc->list_timer, delay_us, member_on_list_timer, rc);
+	loop_after(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
 }
 
-void member_start(struct rc *rc)
+void member_start(struct ctrl *ctrl)
 {
-	lead_init(&rc->lead, tmr_ms(MEMBER_LEASE_MS));
-	if (member_is_first_start(rc))
-		member_schedule_first_write(rc);
+	lead_init(&ctrl->lead, tmr_ms(MEMBER_LEASE_MS));
+	if (member_is_first_start(ctrl))
+		member_schedule_first_write(ctrl);
 }
 
 /*
@@ -293,28 +293,28 @@
  * starts again usually still has its entry. A copy of the store may lack the entry, and then hosts
  * that start later would not find this host.
  */
-void member_on_host_list(struct rc *rc)
+void member_on_host_list(struct ctrl *ctrl)
 {
 	int64_t delay_us = 0;
 
-	if (rc->stopping || member_has_entry(rc))
+	if (ctrl->stopping || member_has_entry(ctrl))
 		return;
-	if (member_is_first_start(rc))
-		member_schedule_first_write(rc);
-	if (tmr_is_set(&rc->list_timer))
+	if (member_is_first_start(ctrl))
+		member_schedule_first_write(ctrl);
+	if (tmr_is_set(&ctrl->self_entry_timer))
 		return;
-	if (rc->listed_self_us > 0)
-		delay_us = tmr_ms(member_write_offset_ms(rc));
+	if (ctrl->listed_self_us > 0)
+		delay_us = tmr_ms(member_write_offset_ms(ctrl));
 	else
-		delay_us = MAX(rc->start_us + tmr_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
-			       tmr_ms(member_write_offset_ms(rc)));
-	if (rc->listed_self_us > 0 && rc->listed_self_era == rc->era.now)
-		delay_us += MAX(rc->listed_self_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
-	loop_after(rc->loop, &rc->list_timer, delay_us, member_on_list_timer, rc);
+		delay_us = MAX(ctrl->start_us + tmr_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
+			       tmr_ms(member_write_offset_ms(ctrl)));
+	if (ctrl->listed_self_us > 0 && ctrl->listed_self_era == ctrl->era.now)
+		delay_us += MAX(ctrl->listed_self_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
+	loop_after(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
 }
 
-void member_stop(struct rc *rc)
+void member_stop(struct ctrl *ctrl)
 {
-	member_leave(rc);
-	member_write_entry(rc, false);
+	member_leave(ctrl);
+	member_write_entry(ctrl, false);
 }
--- a/router/notice.c
+++ b/router/notice.c
@@ -1,6 +1,6 @@
 #include "router/notice.h"
 #include "base/jl.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf_heard.h"
 
 #include <string.h>
@@ -22,40 +22,41 @@
 
 /* A notice that the traffic thread posts to the control thread. */
 struct notice_msg {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	char *endpoint;	  /* incarnation of the endpoint */
 	int64_t until_us; /* end of the back-off, by tmr_now() */
 	bool is_new;	  /* the back-off does not extend an earlier one */
 	bool leaving;	  /* the endpoint is leaving; until_us and is_new are unused */
 };
 
-void notice_read_headers(struct rc *rc, const char *endpoint, int status, const GPtrArray *headers)
+void notice_read_headers(struct ctrl *ctrl, const char *endpoint, int status,
+			 const GPtrArray *headers)
 {
 	struct seam_answer answer;
 
-	rc->router->seam->wire.read_answer(status, headers, NULL, &answer);
-	tf_heard_post(rc->router->tf, endpoint, &answer);
+	ctrl->router->seam->wire.read_answer(status, headers, NULL, &answer);
+	tf_heard_post(ctrl->router->tf, endpoint, &answer);
 	seam_answer_finish(&answer);
 }
 
-bool notice_allow_hint(struct rc *rc, int64_t now_us)
+bool notice_allow_hint(struct ctrl *ctrl, int64_t now_us)
 {
-	double age_s = (double)(now_us - rc->hints_us) / TMR_US_PER_S;
+	double age_s = (double)(now_us - ctrl->hints_us) / TMR_US_PER_S;
 
-	rc->hints = MIN(rc->hints + age_s * notice_hints_per_s, NOTICE_HINT_BURST);
-	rc->hints_us = now_us;
-	if (rc->hints < 1)
+	ctrl->hints = MIN(ctrl->hints + age_s * notice_hints_per_s, NOTICE_HINT_BURST);
+	ctrl->hints_us = now_us;
+	if (ctrl->hints < 1)
 		return false;
-	rc->hints--;
+	ctrl->hints--;
 	return true;
 }
 
-static void notice_send_hint(struct rc *rc, const char *endpoint, int64_t for_us)
+static void notice_send_hint(struct ctrl *ctrl, const char *endpoint, int64_t for_us)
 {
 	const struct suspect suspect = {
 		endpoint, MIN(for_us / TMR_US_PER_MS, (int64_t)NOTICE_HINT_MS), SUSPECT_RESTS, 0};
 
-	suspect_on_news(rc, &suspect, NULL);
+	suspect_on_report(ctrl, &suspect, NULL);
 }
 
 static gboolean notice_is_expired(gpointer endpoint, gpointer until_us, gpointer now_us)
@@ -64,16 +65,16 @@
 	return *(const int64_t *)until_us <= *(const int64_t *)now_us;
 }
 
-static void notice_apply_backoff(struct rc *rc, const struct notice_msg *msg)
+static void notice_apply_backoff(struct ctrl *ctrl, const struct notice_msg *msg)
 {
 	int64_t now_us = tmr_now();
 
-	if (g_hash_table_size(rc->rests) >= NOTICE_PRUNE_COUNT)
-		g_hash_table_foreach_remove(rc->rests, notice_is_expired, &now_us);
-	g_hash_table_replace(rc->rests, g_strdup(msg->endpoint),
+	if (g_hash_table_size(ctrl->rests) >= NOTICE_PRUNE_COUNT)
+		g_hash_table_foreach_remove(ctrl->rests, notice_is_expired, &now_us);
+	g_hash_table_replace(ctrl->rests, g_strdup(msg->endpoint),
 			     g_memdup2(&msg->until_us, sizeof(msg->until_us)));
 	if (msg->is_new)
-		notice_send_hint(rc, msg->endpoint, msg->until_us - now_us);
+		notice_send_hint(ctrl, msg->endpoint, msg->until_us - now_us);
 }
 
 static void notice_on_post(void *ctx)
@@ -81,9 +82,9 @@
 	struct notice_msg *msg = ctx;
 
 	if (msg->leaving)
-		notice_apply_leaving(msg->rc, msg->endpoint, 0, NULL);
+		notice_apply_leaving(msg->ctrl, msg->endpoint, 0, NULL);
 	else
-		notice_apply_backoff(msg->rc, msg);
+		notice_apply_backoff(msg->ctrl, msg);
 	g_free(msg->endpoint);
 	g_free(msg);
 }
@@ -93,26 +94,27 @@
 	struct notice_msg *msg = g_memdup2(notice, sizeof(*notice));
 
 	msg->endpoint = g_strdup(notice->endpoint);
-	loop_post(msg->rc->loop, notice_on_post, msg);
+	loop_post(msg->ctrl->loop, notice_on_post, msg);
 }
 
-void notice_post_backoff(struct rc *rc, const char *endpoint, int64_t until_us, bool is_new)
+void notice_post_backoff(struct ctrl *ctrl, const char *endpoint, int64_t until_us, bool is_new)
 {
-	const struct notice_msg notice = {rc, (char *)endpoint, until_us, is_new, false};
+	const struct notice_msg notice = {ctrl, (char *)endpoint, until_us, is_new, false};
 
 	notice_post(&notice);
 }
 
-void notice_post_leaving(struct rc *rc, const char *endpoint)
+void notice_post_leaving(struct ctrl *ctrl, const char *endpoint)
 {
-	const struct notice_msg notice = {.rc = rc, .endpoint = (char *)endpoint, .leaving = true};
+	const struct notice_msg notice = {
+		.ctrl = ctrl, .endpoint = (char *)endpoint, .leaving = true};
 
 	notice_post(&notice);
 }
 
-bool notice_in_backoff(const struct rc *rc, const char *endpoint, int64_t now_us)
+bool notice_in_backoff(const struct ctrl *ctrl, const char *endpoint, int64_t now_us)
 {
-	const int64_t *until_us = g_hash_table_lookup(rc->rests, endpoint);
+	const int64_t *until_us = g_hash_table_lookup(ctrl->rests, endpoint);
 
 	return until_us && now_us < *until_us;
 }
@@ -132,27 +134,27 @@
 	jl_end();
 }
 
-void notice_apply_leaving(struct rc *rc, const char *endpoint, int hops, const void *source)
+void notice_apply_leaving(struct ctrl *ctrl, const char *endpoint, int hops, const void *source)
 {
 	const struct suspect forwarded = {endpoint, 0, SUSPECT_LEAVING, hops + 1};
 
-	if (!ep_on_leaving(&rc->endpoints, endpoint, tmr_now()))
+	if (!ep_on_leaving(&ctrl->endpoints, endpoint, tmr_now()))
 		return;
 	if (source)
 		notice_log_leaving(endpoint, hops);
-	rc_view_due(rc);
+	ctrl_schedule_view(ctrl);
 	if (forwarded.hops > SUSPECT_HOPS_MAX)
 		return;
-	feed_each(rc->feed, source, notice_send_to, (void *)&forwarded);
-	follow_each(rc->follow, source, notice_send_to, (void *)&forwarded);
+	feed_for_each_follower(ctrl->feed, source, notice_send_to, (void *)&forwarded);
+	follow_call_feeder(ctrl->follow, source, notice_send_to, (void *)&forwarded);
 }
 
-void notice_send_leaving(const struct rc *rc, struct frm_conn *conn)
+void notice_send_leaving(const struct ctrl *ctrl, struct frm_conn *conn)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, rc->endpoints.entries);
+	g_hash_table_iter_init(&iter, ctrl->endpoints.entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct ep_rec *rec = ((const struct ep_entry *)value)->rec;
 		const struct suspect suspect = {rec->incarnation, 0, SUSPECT_LEAVING, 1};
--- a/router/placer.c
+++ b/router/placer.c
@@ -2,7 +2,7 @@
 #include "base/jl.h"
 #include "base/met.h"
 #include "place/place.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -58,7 +58,7 @@
 };
 
 struct placer {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	GHashTable *orders;	/* incarnation of an endpoint -> struct placer_order */
 	int64_t first_seen_us;	/* time at which the first endpoint was seen, in microseconds */
 	int64_t last_growth_us; /* time at which a new endpoint was last seen, in microseconds */
@@ -92,11 +92,11 @@
 	g_free(order);
 }
 
-struct placer *placer_new(struct rc *rc)
+struct placer *placer_new(struct ctrl *ctrl)
 {
 	struct placer *placer = g_new0(struct placer, 1);
 
-	placer->rc = rc;
+	placer->ctrl = ctrl;
 	placer->orders = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, placer_order_free);
 	return placer;
 }
@@ -114,7 +114,7 @@
 
 static bool placer_is_settled(struct placer *placer, int64_t now_us)
 {
-	guint known = g_hash_table_size(placer->rc->endpoints.entries);
+	guint known = g_hash_table_size(placer->ctrl->endpoints.entries);
 
 	if (known > 0 && placer->first_seen_us == 0)
 		placer->first_seen_us = now_us;
@@ -129,17 +129,17 @@
 
 void placer_on_tick(struct placer *placer, int64_t now_us)
 {
-	struct rc *rc = placer->rc;
+	struct ctrl *ctrl = placer->ctrl;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!placer_is_settled(placer, now_us) || !rc->conf || !member_may_give_orders(rc))
+	if (!placer_is_settled(placer, now_us) || !ctrl->conf || !member_may_give_orders(ctrl))
 		return;
 	if (!placer->plan_due && now_us < placer->next_plan_us)
 		return;
 	placer->plan_due = false;
 	placer->next_plan_us = now_us + tmr_ms(PLACER_REPLAN_MS);
-	g_hash_table_iter_init(&iter, rc->conf->services);
+	g_hash_table_iter_init(&iter, ctrl->conf->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (rt_is_layered(value))
 			placer_run_plan(placer, value, now_us);
@@ -148,7 +148,7 @@
 
 static int64_t placer_repeat_us(const struct placer *placer)
 {
-	int64_t heartbeat_ms = placer->rc->router->settings.heartbeat_ms;
+	int64_t heartbeat_ms = placer->ctrl->router->settings.heartbeat_ms;
 
 	return tmr_ms(MAX((int64_t)PLACER_REPEAT_MS, PLACER_HEARTBEATS * heartbeat_ms));
 }
@@ -201,9 +201,9 @@
 	node->from = order ? order->from : rec->layer_from;
 	node->to = order ? order->to : rec->layer_to;
 	node->usable = kind && !order && rec->state == EP_READY &&
-		       !notice_in_backoff(placer->rc, rec->incarnation, now_us);
-	node->limited = limits_is_persistent(placer->rc->limits, rec->incarnation);
-	if (suspect_is_dead(placer->rc, rec->incarnation, now_us)) {
+		       !notice_in_backoff(placer->ctrl, rec->incarnation, now_us);
+	node->limited = limits_is_persistent(placer->ctrl->limits, rec->incarnation);
+	if (suspect_is_dead(placer->ctrl, rec->incarnation, now_us)) {
 		node->to = node->from;
 		node->usable = false;
 	}
@@ -223,7 +223,7 @@
 
 static void placer_run_plan(struct placer *placer, const struct rt_service *service, int64_t now_us)
 {
-	GPtrArray *recs = ep_snapshot(&placer->rc->endpoints);
+	GPtrArray *recs = ep_snapshot(&placer->ctrl->endpoints);
 	GArray *nodes = g_array_new(FALSE, TRUE, sizeof(struct pl_node));
 	GPtrArray *node_recs = g_ptr_array_new();
 	GArray *moves = g_array_new(FALSE, TRUE, sizeof(struct pl_move));
@@ -273,10 +273,10 @@
 static void placer_begin_order(struct placer *placer, const struct ep_rec *rec,
 			       const struct pl_move *move, int64_t now_us)
 {
-	struct rc *rc = placer->rc;
+	struct ctrl *ctrl = placer->ctrl;
 	struct placer_order *order = g_new0(struct placer_order, 1);
 	char *url =
-		g_strdup_printf("http://%s%s", rec->addr, rc->router->seam->engine.report_path());
+		g_strdup_printf("http://%s%s", rec->addr, ctrl->router->seam->engine.report_path());
 	struct hc_request request = {
 		.method = "GET",
 		.url = url,
@@ -293,7 +293,7 @@
 	order->from = move->from;
 	order->to = move->to;
 	order->begun_us = now_us;
-	order->fence = rc->lead.fence;
+	order->fence = ctrl->lead.fence;
 	g_hash_table_replace(placer->orders, order->incarnation, order);
 	jl_begin(JL_KEEP, "place");
 	jl_str("endpoint", rec->id);
@@ -304,9 +304,9 @@
 	jl_int("to", move->to);
 	jl_int("held_from", rec->layer_from);
 	jl_int("held_to", rec->layer_to);
-	jl_int("fence", rc->lead.fence);
+	jl_int("fence", ctrl->lead.fence);
 	jl_end();
-	order->call = hc_start(rc->hc, &request, &placer_report_ops, order);
+	order->call = hc_start(ctrl->hc, &request, &placer_report_ops, order);
 	g_free(url);
 }
 
@@ -314,7 +314,7 @@
 {
 	const struct placer_order *order = ctx;
 
-	notice_read_headers(order->placer->rc, order->incarnation, status, headers);
+	notice_read_headers(order->placer->ctrl, order->incarnation, status, headers);
 	return true;
 }
 
@@ -323,7 +323,7 @@
 {
 	struct placer_order *order = ctx;
 	struct placer *placer = order->placer;
-	const struct seam_engine *engine = &placer->rc->router->seam->engine;
+	const struct seam_engine *engine = &placer->ctrl->router->seam->engine;
 	struct seam_report report;
 	int64_t expect;
 	bool reborn;
@@ -338,15 +338,15 @@
 	expect = report.sequence;
 	reborn = report.born_ms != 0 && report.born_ms != order->born_ms;
 	seam_report_finish(&report);
-	if (!busy && !reborn && member_may_give_orders(placer->rc) &&
-	    !notice_in_backoff(placer->rc, order->incarnation, tmr_now()))
+	if (!busy && !reborn && member_may_give_orders(placer->ctrl) &&
+	    !notice_in_backoff(placer->ctrl, order->incarnation, tmr_now()))
 		placer_send_order(order, expect);
 }
 
 static void placer_send_order(struct placer_order *order, int64_t expect)
 {
-	struct rc *rc = order->placer->rc;
-	const struct seam_engine *engine = &rc->router->seam->engine;
+	struct ctrl *ctrl = order->placer->ctrl;
+	const struct seam_engine *engine = &ctrl->router->seam->engine;
 	char *url = g_strdup_printf("http://%s%s", order->addr, engine->order_path());
 	char *body = engine->make_place(order->from, order->to, order->fence, expect);
 	const char *headers[] = {"Content-Type: application/json", NULL};
@@ -363,7 +363,7 @@
 	};
 
 	met_add(met_counter("bg_orders_total", "order=\"place\""), 1);
-	order->call = hc_start(rc->hc, &request, &placer_ops, order);
+	order->call = hc_start(ctrl->hc, &request, &placer_ops, order);
 	g_free(url);
 	g_free(body);
 }
@@ -390,7 +390,7 @@
 		jl_str("answer", body);
 	jl_end();
 	if (status == HTTP_FENCED)
-		lead_on_order_refused(&placer->rc->lead, order->fence);
+		lead_on_order_refused(&placer->ctrl->lead, order->fence);
 	if (!sent || status == HTTP_CONFLICT || status == HTTP_FENCED)
 		order->begun_us -= placer_repeat_us(placer) * 3 / 4;
 }
--- a/router/poll.c
+++ b/router/poll.c
@@ -1,7 +1,7 @@
 #include "base/jl.h"
 #include "base/met.h"
 #include "router/poll_pass.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -36,7 +36,7 @@
 };
 
 struct poll {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	GPtrArray *calls;      /* struct poll_call, the requests under way */
 	GArray *loads;	       /* struct router_load, from the present round; NULL between rounds */
 	guint asked;	       /* number of engines polled in the present round */
@@ -63,11 +63,11 @@
 	g_free(call);
 }
 
-struct poll *poll_new(struct rc *rc)
+struct poll *poll_new(struct ctrl *ctrl)
 {
 	struct poll *poll = g_new0(struct poll, 1);
 
-	poll->rc = rc;
+	poll->ctrl = ctrl;
 	poll->calls = g_ptr_array_new_with_free_func(poll_call_free);
 	poll->misses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	poll->silent = g_ptr_array_new_with_free_func(g_free);
@@ -87,10 +87,10 @@
 
 static void poll_ask(struct poll *poll, const struct ep_rec *rec)
 {
-	struct rc *rc = poll->rc;
+	struct ctrl *ctrl = poll->ctrl;
 	struct poll_call *call = g_new0(struct poll_call, 1);
 	char *url =
-		g_strdup_printf("http://%s%s", rec->addr, rc->router->seam->engine.report_path());
+		g_strdup_printf("http://%s%s", rec->addr, ctrl->router->seam->engine.report_path());
 	struct hc_request request = {
 		.method = "GET",
 		.url = url,
@@ -103,13 +103,13 @@
 	call->endpoint = g_strdup(rec->incarnation);
 	call->born_ms = rec->born_ms;
 	g_ptr_array_add(poll->calls, call);
-	call->call = hc_start(rc->hc, &request, &poll_ops, call);
+	call->call = hc_start(ctrl->hc, &request, &poll_ops, call);
 	g_free(url);
 }
 
-static bool poll_is_engine(const struct rc *rc, const struct ep_rec *rec)
+static bool poll_is_engine(const struct ctrl *ctrl, const struct ep_rec *rec)
 {
-	const struct rt_service *service = g_hash_table_lookup(rc->conf->services, rec->service);
+	const struct rt_service *service = g_hash_table_lookup(ctrl->conf->services, rec->service);
 
 	return service && rt_is_layered(service) && rec->layer_to > rec->layer_from;
 }
@@ -123,16 +123,16 @@
 /* Begins a pass over all engines that are listed now. */
 static void poll_begin_pass(struct poll *poll)
 {
-	GHashTable *listed = ep_incarnation_set(&poll->rc->endpoints);
+	GHashTable *listed = ep_incarnation_set(&poll->ctrl->endpoints);
 	GPtrArray *engines = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, poll->rc->endpoints.entries);
+	g_hash_table_iter_init(&iter, poll->ctrl->endpoints.entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct ep_entry *entry = value;
 
-		if (poll_is_engine(poll->rc, entry->rec))
+		if (poll_is_engine(poll->ctrl, entry->rec))
 			g_ptr_array_add(engines, entry->rec->incarnation);
 	}
 	g_hash_table_foreach_remove(poll->misses, poll_is_unlisted, listed);
@@ -145,7 +145,7 @@
 static const struct ep_rec *poll_find_listed(const struct poll *poll, const char *incarnation)
 {
 	char *id = g_strndup(incarnation, (gsize)(strrchr(incarnation, '@') - incarnation));
-	const struct ep_entry *entry = g_hash_table_lookup(poll->rc->endpoints.entries, id);
+	const struct ep_entry *entry = g_hash_table_lookup(poll->ctrl->endpoints.entries, id);
 
 	g_free(id);
 	return entry && strcmp(entry->rec->incarnation, incarnation) == 0 ? entry->rec : NULL;
@@ -164,7 +164,7 @@
 		const struct ep_rec *rec = poll_find_listed(poll, round->pdata[i]);
 
 		/* An engine that has requested a rest is left out until its rest is over. */
-		if (rec && !notice_in_backoff(poll->rc, rec->incarnation, tmr_now()))
+		if (rec && !notice_in_backoff(poll->ctrl, rec->incarnation, tmr_now()))
 			poll_ask(poll, rec);
 	}
 	g_ptr_array_unref(round);
@@ -185,7 +185,7 @@
 		const struct suspect suspect = {id, for_ms, SUSPECT_NO_REPORT, 0};
 
 		if (GPOINTER_TO_INT(g_hash_table_lookup(poll->misses, id)) >= POLL_MISSES_DEAD)
-			suspect_on_news(poll->rc, &suspect, poll);
+			suspect_on_report(poll->ctrl, &suspect, poll);
 		else
 			pass_retry(&poll->pass, id);
 	}
@@ -211,7 +211,7 @@
 	poll_log_round(poll, loads->len);
 	poll->last_silent = g_hash_table_size(poll->misses);
 	if (loads->len > 0)
-		loads_publish_round(poll->rc, loads);
+		loads_publish_round(poll->ctrl, loads);
 	else
 		g_array_unref(loads);
 }
@@ -222,9 +222,9 @@
  */
 void poll_on_tick(struct poll *poll, int64_t now_us)
 {
-	struct rc *rc = poll->rc;
+	struct ctrl *ctrl = poll->ctrl;
 
-	if (!rc_polls(rc) || rc->stopping || !rc->conf) {
+	if (!ctrl_polls_engines(ctrl) || ctrl->stopping || !ctrl->conf) {
 		g_ptr_array_set_size(poll->calls, 0);
 		g_clear_pointer(&poll->loads, g_array_unref);
 		return;
@@ -243,7 +243,7 @@
 {
 	double part = report->kv_total > 0 ? report->kv_used / report->kv_total : 0;
 
-	return (int)(CLAMP(part, 0, 1) * ROUTER_FULL + 0.5);
+	return (int)(CLAMP(part, 0, 1) * ROUTER_MEMORY_STEPS + 0.5);
 }
 
 static void poll_record_miss(struct poll *poll, const char *endpoint)
@@ -274,14 +274,14 @@
 {
 	const struct suspect suspect = {call->endpoint, POLL_DEAD_MS, SUSPECT_RESTARTED, 0};
 
-	suspect_on_news(poll->rc, &suspect, poll);
+	suspect_on_report(poll->ctrl, &suspect, poll);
 }
 
 static bool poll_on_head(void *ctx, int status, const GPtrArray *headers)
 {
 	const struct poll_call *call = ctx;
 
-	notice_read_headers(call->poll->rc, call->endpoint, status, headers);
+	notice_read_headers(call->poll->ctrl, call->endpoint, status, headers);
 	return true;
 }
 
@@ -295,7 +295,7 @@
 	(void)sent;
 	call->call = NULL;
 	if (status == HTTP_OK &&
-	    poll->rc->router->seam->engine.parse_report(str_make(body, len), &report) == 0) {
+	    poll->ctrl->router->seam->engine.parse_report(str_make(body, len), &report) == 0) {
 		if (report.born_ms != 0 && report.born_ms > call->born_ms)
 			poll_post_restarted(poll, call);
 		else
--- a/router/poll_pass_test.cc
+++ b/router/poll_pass_test.cc
@@ -32,12 +32,12 @@
 	std::set<std::string> NextRound()
 	{
 		GPtrArray *round = pass_next_round(&pass_);
-		std::set<std::string> polled;
+		std::set<std::string> polled_loads;
 
 		for (guint i = 0; i < round->len; i++)
-			polled.insert((const char *)round->pdata[i]);
+			polled_loads.insert((const char *)round->pdata[i]);
 		g_ptr_array_unref(round);
-		return polled;
+		return polled_loads;
 	}
 	pass pass_;
 };
--- a/router/quar_store.c
+++ b/router/quar_store.c
@@ -1,6 +1,6 @@
 #include "base/jl.h"
 #include "router/quarantine.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -18,7 +18,7 @@
 };
 
 struct quar_store {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct quarantine *quarantine;
 	GHashTable *due;    /* digest as text -> struct quar_entry to write, or NULL to remove it */
 	GPtrArray *writing; /* digests in the current write, as text */
@@ -39,16 +39,16 @@
 		quar_entry_free(data);
 }
 
-struct quar_store *quar_store_new(struct rc *rc, struct quarantine *quarantine)
+struct quar_store *quar_store_new(struct ctrl *ctrl, struct quarantine *quarantine)
 {
 	struct quar_store *store = g_new0(struct quar_store, 1);
 
-	store->rc = rc;
+	store->ctrl = ctrl;
 	store->quarantine = quarantine;
 	store->due = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, quar_store_entry_free);
 	store->writing = g_ptr_array_new_with_free_func(g_free);
 	/* On the first start of the whole system the store contains no records. */
-	store->is_read = rc->router->settings.first_start;
+	store->is_read = ctrl->router->settings.first_start;
 	return store;
 }
 
@@ -96,7 +96,7 @@
 static void quar_store_add_record(const struct quar_store *store, const char *key,
 				  const struct quar_entry *entry, GString *body)
 {
-	const struct seam_store *seam = &store->rc->router->seam->store;
+	const struct seam_store *seam = &store->ctrl->router->seam->store;
 	GByteArray *value = NULL;
 	GString *record;
 
@@ -130,15 +130,15 @@
 
 static void quar_store_write(struct quar_store *store)
 {
-	struct rc *rc = store->rc;
+	struct ctrl *ctrl = store->ctrl;
 	GString *body = quar_store_take_batch(store);
 	struct store_request request = {
-		.path = rc->router->seam->store.append_path(SEAM_TOPIC_QUARANTINE),
+		.path = ctrl->router->seam->store.append_path(SEAM_TOPIC_QUARANTINE),
 		.body = body,
 		.total_ms = QUAR_STORE_TIMEOUT_MS,
 	};
 
-	store->write = store_call(rc, &request, quar_store_on_written, store);
+	store->write = store_call(ctrl, &request, quar_store_on_written, store);
 	g_string_free(body, TRUE);
 }
 
@@ -180,13 +180,13 @@
 
 static void quar_store_read(struct quar_store *store)
 {
-	struct rc *rc = store->rc;
+	struct ctrl *ctrl = store->ctrl;
 	struct store_request request = {
-		.path = rc->router->seam->store.newest_path(SEAM_TOPIC_QUARANTINE, store->after),
+		.path = ctrl->router->seam->store.newest_path(SEAM_TOPIC_QUARANTINE, store->after),
 		.total_ms = QUAR_STORE_TIMEOUT_MS,
 	};
 
-	store->read = store_call(rc, &request, quar_store_on_read, store);
+	store->read = store_call(ctrl, &request, quar_store_on_read, store);
 }
 
 static void quar_store_on_record(void *ctx, int64_t offset, struct str key, struct str value)
@@ -211,8 +211,8 @@
 	struct seam_read read;
 
 	memset(&read, 0, sizeof(read));
-	if (store->rc->router->seam->store.parse_newest(body, quar_store_on_record, entries,
-							&read) < 0) {
+	if (store->ctrl->router->seam->store.parse_newest(body, quar_store_on_record, entries,
+							  &read) < 0) {
 		g_ptr_array_unref(entries);
 		return false;
 	}
@@ -243,11 +243,11 @@
  */
 static bool quar_store_must_read(const struct quar_store *store, int64_t now_us)
 {
-	const struct rc *rc = store->rc;
+	const struct ctrl *ctrl = store->ctrl;
 
-	if (store->is_read || store->read || now_us < store->read_us || !sf_is_reached(rc))
+	if (store->is_read || store->read || now_us < store->read_us || !reader_is_current(ctrl))
 		return false;
-	return rc->rank.reader || rc->settled;
+	return ctrl->rank.reader || ctrl->settled;
 }
 
 void quar_store_on_tick(struct quar_store *store, int64_t now_us)
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -2,7 +2,7 @@
 #include "base/err.h"
 #include "base/jl.h"
 #include "base/met.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf.h"
 
 #include <string.h>
@@ -12,7 +12,7 @@
 };
 
 struct quarantine {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct quar table;
 	struct quar_store *store; /* writes entries to the store and reads them from it */
 	int64_t expire_us;	  /* time of the next removal of expired entries */
@@ -23,7 +23,7 @@
 
 /* Changed entries that the traffic thread posts to the control thread. */
 struct quarantine_post {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	GPtrArray *entries;
 };
 
@@ -37,13 +37,13 @@
 	return g_ptr_array_new_with_free_func(quarantine_list_free);
 }
 
-struct quarantine *quarantine_new(struct rc *rc)
+struct quarantine *quarantine_new(struct ctrl *ctrl)
 {
 	struct quarantine *quarantine = g_new0(struct quarantine, 1);
 
-	quarantine->rc = rc;
+	quarantine->ctrl = ctrl;
 	quar_init(&quarantine->table, QUAR_REFUSAL_POINTS);
-	quarantine->store = quar_store_new(rc, quarantine);
+	quarantine->store = quar_store_new(ctrl, quarantine);
 	return quarantine;
 }
 
@@ -99,12 +99,12 @@
 static void quarantine_forward(struct quarantine *quarantine, const GPtrArray *changed,
 			       const void *source)
 {
-	struct rc *rc = quarantine->rc;
+	struct ctrl *ctrl = quarantine->ctrl;
 
 	if (changed->len == 0)
 		return;
-	feed_each(rc->feed, source, quarantine_send_to, (void *)changed);
-	follow_each(rc->follow, source, quarantine_send_to, (void *)changed);
+	feed_for_each_follower(ctrl->feed, source, quarantine_send_to, (void *)changed);
+	follow_call_feeder(ctrl->follow, source, quarantine_send_to, (void *)changed);
 }
 
 void quarantine_merge_remote(struct quarantine *quarantine, const GPtrArray *entries,
@@ -113,7 +113,7 @@
 	GPtrArray *changed = quarantine_merge(quarantine, entries);
 
 	if (changed->len > 0)
-		tf_quar_post(quarantine->rc->router->tf, changed);
+		tf_quar_post(quarantine->ctrl->router->tf, changed);
 	quarantine_forward(quarantine, changed, source);
 	g_ptr_array_unref(changed);
 }
@@ -133,18 +133,18 @@
 {
 	struct quarantine_post *post = ctx;
 
-	quarantine_merge_local(post->rc->quarantine, post->entries);
+	quarantine_merge_local(post->ctrl->quarantine, post->entries);
 	g_ptr_array_unref(post->entries);
 	g_free(post);
 }
 
-void quarantine_post(struct rc *rc, GPtrArray *entries)
+void quarantine_post(struct ctrl *ctrl, GPtrArray *entries)
 {
 	struct quarantine_post *post = g_new0(struct quarantine_post, 1);
 
-	post->rc = rc;
+	post->ctrl = ctrl;
 	post->entries = entries;
-	loop_post(rc->loop, quarantine_on_post, post);
+	loop_post(ctrl->loop, quarantine_on_post, post);
 }
 
 int quarantine_on_msg(struct quarantine *quarantine, struct frm_conn *conn, const uint8_t *body,
@@ -211,7 +211,7 @@
 	}
 	n = (int)cleared->len;
 	if (n > 0)
-		tf_quar_post(quarantine->rc->router->tf, cleared);
+		tf_quar_post(quarantine->ctrl->router->tf, cleared);
 	quarantine_forward(quarantine, cleared, NULL);
 	g_ptr_array_unref(cleared);
 	g_ptr_array_unref(search.found);
@@ -236,7 +236,7 @@
  */
 static void quarantine_rewrite(struct quarantine *quarantine)
 {
-	if (!quarantine->rewrite || !quarantine->rc->rank.first)
+	if (!quarantine->rewrite || !quarantine->ctrl->rank.first)
 		return;
 	quarantine->rewrite = false;
 	quar_foreach(&quarantine->table, quarantine_rewrite_entry, quarantine);
@@ -246,7 +246,7 @@
 {
 	struct quarantine *quarantine = ctx;
 
-	if (quarantine->rc->rank.first && quar_is_persistent(entry))
+	if (quarantine->ctrl->rank.first && quar_is_persistent(entry))
 		quar_store_remove(quarantine->store, entry);
 }
 
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -21,7 +21,7 @@
  * receives what it lacks. Entries are also kept in the store, for a restart of all hosts. Entries
  * that change while the store is unreachable are written when it is reachable again.
  */
-struct rc;
+struct ctrl;
 struct tf;
 struct quarantine;
 
@@ -29,7 +29,7 @@
 GPtrArray *quarantine_list_new(void);
 
 /* quarantine.c: the table of the control thread. */
-struct quarantine *quarantine_new(struct rc *rc);
+struct quarantine *quarantine_new(struct ctrl *ctrl);
 void quarantine_free(struct quarantine *quarantine);
 void quarantine_on_tick(struct quarantine *quarantine, int64_t now_us);
 
@@ -40,7 +40,7 @@
  * Passes entries that have changed from the traffic thread to the control thread, which takes over
  * the list. May be called from any thread.
  */
-void quarantine_post(struct rc *rc, GPtrArray *entries);
+void quarantine_post(struct ctrl *ctrl, GPtrArray *entries);
 
 /*
  * Merges entries from another host or from the store and forwards those that change the table.
@@ -90,7 +90,7 @@
 /* quar_store.c: keeping entries in the store. */
 struct quar_store;
 
-struct quar_store *quar_store_new(struct rc *rc, struct quarantine *quarantine);
+struct quar_store *quar_store_new(struct ctrl *ctrl, struct quarantine *quarantine);
 void quar_store_free(struct quar_store *store);
 
 /* Schedules a changed entry to be written, if it is one that is kept in the store. */
--- a/router/recall.c
+++ b/router/recall.c
@@ -2,7 +2,7 @@
 #include "base/jl.h"
 #include "msg/feed.pb-c.h"
 #include "router/feed_pack.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -21,8 +21,8 @@
 static const char recall_key[] = "endpoints";
 
 struct recall {
-	struct rc *rc;
-	struct fp fp;		  /* packs the list in the format of a feed */
+	struct ctrl *ctrl;
+	struct fpack fpack;	  /* packs the list in the format of a feed */
 	guint saved_version;	  /* version of the list that was last saved; 0: none */
 	int64_t next_write_us;	  /* earliest time of the next write, in microseconds */
 	bool first_list_done;	  /* the first list was read; no read is started after that */
@@ -33,12 +33,12 @@
 static void recall_on_written(void *ctx, const struct store_answer *answer);
 static void recall_on_read(void *ctx, const struct store_answer *answer);
 
-struct recall *recall_new(struct rc *rc)
+struct recall *recall_new(struct ctrl *ctrl)
 {
 	struct recall *recall = g_new0(struct recall, 1);
 
-	recall->rc = rc;
-	fp_init(&recall->fp);
+	recall->ctrl = ctrl;
+	fpack_init(&recall->fpack);
 	return recall;
 }
 
@@ -48,23 +48,23 @@
 		store_call_cancel(recall->write);
 	if (recall->read)
 		store_call_cancel(recall->read);
-	fp_finish(&recall->fp);
+	fpack_finish(&recall->fpack);
 	g_free(recall);
 }
 
 bool recall_is_saved(const struct recall *recall)
 {
-	return !recall->write && recall->saved_version == recall->rc->endpoints.version;
+	return !recall->write && recall->saved_version == recall->ctrl->endpoints.version;
 }
 
 static bool recall_is_due(const struct recall *recall, int64_t now_us)
 {
-	const struct rc *rc = recall->rc;
+	const struct ctrl *ctrl = recall->ctrl;
 
-	if (!rc->rank.first || rc->stopping || !sf_is_reached(rc) || !rc->listed)
+	if (!ctrl->rank.first || ctrl->stopping || !reader_is_current(ctrl) || !ctrl->listed)
 		return false;
 	if (recall->write || now_us < recall->next_write_us ||
-	    now_us < ep_complete_us(&rc->endpoints))
+	    now_us < ep_complete_us(&ctrl->endpoints))
 		return false;
 	return !recall_is_saved(recall);
 }
@@ -77,16 +77,16 @@
 	uint8_t *data;
 	size_t len;
 
-	fp_on_listing(&recall->fp, &recall->rc->endpoints);
-	fp_pack(&recall->fp, &recall->rc->endpoints, true, 0);
-	note.endpoints.data = recall->fp.packed->data;
-	note.endpoints.len = recall->fp.packed->len;
-	note.endpoints_len = (int64_t)recall->fp.whole_len;
+	fpack_on_list_replaced(&recall->fpack, &recall->ctrl->endpoints);
+	fpack_serialize(&recall->fpack, &recall->ctrl->endpoints, true, 0);
+	note.endpoints.data = recall->fpack.packed->data;
+	note.endpoints.len = recall->fpack.packed->len;
+	note.endpoints_len = (int64_t)recall->fpack.whole_len;
 	len = feed__note__get_packed_size(&note);
 	data = g_malloc(len + 1);
 	feed__note__pack(&note, data);
-	record = recall->rc->router->seam->store.make_record(recall_key,
-							     str_make((const char *)data, len));
+	record = recall->ctrl->router->seam->store.make_record(recall_key,
+							       str_make((const char *)data, len));
 	g_free(data);
 	return record;
 }
@@ -102,24 +102,24 @@
 
 static void recall_send(struct recall *recall, const GString *record)
 {
-	struct rc *rc = recall->rc;
+	struct ctrl *ctrl = recall->ctrl;
 	struct store_request request = {
-		.path = rc->router->seam->store.append_path(SEAM_TOPIC_KNOWN_ENDPOINTS),
+		.path = ctrl->router->seam->store.append_path(SEAM_TOPIC_KNOWN_ENDPOINTS),
 		.body = record,
 		.total_ms = RECALL_CALL_MS,
 	};
 
-	recall->write = store_call(rc, &request, recall_on_written, recall);
+	recall->write = store_call(ctrl, &request, recall_on_written, recall);
 }
 
 static void recall_write(struct recall *recall)
 {
-	struct rc *rc = recall->rc;
+	struct ctrl *ctrl = recall->ctrl;
 	GString *record = recall_make_record(recall);
 
-	recall->saved_version = rc->endpoints.version;
+	recall->saved_version = ctrl->endpoints.version;
 	if (record->len > SEAM_RECORD_MAX)
-		recall_log("note_too_long", 0, 0, g_hash_table_size(rc->endpoints.entries));
+		recall_log("note_too_long", 0, 0, g_hash_table_size(ctrl->endpoints.entries));
 	else
 		recall_send(recall, record);
 	g_string_free(record, TRUE);
@@ -132,7 +132,7 @@
 
 	recall->write = NULL;
 	recall_log(good ? "endpoints_noted" : "note_failed", answer->status, answer->err,
-		   g_hash_table_size(recall->rc->endpoints.entries));
+		   g_hash_table_size(recall->ctrl->endpoints.entries));
 	if (!good)
 		recall->saved_version = 0;
 }
@@ -145,13 +145,13 @@
 /* Reads the saved list. Done once, after the first list, if the store was unreachable before. */
 static void recall_read(struct recall *recall)
 {
-	struct rc *rc = recall->rc;
+	struct ctrl *ctrl = recall->ctrl;
 	struct store_request request = {
-		.path = rc->router->seam->store.newest_path(SEAM_TOPIC_KNOWN_ENDPOINTS, NULL),
+		.path = ctrl->router->seam->store.newest_path(SEAM_TOPIC_KNOWN_ENDPOINTS, NULL),
 		.total_ms = RECALL_CALL_MS,
 	};
 
-	recall->read = store_call(rc, &request, recall_on_read, recall);
+	recall->read = store_call(ctrl, &request, recall_on_read, recall);
 }
 
 void recall_on_tick(struct recall *recall, int64_t now_us)
@@ -164,7 +164,7 @@
 
 bool recall_on_list_read(struct recall *recall)
 {
-	if (!recall->first_list_done && ep_may_lack_entries(&recall->rc->endpoints, tmr_now()))
+	if (!recall->first_list_done && ep_may_lack_entries(&recall->ctrl->endpoints, tmr_now()))
 		recall_read(recall);
 	recall->first_list_done = true;
 	return recall->read != NULL;
@@ -173,13 +173,13 @@
 /* Publishes the list of endpoints once the saved list has been merged or could not be read. */
 static void recall_complete_list(struct recall *recall)
 {
-	struct rc *rc = recall->rc;
+	struct ctrl *ctrl = recall->ctrl;
 
-	rc->listed = true;
-	feed_on_listing(rc->feed);
-	rc_view_due(rc);
-	rc_first_view(rc);
-	feed_flush(rc->feed);
+	ctrl->listed = true;
+	feed_on_list_replaced(ctrl->feed);
+	ctrl_schedule_view(ctrl);
+	ctrl_post_first_view(ctrl);
+	feed_flush(ctrl->feed);
 }
 
 /* The saved list was written by another version of this program, or is damaged. */
@@ -193,14 +193,14 @@
 
 static void recall_add_entries(struct recall *recall, const Feed__Endpoints *items)
 {
-	struct rc *rc = recall->rc;
+	struct ctrl *ctrl = recall->ctrl;
 	int64_t added = 0;
 
 	for (size_t i = 0; i < items->n_items; i++) {
 		const Feed__Endpoint *e = items->items[i];
 		struct str text = str_make((const char *)e->text.data, e->text.len);
 		char *error = NULL;
-		struct ep_rec *rec = rc->router->seam->decl.read_endpoint(e->id, text, &error);
+		struct ep_rec *rec = ctrl->router->seam->decl.read_endpoint(e->id, text, &error);
 
 		if (!rec) {
 			recall_log_unreadable(e->id, error);
@@ -208,7 +208,7 @@
 			continue;
 		}
 		rec->text = str_dup(text);
-		added += ep_add_recalled(&rc->endpoints, e->offset, rec, tmr_now());
+		added += ep_add_recalled(&ctrl->endpoints, e->offset, rec, tmr_now());
 	}
 	recall_log("endpoints_recalled", HTTP_OK, 0, added);
 }
@@ -222,7 +222,7 @@
 	(void)offset;
 	(void)key;
 	note = feed__note__unpack(NULL, value.len, (const uint8_t *)value.data);
-	items = note ? fp_unpack(note->endpoints.data, note->endpoints.len, note->endpoints_len)
+	items = note ? fpack_parse(note->endpoints.data, note->endpoints.len, note->endpoints_len)
 		     : NULL;
 	if (items)
 		recall_add_entries(recall, items);
@@ -241,7 +241,7 @@
 
 	recall->read = NULL;
 	memset(&read, 0, sizeof(read));
-	if (answer->status != HTTP_OK || recall->rc->router->seam->store.parse_newest(
+	if (answer->status != HTTP_OK || recall->ctrl->router->seam->store.parse_newest(
 						 answer->body, recall_on_record, recall, &read) < 0)
 		recall_log("note_not_read", answer->status, answer->err, 0);
 	g_free(read.last);
--- a/router/router.h
+++ b/router/router.h
@@ -65,23 +65,23 @@
 	/* Time until which the list may still lack endpoints that are running */
 	int64_t whole_us;
 	/* Last time at which this data was known to match the store; 0 if never */
-	int64_t fresh_us;
+	int64_t synced_us;
 };
 
 void router_view_free(struct router_view *view);
 
 enum {
 	/* Number of steps in which the memory use of an engine is reported */
-	ROUTER_FULL = 8,
+	ROUTER_MEMORY_STEPS = 8,
 	/* Steps from which on the use is sent to other hosts; below, memory limits no request */
-	ROUTER_FULL_NEWS = 4,
+	ROUTER_MEMORY_STEPS_SENT = 4,
 };
 
 /* Load report of one engine, as collected by the host that polls all engines. */
 struct router_load {
 	char *endpoint; /* Incarnation of the engine */
 	double pace;	/* Duration of one step as a multiple of the usual duration */
-	int full;	/* Used part of the memory for requests, in steps of 1/ROUTER_FULL */
+	int full; /* Used part of the memory for requests, in steps of 1/ROUTER_MEMORY_STEPS */
 };
 
 /* Message between the two threads: an endpoint is suspected to be at fault. */
@@ -107,7 +107,7 @@
 /* Records that the text with this digest came into force now. */
 void router_origin_set(struct router_origin *origin, uint64_t digest, const char *by);
 
-struct rc;
+struct ctrl;
 struct tf;
 
 struct router {
@@ -117,7 +117,7 @@
 	/* Keys whose new values need a restart, "" if none; used by the control thread only */
 	char *settings_waiting;
 	const struct seam *seam; /* Formats of the deployment */
-	struct rc *rc;		 /* State of the control thread */
+	struct ctrl *ctrl;	 /* State of the control thread */
 	struct tf *tf;		 /* State of the traffic thread */
 	struct hd *front;	 /* HTTP server for callers' requests */
 	struct hd *ready_hd;	 /* HTTP server of the readiness check */
@@ -128,21 +128,21 @@
 };
 
 /* Definitions of the settings: section, key, type, default value and range. */
-extern const struct set_item router_items[];
-extern const size_t router_items_n;
+extern const struct set_item router_setting_items[];
+extern const size_t router_setting_items_n;
 
 /* Control thread: ctrl.c, with store_reader.c, feed.c, follow.c and placer.c. */
-struct rc *rc_start(struct router *router, struct loop *loop);
-void rc_finish(struct rc *rc);
+struct ctrl *ctrl_start(struct router *router, struct loop *loop);
+void ctrl_finish(struct ctrl *ctrl);
 
 /* Prepares the end of the process: gives up the lead and leaves the list of hosts. */
-void rc_stop(struct rc *rc);
+void ctrl_stop(struct ctrl *ctrl);
 
 /*
  * state.c: replies with the state of this host as JSON: "hosts", "endpoints", "accounts",
  * "budgets", "quarantine" and single values. May be called from any thread.
  */
-void state_answer(struct router *router, struct hd_call *call);
+void state_reply(struct router *router, struct hd_call *call);
 
 /*
  * Ends the quarantine of a request on all hosts, for an operator. The query parameter "content" is
@@ -158,7 +158,7 @@
 void tf_post_view(struct tf *tf, struct router_view *view);
 
 /* Posts the time at which the last view matched the store. Called from the control thread. */
-void tf_post_fresh(struct tf *tf, int64_t fresh_us);
+void tf_post_fresh(struct tf *tf, int64_t synced_us);
 
 /* Posts load reports (struct router_load). Called from the control thread. */
 void tf_post_loads(struct tf *tf, GArray *loads);
--- a/router/stall.c
+++ b/router/stall.c
@@ -1,5 +1,5 @@
 #include "base/tmr.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf_heard.h"
 #include "router/tf_rest.h"
 
@@ -166,7 +166,7 @@
 
 	ep->missed_us = 0;
 	tf_doubt(ep, STALL_AVOID_US, SUSPECT_NO_ANSWER, NULL);
-	suspect_post(tf->router->rc, ep->rec->incarnation, STALL_AVOID_US / TMR_US_PER_MS,
+	suspect_post(tf->router->ctrl, ep->rec->incarnation, STALL_AVOID_US / TMR_US_PER_MS,
 		     SUSPECT_NO_ANSWER);
 	for (guint i = reqs->len; i > 0; i--)
 		rq_on_missing(reqs->pdata[i - 1], ep);
--- a/router/state.c
+++ b/router/state.c
@@ -1,6 +1,6 @@
 #include "base/jl.h"
 #include "base/met.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf.h"
 
 #include <jansson.h>
@@ -26,25 +26,25 @@
 	[EP_DRAINING] = "draining",
 };
 
-void state_answer(struct router *router, struct hd_call *call)
+void state_reply(struct router *router, struct hd_call *call)
 {
 	struct state *state = g_new0(struct state, 1);
 
 	state->router = router;
 	state->call = call;
-	loop_post(router->rc->loop, state_add_control_part, state);
+	loop_post(router->ctrl->loop, state_add_control_part, state);
 }
 
-static json_t *state_hosts(const struct rc *rc)
+static json_t *state_hosts(const struct ctrl *ctrl)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, rc->hosts);
+	g_hash_table_iter_init(&iter, ctrl->hosts);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		const struct rc_host *host = value;
+		const struct ctrl_host *host = value;
 
 		json_array_append_new(list, json_pack("{s:s, s:s, s:f}", "name", name, "addr",
 						      host->addr, "capacity", host->capacity));
@@ -56,9 +56,9 @@
  * Returns the time since this host or its feeder last reached the store, in milliseconds; -1 if
  * neither ever did.
  */
-static int64_t state_age_ms(const struct rc *rc, int64_t now_us)
+static int64_t state_age_ms(const struct ctrl *ctrl, int64_t now_us)
 {
-	return rc->fresh_us > 0 ? (now_us - rc->fresh_us) / TMR_US_PER_MS : -1;
+	return ctrl->synced_us > 0 ? (now_us - ctrl->synced_us) / TMR_US_PER_MS : -1;
 }
 
 /* Describes a configuration or settings in force: digest, since when, and where they came from. */
@@ -87,22 +87,22 @@
 			       "age_ms", (json_int_t)(now_us - entry->last_us) / TMR_US_PER_MS));
 }
 
-static json_t *state_quarantine(const struct rc *rc)
+static json_t *state_quarantine(const struct ctrl *ctrl)
 {
 	json_t *list = json_array();
 
-	quar_foreach(quarantine_table(rc->quarantine), state_add_quarantined, list);
+	quar_foreach(quarantine_table(ctrl->quarantine), state_add_quarantined, list);
 	return list;
 }
 
-static void state_add_origins(json_t *json, const struct rc *rc)
+static void state_add_origins(json_t *json, const struct ctrl *ctrl)
 {
-	const struct router *router = rc->router;
+	const struct router *router = ctrl->router;
 
 	json_object_set_new(
 		json, "runs",
 		json_pack("{s:o, s:o, s:s}", "configuration",
-			  state_origin(&rc->conf_origin, rc->conf ? rc->conf->version : -1),
+			  state_origin(&ctrl->conf_origin, ctrl->conf ? ctrl->conf->version : -1),
 			  "settings", state_origin(&router->settings_origin, 0), "waiting",
 			  router->settings_waiting ? router->settings_waiting : ""));
 }
@@ -110,22 +110,22 @@
 static void state_add_control_part(void *ctx)
 {
 	struct state *state = ctx;
-	const struct rc *rc = state->router->rc;
-
-	state->json =
-		json_pack("{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:b, s:s?, s:b, s:I, s:o}",
-			  "host", state->router->settings.name, "configuration",
-			  (json_int_t)(rc->conf ? rc->conf->version : -1), "era",
-			  (json_int_t)(rc->era.known ? rc->era.now : ERA_NONE), "generation",
-			  (json_int_t)era_generation_of_fence(rc->lead.newest), "fence",
-			  (json_int_t)rc->lead.newest, "reads_store", rc->direct, "asks_engines",
-			  rc_polls(rc), "places_layers", member_may_give_orders(rc), "noted",
-			  recall_is_saved(rc->recall), "feeder", follow_feeder(rc->follow), "fed",
-			  follow_is_fed(rc->follow), "store_age_ms",
-			  (json_int_t)state_age_ms(rc, tmr_now()), "hosts", state_hosts(rc));
-	state_add_origins(state->json, rc);
-	json_object_set_new(state->json, "quarantine", state_quarantine(rc));
-	json_object_set_new(state->json, "limits", limits_to_json(rc->limits));
+	const struct ctrl *ctrl = state->router->ctrl;
+
+	state->json = json_pack(
+		"{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:b, s:s?, s:b, s:I, s:o}", "host",
+		state->router->settings.name, "configuration",
+		(json_int_t)(ctrl->conf ? ctrl->conf->version : -1), "era",
+		(json_int_t)(ctrl->era.known ? ctrl->era.now : ERA_NONE), "generation",
+		(json_int_t)era_generation_of_fence(ctrl->lead.newest), "fence",
+		(json_int_t)ctrl->lead.newest, "reads_store", ctrl->direct, "asks_engines",
+		ctrl_polls_engines(ctrl), "places_layers", member_may_give_orders(ctrl), "noted",
+		recall_is_saved(ctrl->recall), "feeder", follow_feeder(ctrl->follow), "fed",
+		follow_is_fed(ctrl->follow), "store_age_ms",
+		(json_int_t)state_age_ms(ctrl, tmr_now()), "hosts", state_hosts(ctrl));
+	state_add_origins(state->json, ctrl);
+	json_object_set_new(state->json, "quarantine", state_quarantine(ctrl));
+	json_object_set_new(state->json, "limits", limits_to_json(ctrl->limits));
 	loop_post(&state->router->tf->loop, state_add_traffic_part, state);
 }
 
@@ -245,7 +245,7 @@
 {
 	struct state *state = ctx;
 	char *content = state->content;
-	int n = quarantine_clear(state->router->rc->quarantine, content);
+	int n = quarantine_clear(state->router->ctrl->quarantine, content);
 	char text[32];
 
 	g_snprintf(text, sizeof(text), "{\"cleared\":%d}", n);
@@ -263,18 +263,18 @@
 	state->router = router;
 	state->call = call;
 	state->content = g_strdup(content ? content : "");
-	loop_post(router->rc->loop, state_clear_on_control, state);
+	loop_post(router->ctrl->loop, state_clear_on_control, state);
 }
 
-void state_update_gauges(const struct rc *rc, int64_t now_us)
+void state_update_gauges(const struct ctrl *ctrl, int64_t now_us)
 {
 	met_set(met_gauge("bg_configuration_version", ""),
-		(uint64_t)(rc->conf ? rc->conf->version : 0));
-	met_set(met_gauge("bg_store_age_ms", ""), (uint64_t)MAX(state_age_ms(rc, now_us), 0));
-	met_set(met_gauge("bg_store_era", ""), (uint64_t)rc->era.now);
-	met_set(met_gauge("bg_reads_store", ""), rc->direct);
-	met_set(met_gauge("bg_fed", ""), follow_is_fed(rc->follow));
-	met_set(met_gauge("bg_places_layers", ""), member_may_give_orders(rc));
-	met_set(met_gauge("bg_hosts", ""), g_hash_table_size(rc->hosts));
-	met_set(met_gauge("bg_endpoints", ""), g_hash_table_size(rc->endpoints.entries));
+		(uint64_t)(ctrl->conf ? ctrl->conf->version : 0));
+	met_set(met_gauge("bg_store_age_ms", ""), (uint64_t)MAX(state_age_ms(ctrl, now_us), 0));
+	met_set(met_gauge("bg_store_era", ""), (uint64_t)ctrl->era.now);
+	met_set(met_gauge("bg_reads_store", ""), ctrl->direct);
+	met_set(met_gauge("bg_fed", ""), follow_is_fed(ctrl->follow));
+	met_set(met_gauge("bg_places_layers", ""), member_may_give_orders(ctrl));
+	met_set(met_gauge("bg_hosts", ""), g_hash_table_size(ctrl->hosts));
+	met_set(met_gauge("bg_endpoints", ""), g_hash_table_size(ctrl->endpoints.entries));
 }
--- a/router/store_call.c
+++ b/router/store_call.c
@@ -1,6 +1,6 @@
 #include "router/store_call.h"
 #include "base/err.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -9,7 +9,7 @@
 };
 
 struct store_call {
-	struct rc *rc;
+	struct ctrl *ctrl;
 	struct hc_call *http; /* NULL once the HTTP call has ended */
 	store_fn fn;	      /* NULL if canceled while its answer was being processed */
 	void *ctx;
@@ -25,11 +25,11 @@
 	.on_done = store_call_on_done,
 };
 
-struct store_call *store_call(struct rc *rc, const struct store_request *request, store_fn fn,
+struct store_call *store_call(struct ctrl *ctrl, const struct store_request *request, store_fn fn,
 			      void *ctx)
 {
 	const char *headers[] = {"Content-Type: application/json", NULL};
-	char *url = g_strdup_printf("http://%s%s", rc->router->settings.store, request->path);
+	char *url = g_strdup_printf("http://%s%s", ctrl->router->settings.store, request->path);
 	struct store_call *call = g_new0(struct store_call, 1);
 	struct hc_request http = {
 		.method = request->body || request->json ? "POST" : "GET",
@@ -45,12 +45,12 @@
 		http.body_len = request->body->len;
 	else if (request->json)
 		http.body_len = strlen(request->json);
-	call->rc = rc;
+	call->ctrl = ctrl;
 	call->fn = fn;
 	call->ctx = ctx;
 	call->era = ERA_NONE;
-	g_hash_table_add(rc->store_calls, call);
-	call->http = hc_start(rc->hc, &http, &store_call_ops, call);
+	g_hash_table_add(ctrl->store_calls, call);
+	call->http = hc_start(ctrl->hc, &http, &store_call_ops, call);
 	g_free(url);
 	g_free(request->path);
 	return call;
@@ -62,7 +62,7 @@
 	if (!call->http)
 		return;
 	hc_cancel(call->http);
-	g_hash_table_remove(call->rc->store_calls, call);
+	g_hash_table_remove(call->ctrl->store_calls, call);
 }
 
 static bool store_call_on_head(void *ctx, int status, const GPtrArray *headers)
@@ -70,7 +70,7 @@
 	struct store_call *call = ctx;
 
 	(void)status;
-	call->era = call->rc->router->seam->store.read_era(headers);
+	call->era = call->ctrl->router->seam->store.read_era(headers);
 	return true;
 }
 
@@ -78,20 +78,20 @@
 			       size_t len)
 {
 	struct store_call *call = ctx;
-	struct rc *rc = call->rc;
+	struct ctrl *ctrl = call->ctrl;
 	struct store_answer answer = {status, err, str_make(body, len)};
 	enum era_change news;
 
 	(void)sent;
 	call->http = NULL;
-	news = rc_hear_era(rc, call->era, "store");
+	news = ctrl_on_era(ctrl, call->era, "store");
 	if (news == ERA_ADVANCED)
 		answer = (struct store_answer){0, STORE_ERESTORED, str_make(NULL, 0)};
 	if (news == ERA_OUTDATED)
 		answer = (struct store_answer){0, STORE_ESTALE, str_make(NULL, 0)};
 	if (call->fn)
 		call->fn(call->ctx, &answer);
-	g_hash_table_remove(rc->store_calls, call);
+	g_hash_table_remove(ctrl->store_calls, call);
 }
 
 const char *store_strerror(int err)
--- a/router/store_call.h
+++ b/router/store_call.h
@@ -4,7 +4,7 @@
 #include "base/hc.h"
 #include "base/str.h"
 
-struct rc;
+struct ctrl;
 struct store_call;
 
 /* Errors of calls to the store, in addition to those of base/err.h. */
@@ -35,7 +35,7 @@
  * the store. A call fails if its answer belongs to an older era or is the first one of a new era:
  * no data is accepted from a previous state of the store, and lost writes are repeated.
  */
-struct store_call *store_call(struct rc *rc, const struct store_request *request, store_fn fn,
+struct store_call *store_call(struct ctrl *ctrl, const struct store_request *request, store_fn fn,
 			      void *ctx);
 
 /* Cancels the call; its callback is not called. */
--- a/router/suspect.c
+++ b/router/suspect.c
@@ -2,7 +2,7 @@
 #include "base/jl.h"
 #include "msg/feed.pb-c.h"
 #include "msg/kind.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 
 #include <string.h>
 
@@ -40,13 +40,13 @@
 	int64_t for_ms = (post->until_us - tmr_now()) / TMR_US_PER_MS;
 	const struct suspect suspect = {post->endpoint, for_ms, post->why, 0};
 
-	suspect_on_news(post->to, &suspect, NULL);
+	suspect_on_report(post->to, &suspect, NULL);
 	router_suspect_free(post);
 }
 
-void suspect_post(struct rc *rc, const char *endpoint, int64_t for_ms, const char *why)
+void suspect_post(struct ctrl *ctrl, const char *endpoint, int64_t for_ms, const char *why)
 {
-	loop_post(rc->loop, suspect_on_post, router_suspect_new(rc, endpoint, for_ms, why));
+	loop_post(ctrl->loop, suspect_on_post, router_suspect_new(ctrl, endpoint, for_ms, why));
 }
 
 static gboolean suspect_is_old(gpointer endpoint, gpointer value, gpointer before_us)
@@ -86,21 +86,21 @@
  * SUSPECT_REPEAT_MS. The first proof that an endpoint is dead is exempt: a mere suspicion just
  * before does not delay it.
  */
-static bool suspect_must_forward(struct rc *rc, const struct suspect *suspect, int64_t now_us)
+static bool suspect_must_forward(struct ctrl *ctrl, const struct suspect *suspect, int64_t now_us)
 {
 	const char *endpoint = suspect->endpoint;
-	const int64_t *last = g_hash_table_lookup(rc->seen, endpoint);
-	bool may_skip = !suspect_proves_dead(suspect) || suspect_is_dead(rc, endpoint, now_us);
+	const int64_t *last = g_hash_table_lookup(ctrl->seen, endpoint);
+	bool may_skip = !suspect_proves_dead(suspect) || suspect_is_dead(ctrl, endpoint, now_us);
 
 	if (may_skip && last && now_us - *last < tmr_ms(SUSPECT_REPEAT_MS))
 		return false;
-	suspect_set_time(rc->seen, endpoint, now_us);
+	suspect_set_time(ctrl->seen, endpoint, now_us);
 	return true;
 }
 
-bool suspect_is_dead(const struct rc *rc, const char *endpoint, int64_t now_us)
+bool suspect_is_dead(const struct ctrl *ctrl, const char *endpoint, int64_t now_us)
 {
-	const int64_t *until = g_hash_table_lookup(rc->dead, endpoint);
+	const int64_t *until = g_hash_table_lookup(ctrl->dead, endpoint);
 
 	return until && now_us < *until;
 }
@@ -121,33 +121,34 @@
 	jl_end();
 }
 
-void suspect_on_news(struct rc *rc, const struct suspect *suspect, const void *source)
+void suspect_on_report(struct ctrl *ctrl, const struct suspect *suspect, const void *source)
 {
 	struct suspect forwarded = *suspect;
 
-	if (!suspect_must_forward(rc, suspect, tmr_now()))
+	if (!suspect_must_forward(ctrl, suspect, tmr_now()))
 		return;
 	if (suspect_proves_dead(suspect)) {
-		if (!suspect_is_dead(rc, suspect->endpoint, tmr_now()))
+		if (!suspect_is_dead(ctrl, suspect->endpoint, tmr_now()))
 			suspect_log_dead(suspect);
-		suspect_set_time(rc->dead, suspect->endpoint, tmr_now() + tmr_ms(suspect->for_ms));
-		placer_on_change(rc->placer);
+		suspect_set_time(ctrl->dead, suspect->endpoint,
+				 tmr_now() + tmr_ms(suspect->for_ms));
+		placer_on_change(ctrl->placer);
 	}
 	if (source)
-		tf_post_suspect(rc->router->tf, suspect->endpoint, suspect->for_ms, suspect->why);
+		tf_post_suspect(ctrl->router->tf, suspect->endpoint, suspect->for_ms, suspect->why);
 	if (++forwarded.hops > SUSPECT_HOPS_MAX)
 		return;
-	if (strcmp(suspect->why, SUSPECT_RESTS) == 0 && !notice_allow_hint(rc, tmr_now()))
+	if (strcmp(suspect->why, SUSPECT_RESTS) == 0 && !notice_allow_hint(ctrl, tmr_now()))
 		return;
-	feed_each(rc->feed, source, suspect_send_to, &forwarded);
-	follow_each(rc->follow, source, suspect_send_to, &forwarded);
+	feed_for_each_follower(ctrl->feed, source, suspect_send_to, &forwarded);
+	follow_call_feeder(ctrl->follow, source, suspect_send_to, &forwarded);
 }
 
 /*
  * Handles a report from another host that an endpoint is at fault, in back-off or leaving. Feeds
  * carry these messages in both directions.
  */
-int suspect_on_msg(struct rc *rc, struct frm_conn *conn, const uint8_t *body, size_t len)
+int suspect_on_msg(struct ctrl *ctrl, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Feed__Suspect *msg = feed__suspect__unpack(NULL, len, body);
 	struct suspect suspect;
@@ -156,9 +157,9 @@
 		return BASE_EFRAME;
 	suspect = (struct suspect){msg->endpoint, msg->for_ms, msg->why, msg->hops};
 	if (strcmp(suspect.why, SUSPECT_LEAVING) == 0)
-		notice_apply_leaving(rc, suspect.endpoint, suspect.hops, conn);
+		notice_apply_leaving(ctrl, suspect.endpoint, suspect.hops, conn);
 	else
-		suspect_on_news(rc, &suspect, conn);
+		suspect_on_report(ctrl, &suspect, conn);
 	feed__suspect__free_unpacked(msg, NULL);
 	return 0;
 }
--- a/router/tf.c
+++ b/router/tf.c
@@ -294,7 +294,7 @@
 		tf_update_endpoint(tf, view->endpoints->pdata[i]);
 	router_view_free(tf->view);
 	tf->view = view;
-	tf->view_valid_us = MAX(tf->view_valid_us, view->fresh_us);
+	tf->view_valid_us = MAX(tf->view_valid_us, view->synced_us);
 	tf_drop_unlisted(tf);
 	tf_update_budgets(tf);
 	if (view->conf)
@@ -411,26 +411,26 @@
 	jl_end();
 }
 
-/* Message from the control thread: the view matched the store at fresh_us. */
+/* Message from the control thread: the view matched the store at synced_us. */
 struct tf_fresh_msg {
 	struct tf *tf;
-	int64_t fresh_us;
+	int64_t synced_us;
 };
 
 static void tf_on_fresh(void *ctx)
 {
 	struct tf_fresh_msg *msg = ctx;
 
-	msg->tf->view_valid_us = MAX(msg->tf->view_valid_us, msg->fresh_us);
+	msg->tf->view_valid_us = MAX(msg->tf->view_valid_us, msg->synced_us);
 	g_free(msg);
 }
 
-void tf_post_fresh(struct tf *tf, int64_t fresh_us)
+void tf_post_fresh(struct tf *tf, int64_t synced_us)
 {
 	struct tf_fresh_msg *msg = g_new0(struct tf_fresh_msg, 1);
 
 	msg->tf = tf;
-	msg->fresh_us = fresh_us;
+	msg->synced_us = synced_us;
 	loop_post(&tf->loop, tf_on_fresh, msg);
 }
 
@@ -461,7 +461,7 @@
 		tf_log_pace(ep, load->pace);
 		slowed = ep->pace < tf_move_pace && load->pace >= tf_move_pace;
 		ep->pace = load->pace;
-		ep->full = (double)load->full / ROUTER_FULL;
+		ep->full = (double)load->full / ROUTER_MEMORY_STEPS;
 		ep->load_us = now_us;
 		if (slowed)
 			tf_move_streams_from_slow(msg->tf, ep);
--- a/router/tf_heard.c
+++ b/router/tf_heard.c
@@ -69,7 +69,7 @@
 	jl_str("id", request);
 	jl_int("in_flight", ep->in_flight);
 	jl_end();
-	notice_post_leaving(tf->router->rc, ep->rec->incarnation);
+	notice_post_leaving(tf->router->ctrl, ep->rec->incarnation);
 }
 
 /* Handles what the answer to a request or to any other call may state about the endpoint. */
--- a/router/tf_limit.c
+++ b/router/tf_limit.c
@@ -82,7 +82,7 @@
 	ep->limit.wanted = 0;
 	ep->limit.returned = 0;
 	ep->limit_told_us = tmr_now();
-	limits_post(tf->router->rc, &update);
+	limits_post(tf->router->ctrl, &update);
 }
 
 /* Applies a limit, or the lifting of one. Returns whether that is a change. */
--- a/router/tf_quar.c
+++ b/router/tf_quar.c
@@ -3,7 +3,7 @@
 #include "base/met.h"
 #include "base/str.h"
 #include "router/quarantine.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf.h"
 
 #include <string.h>
@@ -114,7 +114,7 @@
 		tf_quar_count_crash(tf, endpoint, &g_array_index(cuts, struct crash_attempt, i),
 				    shared);
 	if (shared->len > 0)
-		quarantine_post(tf->router->rc, g_ptr_array_ref(shared));
+		quarantine_post(tf->router->ctrl, g_ptr_array_ref(shared));
 	g_ptr_array_unref(shared);
 }
 
@@ -134,7 +134,7 @@
 	jl_int("taken_back", shared->len);
 	jl_end();
 	if (shared->len > 0)
-		quarantine_post(tf->router->rc, g_ptr_array_ref(shared));
+		quarantine_post(tf->router->ctrl, g_ptr_array_ref(shared));
 	g_ptr_array_unref(shared);
 }
 
@@ -149,7 +149,7 @@
 		tf_quar_enforce(tf, entry, "this host");
 	shared = quarantine_list_new();
 	g_ptr_array_add(shared, quar_entry_dup(entry));
-	quarantine_post(tf->router->rc, shared);
+	quarantine_post(tf->router->ctrl, shared);
 }
 
 void tf_quar_on_part(struct tf *tf, const struct quar_id *id, int64_t lasted_us)
--- a/router/tf_rest.c
+++ b/router/tf_rest.c
@@ -44,7 +44,7 @@
 	g_free(ep->rest_by);
 	ep->rest_by = g_strdup(request);
 	ep->rest_end_logged = false;
-	notice_post_backoff(tf->router->rc, ep->rec->incarnation, ep->rest.until_us, is_new);
+	notice_post_backoff(tf->router->ctrl, ep->rec->incarnation, ep->rest.until_us, is_new);
 }
 
 void tf_rest_on_hint(struct tf *tf, struct tf_ep *ep, int64_t for_us)
--- a/router/tf_suspect.c
+++ b/router/tf_suspect.c
@@ -1,6 +1,6 @@
 #include "base/jl.h"
 #include "base/met.h"
-#include "router/rc.h"
+#include "router/ctrl.h"
 #include "router/tf_rest.h"
 
 #include <string.h>
@@ -58,7 +58,7 @@
 	if (ep->suspect_us + TF_FAULT_STEP_US >= tmr_now() + for_us)
 		return;
 	tf_mark_faulty_here(tf, ep, for_us, why, request);
-	suspect_post(tf->router->rc, ep->rec->incarnation, for_us / TMR_US_PER_MS, why);
+	suspect_post(tf->router->ctrl, ep->rec->incarnation, for_us / TMR_US_PER_MS, why);
 }
 
 void tf_unreached(struct tf *tf, struct tf_ep *ep, const char *why, const char *request)
