--- a/prog/router.c
+++ b/prog/router.c
@@ -248,7 +248,7 @@
 {
 	struct router_main *m = ctx;
 	int64_t since_ms = (now_us - m->router.stop_us) / TMR_US_PER_MS;
-	bool open = tf_open(m->router.tf) > 0 || hd_open(m->router.front) > 0;
+	bool open = traf_open_requests(m->router.traf) > 0 || hd_open(m->router.front) > 0;
 
 	m->quiet = open ? 0 : m->quiet + 1;
 	if ((since_ms >= ROUTER_LINGER_MS && m->quiet >= ROUTER_QUIET_POLLS) ||
@@ -286,8 +286,8 @@
 	prog_on_stop(&m->loop, router_on_stop, m);
 	prog_on_reload(&m->loop, router_on_reload, m);
 	router->seam = &pf_seam;
-	router->tf = tf_start(router);
-	router->front = router_listen(router->settings.front, tf_on_call, router);
+	router->traf = traf_start(router);
+	router->front = router_listen(router->settings.front, traf_on_call, router);
 	router->ready_hd = router_listen(router->settings.ready, router_on_ready_call, router);
 	router->metrics_hd =
 		router_listen(router->settings.metrics, router_on_metrics_call, router);
--- a/router/crash.c
+++ b/router/crash.c
@@ -3,10 +3,10 @@
 #include "base/jl.h"
 #include "base/met.h"
 #include "router/ctrl.h"
-#include "router/tf.h"
-#include "router/tf_heard.h"
-#include "router/tf_quar.h"
-#include "router/tf_rest.h"
+#include "router/traffic.h"
+#include "router/traffic_head.h"
+#include "router/traffic_quarantine.h"
+#include "router/traffic_rest.h"
 
 #include <string.h>
 
@@ -50,15 +50,15 @@
 
 /* A check whether an endpoint at which attempts were cut has ended. */
 struct crash_check {
-	struct tf *tf;
-	struct tf_ep *ep;  /* the endpoint; the check holds a reference */
-	GArray *cuts;	   /* struct crash_attempt, the attempts that were cut */
-	struct tmr timer;  /* starts the next probe */
-	int64_t began_us;  /* time at which the last probe began, in microseconds */
-	int tries;	   /* number of probes begun */
-	int confirm_tries; /* number of probes scheduled after the endpoint seemed to have ended */
-	bool counted;	   /* the endpoint seemed to have ended, so its cut attempts were counted */
-	guint n_counted;   /* number of cut attempts that were counted */
+	struct traf *traf;
+	struct traf_ep *ep; /* the endpoint; the check holds a reference */
+	GArray *cuts;	    /* struct crash_attempt, the attempts that were cut */
+	struct tmr timer;   /* starts the next probe */
+	int64_t began_us;   /* time at which the last probe began, in microseconds */
+	int tries;	    /* number of probes begun */
+	int confirm_tries;  /* number of probes scheduled after the endpoint seemed to have ended */
+	bool counted;	 /* the endpoint seemed to have ended, so its cut attempts were counted */
+	guint n_counted; /* number of cut attempts that were counted */
 };
 
 static void crash_probe(struct crash_check *check);
@@ -77,11 +77,11 @@
 	g_free(cut->id);
 }
 
-static struct crash_check *crash_check_new(struct tf *tf, struct tf_ep *ep)
+static struct crash_check *crash_check_new(struct traf *traf, struct traf_ep *ep)
 {
 	struct crash_check *check = g_new0(struct crash_check, 1);
 
-	check->tf = tf;
+	check->traf = traf;
 	check->ep = ep;
 	ep->refs++;
 	check->cuts = g_array_new(FALSE, FALSE, sizeof(struct crash_attempt));
@@ -92,7 +92,7 @@
 static void crash_check_free(struct crash_check *check)
 {
 	check->ep->crash = NULL;
-	tf_ep_unref(check->ep);
+	traf_ep_unref(check->ep);
 	g_array_unref(check->cuts);
 	g_free(check);
 }
@@ -100,12 +100,12 @@
 /* Returns the path of the probe, which does not run a request: the report or the health check. */
 static const char *crash_probe_path(const struct crash_check *check)
 {
-	const struct tf *tf = check->tf;
+	const struct traf *traf = check->traf;
 	const struct rt_service *service =
-		g_hash_table_lookup(tf->view->conf->services, check->ep->rec->service);
+		g_hash_table_lookup(traf->view->conf->services, check->ep->rec->service);
 
 	if (!service || rt_is_layered(service))
-		return tf->router->seam->engine.report_path();
+		return traf->router->seam->engine.report_path();
 	return service->health_path ? service->health_path : "/";
 }
 
@@ -121,7 +121,7 @@
 	check->began_us = tmr_now();
 	check->tries++;
 	request.url = url;
-	hc_start(check->tf->hc, &request, &crash_ops, check);
+	hc_start(check->traf->hc, &request, &crash_ops, check);
 	g_free(url);
 }
 
@@ -131,7 +131,7 @@
 	struct seam_report report;
 	int64_t born_ms;
 
-	if (check->tf->router->seam->engine.parse_report(body, &report) < 0)
+	if (check->traf->router->seam->engine.parse_report(body, &report) < 0)
 		return 0;
 	born_ms = report.born_ms;
 	seam_report_finish(&report);
@@ -161,9 +161,9 @@
 }
 
 /* Returns whether another endpoint, or a later incarnation of this one, has its address. */
-static bool crash_is_replaced(const struct tf *tf, const struct tf_ep *ep)
+static bool crash_is_replaced(const struct traf *traf, const struct traf_ep *ep)
 {
-	return !ep->listed && g_hash_table_contains(tf->by_addr, ep->rec->addr);
+	return !ep->listed && g_hash_table_contains(traf->by_addr, ep->rec->addr);
 }
 
 /*
@@ -177,9 +177,9 @@
 {
 	if (crash_is_same_incarnation(check, status, body))
 		return CRASH_LIVES;
-	if (check->ep->progress_us > check->began_us)
+	if (check->ep->last_data_us > check->began_us)
 		return CRASH_ALIVE;
-	if (crash_is_replaced(check->tf, check->ep))
+	if (crash_is_replaced(check->traf, check->ep))
 		return CRASH_ENDED;
 	if (status == HTTP_OK && crash_has_restarted(check, body))
 		return CRASH_ENDED;
@@ -187,7 +187,7 @@
 		return CRASH_ALIVE;
 	if (err == BASE_EREFUSED)
 		return CRASH_ENDED;
-	if (err == BASE_ETIMEOUT && check->tf->heard_us > check->began_us)
+	if (err == BASE_ETIMEOUT && check->traf->heard_us > check->began_us)
 		return CRASH_VANISHED;
 	if (err == BASE_ECLOSED && check->tries == CRASH_TRIES)
 		return CRASH_VANISHED;
@@ -267,7 +267,7 @@
 
 static void crash_probe_later(struct crash_check *check, int64_t delay_ms)
 {
-	loop_after(&check->tf->loop, &check->timer, tmr_ms(delay_ms), crash_on_timer, check);
+	loop_after(&check->traf->loop, &check->timer, tmr_ms(delay_ms), crash_on_timer, check);
 }
 
 /* Sends the next probe. If the endpoint has requested a rest, waits until that is over. */
@@ -275,7 +275,7 @@
 {
 	struct crash_check *check = ctx;
 
-	if (tf_rest_may_call(check->ep))
+	if (traf_rest_may_call(check->ep))
 		crash_probe(check);
 	else
 		crash_probe_later(check, (check->ep->rest.until_us - now_us) / TMR_US_PER_MS + 1);
@@ -288,7 +288,7 @@
 		crash_mark_unconfirmed(check);
 	met_add(met_counter("bg_endpoints_ended_total", ""), 1);
 	crash_log_suspects(check);
-	tf_quar_crashed(check->tf, check->ep, check->cuts);
+	traf_quar_crashed(check->traf, check->ep, check->cuts);
 	check->counted = true;
 	check->n_counted = check->cuts->len;
 }
@@ -312,7 +312,7 @@
 	}
 	check->n_counted = check->cuts->len;
 	if (confirmed->len > 0)
-		tf_quar_crashed(check->tf, check->ep, confirmed);
+		traf_quar_crashed(check->traf, check->ep, confirmed);
 	g_array_unref(confirmed);
 }
 
@@ -342,8 +342,8 @@
 {
 	const char *endpoint = check->ep->rec->incarnation;
 
-	tf_suspect(check->tf, check->ep, tmr_ms(CRASH_ENDED_MS), SUSPECT_ENDED, NULL);
-	suspect_post(check->tf->router->ctrl, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
+	traf_mark_faulty(check->traf, check->ep, tmr_ms(CRASH_ENDED_MS), SUSPECT_ENDED, NULL);
+	suspect_post(check->traf->router->ctrl, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
 }
 
 /* Handles a further probe of an endpoint that seemed to have ended. */
@@ -353,7 +353,7 @@
 	if (finding == CRASH_ENDED)
 		crash_confirm(check);
 	if (finding == CRASH_LIVES)
-		tf_quar_lives(check->tf, check->ep);
+		traf_quar_lives(check->traf, check->ep);
 	crash_continue_check(check, status, finding);
 }
 
@@ -361,7 +361,7 @@
 {
 	const struct crash_check *check = ctx;
 
-	tf_heard_call(check->tf, check->ep, status, headers);
+	traf_head_of_call(check->traf, check->ep, status, headers);
 	return true;
 }
 
@@ -391,21 +391,21 @@
 }
 
 /* Returns whether the end is planned: the endpoint leaves, or is removed without a successor. */
-static bool crash_is_planned_end(const struct tf *tf, const struct tf_ep *ep)
+static bool crash_is_planned_end(const struct traf *traf, const struct traf_ep *ep)
 {
-	return ep->rec->state != EP_READY || (!ep->listed && !crash_is_replaced(tf, ep));
+	return ep->rec->state != EP_READY || (!ep->listed && !crash_is_replaced(traf, ep));
 }
 
-void crash_on_attempt_cut(struct tf *tf, struct tf_ep *ep, const struct crash_attempt *cut)
+void crash_on_attempt_cut(struct traf *traf, struct traf_ep *ep, const struct crash_attempt *cut)
 {
 	struct crash_attempt copy = *cut;
 
-	if (crash_is_planned_end(tf, ep))
+	if (crash_is_planned_end(traf, ep))
 		return;
 	copy.account = g_strdup(cut->account);
 	copy.id = g_strdup(cut->id);
 	if (!ep->crash) {
-		ep->crash = crash_check_new(tf, ep);
+		ep->crash = crash_check_new(traf, ep);
 		crash_on_timer(ep->crash, tmr_now());
 	}
 	g_array_append_val(ep->crash->cuts, copy);
--- a/router/crash.h
+++ b/router/crash.h
@@ -10,8 +10,8 @@
  * whose answer breaks off, may have lost only its connection; to learn whether the endpoint has
  * ended, this host sends a probe to the endpoint. Runs in the traffic thread.
  */
-struct tf;
-struct tf_ep;
+struct traf;
+struct traf_ep;
 struct crash_check;
 
 /* Progress of an attempt at the time when it was cut. */
@@ -33,6 +33,6 @@
 };
 
 /* Handles an attempt that was cut at that endpoint. The texts are copied. */
-void crash_on_attempt_cut(struct tf *tf, struct tf_ep *ep, const struct crash_attempt *cut);
+void crash_on_attempt_cut(struct traf *traf, struct traf_ep *ep, const struct crash_attempt *cut);
 
 #endif
--- a/router/ctrl.c
+++ b/router/ctrl.c
@@ -383,7 +383,7 @@
 	if (now_us - ctrl->synced_posted_us < tmr_ms(CTRL_SYNCED_MS))
 		return;
 	ctrl->synced_posted_us = now_us;
-	tf_post_fresh(ctrl->router->tf, now_us);
+	traf_post_synced(ctrl->router->traf, now_us);
 }
 
 static void ctrl_on_tick(void *ctx, int64_t now_us)
@@ -424,7 +424,7 @@
 	view->synced_us = ctrl->synced_us;
 	ctrl->view_complete = view->conf && view->listed;
 	placer_on_change(ctrl->placer);
-	tf_post_view(ctrl->router->tf, view);
+	traf_post_view(ctrl->router->traf, view);
 }
 
 /* Returns the time within which any change in the store must be in force on this host. */
--- a/router/limits.c
+++ b/router/limits.c
@@ -3,7 +3,7 @@
 #include "base/met.h"
 #include "msg/kind.h"
 #include "router/ctrl.h"
-#include "router/tf.h"
+#include "router/traffic.h"
 
 #include <string.h>
 
@@ -135,7 +135,7 @@
 	else if (known->since_us == 0)
 		known->since_us = tmr_boot_now();
 	if (source)
-		tf_limit_post(limits->ctrl->router->tf, update);
+		traf_limit_post(limits->ctrl->router->traf, update);
 	limits_forward(limits, update, source);
 	limit_ask_schedule(limits->ask);
 }
@@ -169,7 +169,7 @@
 void limits_deliver_permits(struct limits *limits, const struct limit_update *update)
 {
 	met_add(met_counter("bg_limit_permits_total", ""), (uint64_t)update->permits);
-	tf_limit_post(limits->ctrl->router->tf, update);
+	traf_limit_post(limits->ctrl->router->traf, update);
 }
 
 int limits_on_msg(struct limits *limits, struct frm_conn *conn, const uint8_t *body, size_t len)
--- a/router/limits.h
+++ b/router/limits.h
@@ -19,7 +19,7 @@
  * in microseconds.
  */
 struct ctrl;
-struct tf;
+struct traf;
 struct limits;
 struct limit_ask;
 struct limit_home;
@@ -150,7 +150,7 @@
 
 /* Passes a limit, or permits if there are any, to the traffic thread. May be called from any
  * thread. */
-void tf_limit_post(struct tf *tf, const struct limit_update *update);
+void traf_limit_post(struct traf *traf, const struct limit_update *update);
 
 G_END_DECLS
 
--- a/router/loads.c
+++ b/router/loads.c
@@ -27,7 +27,7 @@
 	ctrl->loads = loads;
 	ctrl->loads_version++;
 	ctrl->loads_us = tmr_now();
-	tf_post_loads(ctrl->router->tf, loads);
+	traf_post_loads(ctrl->router->traf, loads);
 	feed_flush(ctrl->feed);
 }
 
--- a/router/notice.c
+++ b/router/notice.c
@@ -1,7 +1,7 @@
 #include "router/notice.h"
 #include "base/jl.h"
 #include "router/ctrl.h"
-#include "router/tf_heard.h"
+#include "router/traffic_head.h"
 
 #include <string.h>
 
@@ -35,7 +35,7 @@
 	struct seam_answer answer;
 
 	ctrl->router->seam->wire.read_answer(status, headers, NULL, &answer);
-	tf_heard_post(ctrl->router->tf, endpoint, &answer);
+	traf_head_post(ctrl->router->traf, endpoint, &answer);
 	seam_answer_finish(&answer);
 }
 
--- a/router/pick.c
+++ b/router/pick.c
@@ -3,7 +3,7 @@
 #include "fwd/fwd.h"
 #include "place/place.h"
 #include "router/pick_int.h"
-#include "router/tf_limit.h"
+#include "router/traffic_limit.h"
 
 #include <string.h>
 
@@ -17,10 +17,12 @@
  */
 static const double pick_full_link_ms = 3.0;
 
-static double pick_zone_crossing_ms(struct tf *tf, const struct rt_service *service, double prompt)
+static double pick_zone_crossing_ms(struct traf *traf, const struct rt_service *service,
+				    double prompt)
 {
 	const struct rt_engine *engine = &service->engine;
-	double rate = bud_request_rate(tf_budget(tf, service->name), tmr_now()) * tf->view->hosts;
+	double rate =
+		bud_request_rate(traf_budget(traf, service->name), tmr_now()) * traf->view->hosts;
 	double transfer_s;
 
 	if (engine->zone_link_mbps <= 0)
@@ -39,11 +41,11 @@
 
 /* Context of pick_hop_ms(). */
 struct pick_hop_ctx {
-	struct tf *tf;
+	struct traf *traf;
 	const struct rt_service *service;
 };
 
-bool tf_ep_is_healthy(const struct tf_ep *ep, int64_t now_us)
+bool traf_ep_is_healthy(const struct traf_ep *ep, int64_t now_us)
 {
 	return ep->listed && ep->rec->state == EP_READY && !ep->leaving && ep->suspect_us <= now_us;
 }
@@ -52,20 +54,20 @@
  * Suspected endpoints are usable: they are chosen if there are no others, since a suspicion may be
  * wrong, but without an endpoint the request is certainly refused.
  */
-bool pick_is_usable(const struct tf_ep *ep, const struct rt_service *service)
+bool pick_is_usable(const struct traf_ep *ep, const struct rt_service *service)
 {
 	return ep->listed && ep->rec->state == EP_READY && !ep->leaving &&
 	       strcmp(ep->rec->service, service->name) == 0;
 }
 
-enum pa_trust pick_trust_level(const struct tf_ep *ep, int64_t now_us)
+enum pa_trust pick_trust_level(const struct traf_ep *ep, int64_t now_us)
 {
 	if (ep->suspect_us > now_us)
 		return PA_FAULTY;
 	return avoid_is_active(&ep->doubt, now_us) ? PA_DOUBTED : PA_GOOD;
 }
 
-bool pick_is_avoided(const struct tf_target *avoid, const struct tf_ep *ep)
+bool pick_is_avoided(const struct traf_target *avoid, const struct traf_ep *ep)
 {
 	for (int i = 0; avoid && i < avoid->count; i++) {
 		if (avoid->stages[i].ep == ep)
@@ -74,22 +76,22 @@
 	return false;
 }
 
-char *tf_format_pipeline(const struct tf *tf, const struct tf_target *target)
+char *traf_format_pipeline(const struct traf *traf, const struct traf_target *target)
 {
-	struct seam_stage stages[TF_STAGES_MAX];
+	struct seam_stage stages[TRAF_STAGES_MAX];
 
 	for (int i = 0; i < target->count; i++) {
-		const struct tf_stage *from = &target->stages[i];
+		const struct traf_stage *from = &target->stages[i];
 
 		stages[i] = (struct seam_stage){from->ep->rec->addr, from->from, from->to};
 	}
-	return tf->router->seam->wire.pipeline(stages, target->count);
+	return traf->router->seam->wire.pipeline(stages, target->count);
 }
 
-void tf_target_acquire(struct tf_target *target)
+void traf_target_acquire(struct traf_target *target)
 {
 	for (int i = 0; i < target->count; i++) {
-		struct tf_ep *ep = target->stages[i].ep;
+		struct traf_ep *ep = target->stages[i].ep;
 
 		ep->refs++;
 		ep->in_flight++;
@@ -97,14 +99,14 @@
 	}
 }
 
-void tf_target_release(struct tf_target *target)
+void traf_target_release(struct traf_target *target)
 {
 	for (int i = 0; i < target->count; i++) {
-		struct tf_ep *ep = target->stages[i].ep;
+		struct traf_ep *ep = target->stages[i].ep;
 
 		ep->in_flight--;
 		ep->tokens -= target->tokens;
-		tf_ep_unref(ep);
+		traf_ep_unref(ep);
 	}
 	memset(target, 0, sizeof(*target));
 }
@@ -113,9 +115,9 @@
 {
 	const struct pick_hop_ctx *d = ctx;
 
-	return rt_delay_ms(d->service, d->tf->zone_names->pdata[zone_a - 1],
-			   d->tf->zone_names->pdata[zone_b - 1]) +
-	       hop_cost_ms(&d->tf->hop, zone_a - 1, zone_b - 1, tmr_now());
+	return rt_delay_ms(d->service, d->traf->zone_names->pdata[zone_a - 1],
+			   d->traf->zone_names->pdata[zone_b - 1]) +
+	       hop_cost_ms(&d->traf->hop, zone_a - 1, zone_b - 1, tmr_now());
 }
 
 static double pick_usual_prompt_tokens(const struct rt_service *service)
@@ -148,24 +150,24 @@
  * answers was earned instead of 0.81. Of a report only the pace and the use of memory count, the
  * latter where it is more than this host knows of.
  */
-static void pick_set_load(const struct tf *tf, const struct tf_ep *ep, int64_t now_us,
+static void pick_set_load(const struct traf *traf, const struct traf_ep *ep, int64_t now_us,
 			  struct pa_node *node)
 {
-	node->in_flight = (double)ep->in_flight * tf->view->hosts;
-	node->tokens = ep->tokens * tf->view->hosts;
+	node->in_flight = (double)ep->in_flight * traf->view->hosts;
+	node->tokens = ep->tokens * traf->view->hosts;
 	if (ep->load_us > 0 && now_us - ep->load_us < pick_report_valid_us)
 		node->slowness = MAX(ep->pace, 1);
 	if (ep->load_us > 0 && now_us - ep->load_us < pick_report_valid_us)
 		node->full = ep->full;
 }
 
-static void pick_init_node(struct tf *tf, const struct rt_service *service, const struct tf_ep *ep,
-			   int64_t now_us, struct pa_node *node)
+static void pick_init_node(struct traf *traf, const struct rt_service *service,
+			   const struct traf_ep *ep, int64_t now_us, struct pa_node *node)
 {
 	const struct rt_accelerator *kind = rt_find_accelerator(service, ep->rec->kind);
 
 	memset(node, 0, sizeof(*node));
-	node->zone = tf_zone_number(tf, ep->rec->zone);
+	node->zone = traf_zone_number(traf, ep->rec->zone);
 	node->from = ep->rec->layer_from;
 	node->to = ep->rec->layer_to;
 	node->pace = kind ? kind->pace : 1;
@@ -175,7 +177,7 @@
 	node->room =
 		kind ? pl_context_capacity(&service->engine, kind->memory_mb, node->to - node->from)
 		     : 0;
-	pick_set_load(tf, ep, now_us, node);
+	pick_set_load(traf, ep, now_us, node);
 	node->trust = pick_trust_level(ep, now_us);
 }
 
@@ -185,54 +187,54 @@
 	g_free(pick->eps);
 }
 
-void pick_init(struct pick *pick, struct tf *tf, const struct rt_service *service,
-	       const struct seam_request *request, const struct tf_target *avoid, int64_t at_us)
+void pick_init(struct pick *pick, struct traf *traf, const struct rt_service *service,
+	       const struct seam_request *request, const struct traf_target *avoid, int64_t at_us)
 {
-	guint n = g_hash_table_size(tf->eps);
+	guint n = g_hash_table_size(traf->eps);
 	GHashTableIter iter;
 	gpointer value;
 	int64_t now_us = tmr_now();
 
 	memset(pick, 0, sizeof(*pick));
 	pick->nodes = g_new0(struct pa_node, n + 1);
-	pick->eps = g_new0(struct tf_ep *, n + 1);
+	pick->eps = g_new0(struct traf_ep *, n + 1);
 	pick->ask.to = service->engine.layers;
-	pick->ask.zone = tf_zone_number(tf, tf->router->settings.zone);
+	pick->ask.zone = traf_zone_number(traf, traf->router->settings.zone);
 	pick->ask.prompt = pick_prompt_tokens(service, request);
 	pick->ask.answer = pick_answer_tokens(service, request);
 	pick->ask.cross_zone_ms =
-		pick_zone_crossing_ms(tf, service, pick_usual_prompt_tokens(service));
-	pick->ask.seed = rnd_step(&tf->seed);
-	g_hash_table_iter_init(&iter, tf->eps);
+		pick_zone_crossing_ms(traf, service, pick_usual_prompt_tokens(service));
+	pick->ask.seed = rnd_step(&traf->seed);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (!pick_is_usable(value, service) || pick_is_avoided(avoid, value))
 			continue;
-		if (!rest_allows_request(&((struct tf_ep *)value)->rest, at_us)) {
+		if (!rest_allows_request(&((struct traf_ep *)value)->rest, at_us)) {
 			pick->resting++;
 			continue;
 		}
 		pick->eps[pick->n] = value;
-		pick_init_node(tf, service, value, now_us, &pick->nodes[pick->n++]);
+		pick_init_node(traf, service, value, now_us, &pick->nodes[pick->n++]);
 	}
 }
 
-int pick_search(struct pick *pick, struct tf *tf, const struct rt_service *service)
+int pick_search(struct pick *pick, struct traf *traf, const struct rt_service *service)
 {
-	struct pick_hop_ctx delays = {tf, service};
+	struct pick_hop_ctx delays = {traf, service};
 	int err = pa_choose_path(&service->engine, pick->nodes, pick->n, &pick->ask, pick_hop_ms,
 				 &delays, &pick->path);
 
 	return err == 0 ? 0 : FWD_ENOENDPOINT;
 }
 
-void pick_add_stage(struct tf_target *target, struct tf_ep *ep, int from, int to)
+void pick_add_stage(struct traf_target *target, struct traf_ep *ep, int from, int to)
 {
-	const struct tf_stage stage = {ep, from, to};
+	const struct traf_stage stage = {ep, from, to};
 
 	target->stages[target->count++] = stage;
 }
 
-static void pick_add_path(struct tf_target *target, const struct pick *pick)
+static void pick_add_path(struct traf_target *target, const struct pick *pick)
 {
 	for (int i = 0; i < pick->path.count; i++) {
 		const struct pa_stage *stage = &pick->path.stages[i];
@@ -242,16 +244,16 @@
 }
 
 /* Records the pipeline's hops between zones, whose cost is measured from its gaps. */
-static void pick_set_hops(struct tf *tf, const struct rt_service *service, struct tf_target *target,
-			  double cost_ms)
+static void pick_set_hops(struct traf *traf, const struct rt_service *service,
+			  struct traf_target *target, double cost_ms)
 {
-	struct pick_hop_ctx delays = {tf, service};
+	struct pick_hop_ctx delays = {traf, service};
 
 	memset(&target->hops, 0, sizeof(target->hops));
 	target->hops.cost_ms = cost_ms;
 	for (int i = 1; i < target->count; i++) {
-		int from = tf_zone_number(tf, target->stages[i - 1].ep->rec->zone);
-		int to = tf_zone_number(tf, target->stages[i].ep->rec->zone);
+		int from = traf_zone_number(traf, target->stages[i - 1].ep->rec->zone);
+		int to = traf_zone_number(traf, target->stages[i].ep->rec->zone);
 
 		if (from == to)
 			continue;
@@ -262,10 +264,10 @@
 }
 
 /* Excludes endpoints as first stages whose rate limits leave no room for another request. */
-static void pick_close_without_permit(struct pick *pick, struct tf *tf, const char *account)
+static void pick_close_without_permit(struct pick *pick, struct traf *traf, const char *account)
 {
 	for (int i = 0; i < pick->n; i++)
-		pick->nodes[i].closed = !tf_limit_is_open(tf, pick->eps[i], account);
+		pick->nodes[i].closed = !traf_limit_is_open(traf, pick->eps[i], account);
 }
 
 /*
@@ -273,70 +275,73 @@
  * requests that hosts send to an endpoint, not those that reach it through another endpoint. A
  * search without rate limits comes first, to find the endpoint for which a permit is lacking.
  */
-static int pick_search_permitted(struct pick *pick, struct tf *tf, const struct tf_pick_args *args)
+static int pick_search_permitted(struct pick *pick, struct traf *traf,
+				 const struct traf_pick_args *args)
 {
-	int err = pick_search(pick, tf, args->service);
-	struct tf_ep *first;
+	int err = pick_search(pick, traf, args->service);
+	struct traf_ep *first;
 
 	if (err < 0)
 		return err;
 	first = pick->eps[pick->path.stages[0].node];
-	if (tf_limit_is_open(tf, first, args->account))
+	if (traf_limit_is_open(traf, first, args->account))
 		return 0;
-	tf_limit_lacked(tf, first);
-	pick_close_without_permit(pick, tf, args->account);
-	return pick_search(pick, tf, args->service) < 0 ? FWD_ENOPERMIT : 0;
+	traf_limit_lacked(traf, first);
+	pick_close_without_permit(pick, traf, args->account);
+	return pick_search(pick, traf, args->service) < 0 ? FWD_ENOPERMIT : 0;
 }
 
-static int pick_pipeline(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
+static int pick_pipeline(struct traf *traf, const struct traf_pick_args *args,
+			 struct traf_target *target)
 {
 	const struct rt_service *service = args->service;
 	struct pick pick;
 	int err;
 
-	pick_init(&pick, tf, service, args->request, args->avoid, tmr_now());
+	pick_init(&pick, traf, service, args->request, args->avoid, tmr_now());
 	pick.ask.trust = args->trust;
-	err = pick_search_permitted(&pick, tf, args);
+	err = pick_search_permitted(&pick, traf, args);
 	if (err == FWD_ENOENDPOINT && pick.resting > 0)
 		err = FWD_ERESTING;
 	if (err == 0) {
 		target->layered = true;
 		target->tokens = pick.ask.prompt + pick.ask.answer / 2;
 		pick_add_path(target, &pick);
-		pick_set_hops(tf, service, target, pick.path.cost_ms);
+		pick_set_hops(traf, service, target, pick.path.cost_ms);
 	}
 	pick_finish(&pick);
 	return err;
 }
 
 /* Joins what a search for replacements must not use: the pipeline's endpoints and avoid. */
-static void pick_join_excluded(const struct tf_target *now, const struct tf_target *avoid,
-			       struct tf_target *without)
+static void pick_join_excluded(const struct traf_target *now, const struct traf_target *avoid,
+			       struct traf_target *without)
 {
 	*without = *now;
-	for (int i = 0; i < avoid->count && without->count < TF_STAGES_MAX; i++)
+	for (int i = 0; i < avoid->count && without->count < TRAF_STAGES_MAX; i++)
 		without->stages[without->count++] = avoid->stages[i];
 }
 
-static bool pick_needs_replacing(const struct tf_target *now, int stage,
-				 const struct tf_target *avoid, int64_t now_us)
+static bool pick_needs_replacing(const struct traf_target *now, int stage,
+				 const struct traf_target *avoid, int64_t now_us)
 {
-	const struct tf_ep *ep = now->stages[stage].ep;
+	const struct traf_ep *ep = now->stages[stage].ep;
 
-	return pick_is_avoided(avoid, ep) || !tf_ep_is_healthy(ep, now_us);
+	return pick_is_avoided(avoid, ep) || !traf_ep_is_healthy(ep, now_us);
 }
 
 /* Finds endpoints for the layers of stages bad..next-1 and appends them to the target. */
-static int pick_replace(struct pick *pick, struct tf *tf, const struct rt_service *service,
-			const struct tf_target *now, int bad, int next, struct tf_target *target)
+static int pick_replace(struct pick *pick, struct traf *traf, const struct rt_service *service,
+			const struct traf_target *now, int bad, int next,
+			struct traf_target *target)
 {
 	int err;
 
 	pick->ask.from = now->stages[bad].from;
 	pick->ask.to = now->stages[next - 1].to;
-	pick->ask.zone = tf_zone_number(tf, now->stages[bad - 1].ep->rec->zone);
-	err = pick_search(pick, tf, service);
-	if (err == 0 && target->count + pick->path.count + now->count - next > TF_STAGES_MAX)
+	pick->ask.zone = traf_zone_number(traf, now->stages[bad - 1].ep->rec->zone);
+	err = pick_search(pick, traf, service);
+	if (err == 0 && target->count + pick->path.count + now->count - next > TRAF_STAGES_MAX)
 		err = FWD_ENOENDPOINT;
 	if (err < 0)
 		return err;
@@ -347,11 +352,11 @@
 	return 0;
 }
 
-int tf_pick_repair(struct tf *tf, const struct rt_service *service,
-		   const struct seam_request *request, const struct tf_target *now,
-		   const struct tf_target *avoid, struct tf_target *target)
+int traf_pick_repair(struct traf *traf, const struct rt_service *service,
+		     const struct seam_request *request, const struct traf_target *now,
+		     const struct traf_target *avoid, struct traf_target *target)
 {
-	struct tf_target without;
+	struct traf_target without;
 	struct pick pick;
 	int64_t now_us = tmr_now();
 	int err = 0;
@@ -361,7 +366,7 @@
 	    rest_is_active(&now->stages[0].ep->rest, now_us))
 		return FWD_ENOENDPOINT;
 	pick_join_excluded(now, avoid, &without);
-	pick_init(&pick, tf, service, request, &without, now_us);
+	pick_init(&pick, traf, service, request, &without, now_us);
 	pick.ask.trust = PA_DOUBTED;
 	for (int i = 0; err == 0 && i < now->count;) {
 		int next = i;
@@ -369,7 +374,7 @@
 		while (i > 0 && next < now->count && pick_needs_replacing(now, next, avoid, now_us))
 			next++;
 		if (next > i)
-			err = pick_replace(&pick, tf, service, now, i, next, target);
+			err = pick_replace(&pick, traf, service, now, i, next, target);
 		else
 			target->stages[target->count++] = now->stages[i];
 		i = MAX(next, i + 1);
@@ -381,21 +386,21 @@
 	}
 	target->layered = true;
 	target->tokens = now->tokens;
-	pick_set_hops(tf, service, target, now->hops.cost_ms);
-	tf_target_acquire(target);
+	pick_set_hops(traf, service, target, now->hops.cost_ms);
+	traf_target_acquire(target);
 	return 0;
 }
 
-int tf_pick(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
+int traf_pick(struct traf *traf, const struct traf_pick_args *args, struct traf_target *target)
 {
 	int err;
 
 	memset(target, 0, sizeof(*target));
 	if (rt_is_layered(args->service))
-		err = pick_pipeline(tf, args, target);
+		err = pick_pipeline(traf, args, target);
 	else
-		err = pick_plain(tf, args, target);
+		err = pick_plain(traf, args, target);
 	if (err == 0)
-		tf_target_acquire(target);
+		traf_target_acquire(target);
 	return err;
 }
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -1,6 +1,6 @@
 #include "base/rnd.h"
 #include "router/pick_int.h"
-#include "router/tf_limit.h"
+#include "router/traffic_limit.h"
 
 #include <string.h>
 
@@ -17,25 +17,25 @@
  * Returns the cost of choosing the endpoint: requests under way per slot, weighted by failures,
  * availability zone and chance.
  */
-static double pick_plain_cost(struct tf *tf, struct tf_ep *ep, int64_t now_us)
+static double pick_plain_cost(struct traf *traf, struct traf_ep *ep, int64_t now_us)
 {
 	double load = (double)(ep->in_flight + 1) / MAX(ep->rec->slots, 1);
 
 	load *= 1 + pick_plain_failure * penalty_value(&ep->failing, now_us);
-	if (strcmp(ep->rec->zone, tf->router->settings.zone) != 0)
+	if (strcmp(ep->rec->zone, traf->router->settings.zone) != 0)
 		load *= pick_plain_other_zone;
-	return load * (1 + pick_plain_spread * rnd_unit(&tf->seed));
+	return load * (1 + pick_plain_spread * rnd_unit(&traf->seed));
 }
 
 /* The best endpoint found so far; ep is NULL if there is none. */
 struct pick_best {
-	struct tf_ep *ep;
+	struct traf_ep *ep;
 	enum pa_trust trust;
 	double cost;
 };
 
 /* Replaces the best endpoint if this one is more trusted, or as trusted and cheaper. */
-static void pick_keep_better(struct pick_best *best, struct tf_ep *ep, enum pa_trust trust,
+static void pick_keep_better(struct pick_best *best, struct traf_ep *ep, enum pa_trust trust,
 			     double cost)
 {
 	if (best->ep && (trust > best->trust || (trust == best->trust && cost >= best->cost)))
@@ -47,22 +47,22 @@
  * Now and then returns an endpoint that is avoided because of recent failures instead of the chosen
  * one, to find out whether it works again. Only for requests that may run again if they fail there.
  */
-static struct tf_ep *pick_trial(struct tf *tf, const struct tf_pick_args *args,
-				struct tf_ep *chosen, int64_t now_us)
+static struct traf_ep *pick_trial(struct traf *traf, const struct traf_pick_args *args,
+				  struct traf_ep *chosen, int64_t now_us)
 {
-	struct tf_ep *trial = chosen;
+	struct traf_ep *trial = chosen;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (args->may_repeat && g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct tf_ep *ep = value;
+		struct traf_ep *ep = value;
 
 		if (ep == chosen || penalty_value(&ep->failing, now_us) == 0 ||
 		    !pick_is_usable(ep, args->service) || pick_is_avoided(args->avoid, ep) ||
 		    pick_trust_level(ep, now_us) != PA_GOOD ||
 		    !rest_allows_request(&ep->rest, now_us) ||
-		    !tf_limit_is_open(tf, ep, args->account))
+		    !traf_limit_is_open(traf, ep, args->account))
 			continue;
 		if (penalty_on_passed_over(&ep->failing, now_us))
 			trial = ep;
@@ -70,7 +70,7 @@
 	return trial;
 }
 
-int pick_plain(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target)
+int pick_plain(struct traf *traf, const struct traf_pick_args *args, struct traf_target *target)
 {
 	struct pick_best best = {NULL, PA_FAULTY, 0};
 	struct pick_best permitted = {NULL, PA_FAULTY, 0};
@@ -79,7 +79,7 @@
 	int64_t now_us = tmr_now();
 	int resting = 0;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		enum pa_trust trust = pick_trust_level(value, now_us);
 		double cost;
@@ -87,21 +87,21 @@
 		if (!pick_is_usable(value, args->service) || pick_is_avoided(args->avoid, value) ||
 		    trust > args->trust)
 			continue;
-		if (!rest_allows_request(&((struct tf_ep *)value)->rest, now_us)) {
+		if (!rest_allows_request(&((struct traf_ep *)value)->rest, now_us)) {
 			resting++;
 			continue;
 		}
-		cost = pick_plain_cost(tf, value, now_us);
+		cost = pick_plain_cost(traf, value, now_us);
 		pick_keep_better(&best, value, trust, cost);
-		if (tf_limit_is_open(tf, value, args->account))
+		if (traf_limit_is_open(traf, value, args->account))
 			pick_keep_better(&permitted, value, trust, cost);
 	}
 	if (!best.ep)
 		return resting > 0 ? FWD_ERESTING : FWD_ENOENDPOINT;
 	if (best.ep != permitted.ep)
-		tf_limit_lacked(tf, best.ep);
+		traf_limit_lacked(traf, best.ep);
 	if (!permitted.ep)
 		return FWD_ENOPERMIT;
-	pick_add_stage(target, pick_trial(tf, args, permitted.ep, now_us), 0, 0);
+	pick_add_stage(target, pick_trial(traf, args, permitted.ep, now_us), 0, 0);
 	return 0;
 }
--- a/router/pick_opens.c
+++ b/router/pick_rest_end.c
@@ -12,7 +12,7 @@
  * Returns, in ascending order, the present time and the times at which rest periods of endpoints of
  * the service end.
  */
-static GArray *pick_rest_ends(struct tf *tf, const struct tf_pick_args *args)
+static GArray *pick_rest_ends(struct traf *traf, const struct traf_pick_args *args)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	int64_t now_us = tmr_now();
@@ -20,9 +20,10 @@
 	gpointer value;
 
 	g_array_append_val(times, now_us);
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		int64_t at_us = rest_next_request_us(&((const struct tf_ep *)value)->rest, now_us);
+		int64_t at_us =
+			rest_next_request_us(&((const struct traf_ep *)value)->rest, now_us);
 
 		if (at_us > now_us && pick_is_usable(value, args->service) &&
 		    !pick_is_avoided(args->avoid, value))
@@ -43,24 +44,24 @@
 }
 
 /* Returns whether the endpoints that don't rest at that time are enough for the request. */
-static bool pick_suffices_at(struct tf *tf, const struct tf_pick_args *args, int64_t at_us)
+static bool pick_suffices_at(struct traf *traf, const struct traf_pick_args *args, int64_t at_us)
 {
 	struct pick pick;
 	bool served;
 
-	pick_init(&pick, tf, args->service, args->request, args->avoid, at_us);
+	pick_init(&pick, traf, args->service, args->request, args->avoid, at_us);
 	pick.ask.trust = args->trust;
 	if (rt_is_layered(args->service))
-		served = pick_search(&pick, tf, args->service) == 0;
+		served = pick_search(&pick, traf, args->service) == 0;
 	else
 		served = pick_has_trusted(&pick);
 	pick_finish(&pick);
 	return served;
 }
 
-int64_t tf_pick_rest_end_us(struct tf *tf, const struct tf_pick_args *args)
+int64_t traf_pick_rest_end_us(struct traf *traf, const struct traf_pick_args *args)
 {
-	GArray *times = pick_rest_ends(tf, args);
+	GArray *times = pick_rest_ends(traf, args);
 	guint low = 0;
 	guint high = times->len;
 	int64_t end_us;
@@ -71,7 +72,7 @@
 	while (low < high) {
 		guint middle = (low + high) / 2;
 
-		if (pick_suffices_at(tf, args, g_array_index(times, int64_t, middle)))
+		if (pick_suffices_at(traf, args, g_array_index(times, int64_t, middle)))
 			high = middle;
 		else
 			low = middle + 1;
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -3,7 +3,7 @@
 #include "base/jl.h"
 #include "base/met.h"
 #include "router/ctrl.h"
-#include "router/tf.h"
+#include "router/traffic.h"
 
 #include <string.h>
 
@@ -113,7 +113,7 @@
 	GPtrArray *changed = quarantine_merge(quarantine, entries);
 
 	if (changed->len > 0)
-		tf_quar_post(quarantine->ctrl->router->tf, changed);
+		traf_quar_post(quarantine->ctrl->router->traf, changed);
 	quarantine_forward(quarantine, changed, source);
 	g_ptr_array_unref(changed);
 }
@@ -211,7 +211,7 @@
 	}
 	n = (int)cleared->len;
 	if (n > 0)
-		tf_quar_post(quarantine->ctrl->router->tf, cleared);
+		traf_quar_post(quarantine->ctrl->router->traf, cleared);
 	quarantine_forward(quarantine, cleared, NULL);
 	g_ptr_array_unref(cleared);
 	g_ptr_array_unref(search.found);
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -22,7 +22,7 @@
  * that change while the store is unreachable are written when it is reachable again.
  */
 struct ctrl;
-struct tf;
+struct traf;
 struct quarantine;
 
 /* Returns an array of struct quar_entry that frees its elements. */
@@ -103,7 +103,7 @@
 void quar_store_on_tick(struct quar_store *store, int64_t now_us);
 
 /* Passes entries from other hosts or from the store to the traffic thread. */
-void tf_quar_post(struct tf *tf, const GPtrArray *entries);
+void traf_quar_post(struct traf *traf, const GPtrArray *entries);
 
 /*
  * Logs that a request is refused from now on, or no longer. from is the origin of the change: this
--- a/router/router.h
+++ b/router/router.h
@@ -108,7 +108,7 @@
 void router_origin_set(struct router_origin *origin, uint64_t digest, const char *by);
 
 struct ctrl;
-struct tf;
+struct traf;
 
 struct router {
 	struct router_settings settings;
@@ -118,7 +118,7 @@
 	char *settings_waiting;
 	const struct seam *seam; /* Formats of the deployment */
 	struct ctrl *ctrl;	 /* State of the control thread */
-	struct tf *tf;		 /* State of the traffic thread */
+	struct traf *traf;	 /* State of the traffic thread */
 	struct hd *front;	 /* HTTP server for callers' requests */
 	struct hd *ready_hd;	 /* HTTP server of the readiness check */
 	struct hd *metrics_hd;	 /* HTTP server of the metrics and the state page */
@@ -151,25 +151,25 @@
  */
 void state_clear_quarantine(struct router *router, struct hd_call *call);
 
-/* Traffic thread: tf.c, with rq.c and pick.c. */
-struct tf *tf_start(struct router *router);
+/* Traffic thread: traffic.c, with txn.c and pick.c. */
+struct traf *traf_start(struct router *router);
 
 /* Posts a new view and passes its ownership. Called from the control thread. */
-void tf_post_view(struct tf *tf, struct router_view *view);
+void traf_post_view(struct traf *traf, struct router_view *view);
 
 /* Posts the time at which the last view matched the store. Called from the control thread. */
-void tf_post_fresh(struct tf *tf, int64_t synced_us);
+void traf_post_synced(struct traf *traf, int64_t synced_us);
 
 /* Posts load reports (struct router_load). Called from the control thread. */
-void tf_post_loads(struct tf *tf, GArray *loads);
+void traf_post_loads(struct traf *traf, GArray *loads);
 
 /* Posts that another host suspects the endpoint. Called from the control thread. */
-void tf_post_suspect(struct tf *tf, const char *endpoint, int64_t for_ms, const char *why);
+void traf_post_suspect(struct traf *traf, const char *endpoint, int64_t for_ms, const char *why);
 
 /* Returns the number of requests that have not ended. May be called from any thread. */
-unsigned int tf_open(const struct tf *tf);
+unsigned int traf_open_requests(const struct traf *traf);
 
 /* Handles a caller's request. Called from a thread of the HTTP library. */
-void tf_on_call(void *ctx, struct hd_call *call);
+void traf_on_call(void *ctx, struct hd_call *call);
 
 #endif
--- a/router/state.c
+++ b/router/state.c
@@ -1,7 +1,7 @@
 #include "base/jl.h"
 #include "base/met.h"
 #include "router/ctrl.h"
-#include "router/tf.h"
+#include "router/traffic.h"
 
 #include <jansson.h>
 #include <string.h>
@@ -126,7 +126,7 @@
 	state_add_origins(state->json, ctrl);
 	json_object_set_new(state->json, "quarantine", state_quarantine(ctrl));
 	json_object_set_new(state->json, "limits", limits_to_json(ctrl->limits));
-	loop_post(&state->router->tf->loop, state_add_traffic_part, state);
+	loop_post(&state->router->traf->loop, state_add_traffic_part, state);
 }
 
 static int64_t state_remaining_ms(int64_t until_us, int64_t now_us)
@@ -134,7 +134,7 @@
 	return MAX(until_us - now_us, 0) / TMR_US_PER_MS;
 }
 
-static json_t *state_endpoint(const struct tf_ep *ep, int64_t now_us)
+static json_t *state_endpoint(const struct traf_ep *ep, int64_t now_us)
 {
 	const struct ep_rec *rec = ep->rec;
 
@@ -152,64 +152,64 @@
 }
 
 /* Lists the endpoints that asked this host to send nothing for a while, and the remaining time. */
-static json_t *state_rests(const struct tf *tf, int64_t now_us)
+static json_t *state_rests(const struct traf *traf, int64_t now_us)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct tf_ep *ep = value;
+		const struct traf_ep *ep = value;
 		int64_t left_ms = state_remaining_ms(ep->rest.until_us, now_us);
 
 		if (left_ms > 0)
 			json_array_append_new(
-				list,
-				json_pack("{s:s, s:s, s:s, s:I, s:I, s:s?}", "endpoint",
-					  ep->rec->incarnation, "addr", ep->rec->addr, "host",
-					  tf->router->settings.name, "left_ms", (json_int_t)left_ms,
-					  "age_ms",
-					  (json_int_t)(now_us - ep->rest_since_us) / TMR_US_PER_MS,
-					  "said_to", ep->rest_by));
+				list, json_pack("{s:s, s:s, s:s, s:I, s:I, s:s?}", "endpoint",
+						ep->rec->incarnation, "addr", ep->rec->addr, "host",
+						traf->router->settings.name, "left_ms",
+						(json_int_t)left_ms, "age_ms",
+						(json_int_t)(now_us - ep->rest_demanded_us) /
+							TMR_US_PER_MS,
+						"said_to", ep->rest_demanded_by));
 	}
 	return list;
 }
 
-static json_t *state_endpoints(const struct tf *tf, int64_t now_us)
+static json_t *state_endpoints(const struct traf *traf, int64_t now_us)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		json_array_append_new(list, state_endpoint(value, now_us));
 	return list;
 }
 
-static json_t *state_accounts(const struct tf *tf, int64_t now_us)
+static json_t *state_accounts(const struct traf *traf, int64_t now_us)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, tf->share.accounts);
+	g_hash_table_iter_init(&iter, traf->share.accounts);
 	while (g_hash_table_iter_next(&iter, &name, &value))
 		json_array_append_new(list, json_pack("{s:s, s:f}", "name", name, "tokens",
 						      sh_tokens_used(value, now_us)));
 	return list;
 }
 
-static json_t *state_budgets(const struct tf *tf, int64_t now_us)
+static json_t *state_budgets(const struct traf *traf, int64_t now_us)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer name;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, tf->budgets);
+	g_hash_table_iter_init(&iter, traf->budgets);
 	while (g_hash_table_iter_next(&iter, &name, &value))
 		json_array_append_new(list,
 				      json_pack("{s:s, s:f, s:f}", "service", name, "left",
@@ -221,15 +221,15 @@
 static void state_add_traffic_part(void *ctx)
 {
 	struct state *state = ctx;
-	const struct tf *tf = state->router->tf;
+	const struct traf *traf = state->router->traf;
 	int64_t now_us = tmr_now();
 	char *text;
 
-	json_object_set_new(state->json, "requests", json_integer(tf->reqs->len));
-	json_object_set_new(state->json, "endpoints", state_endpoints(tf, now_us));
-	json_object_set_new(state->json, "rests", state_rests(tf, now_us));
-	json_object_set_new(state->json, "accounts", state_accounts(tf, now_us));
-	json_object_set_new(state->json, "budgets", state_budgets(tf, now_us));
+	json_object_set_new(state->json, "requests", json_integer(traf->reqs->len));
+	json_object_set_new(state->json, "endpoints", state_endpoints(traf, now_us));
+	json_object_set_new(state->json, "rests", state_rests(traf, now_us));
+	json_object_set_new(state->json, "accounts", state_accounts(traf, now_us));
+	json_object_set_new(state->json, "budgets", state_budgets(traf, now_us));
 	text = json_dumps(state->json, JSON_COMPACT | JSON_REAL_PRECISION(4));
 	if (text)
 		hd_reply(state->call, 200, "application/json", text, strlen(text));
--- a/router/suspect.c
+++ b/router/suspect.c
@@ -135,7 +135,8 @@
 		placer_on_change(ctrl->placer);
 	}
 	if (source)
-		tf_post_suspect(ctrl->router->tf, suspect->endpoint, suspect->for_ms, suspect->why);
+		traf_post_suspect(ctrl->router->traf, suspect->endpoint, suspect->for_ms,
+				  suspect->why);
 	if (++forwarded.hops > SUSPECT_HOPS_MAX)
 		return;
 	if (strcmp(suspect->why, SUSPECT_RESTS) == 0 && !notice_allow_hint(ctrl, tmr_now()))
--- a/router/tf.h
+++ b/router/traffic.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_TF_H
-#define ROUTER_TF_H
+#ifndef ROUTER_TRAFFIC_H
+#define ROUTER_TRAFFIC_H
 
 #include "adm/adm.h"
 #include "back/back.h"
@@ -26,7 +26,7 @@
  * An endpoint in the traffic thread: its record from the store, and what this host has measured and
  * observed itself. Requests hold references, so it outlives its entry in the list of endpoints.
  */
-struct tf_ep {
+struct traf_ep {
 	struct ep_rec *rec; /* the endpoint's record as last read */
 	int refs;	    /* reference count: one for the table of endpoints, one for each user */
 	bool listed;	    /* the present view contains the endpoint */
@@ -39,45 +39,46 @@
 	struct avoid_period
 		doubt; /* time for which the endpoint is not chosen, as it may be faulty */
 	int64_t last_unreachable_us; /* time of the last failure to connect, in us; 0: none */
-	int64_t progress_us;	/* time of the last data from the endpoint as first stage, in us */
-	struct hc_call *report; /* report request under way; NULL: none */
-	int64_t report_us;	/* time at which a report was last requested, in us */
-	struct hc_call *check;	/* liveness check under way; NULL: none */
-	int64_t check_us;	/* time at which the last liveness check was sent, in us */
-	int64_t missed_us;	/* time of a failed liveness check, in us; 0: none since another
-				 * endpoint answered */
+	int64_t last_data_us;	 /* time of the last data from the endpoint as first stage, in us */
+	struct hc_call *report;	 /* report request under way; NULL: none */
+	int64_t report_us;	 /* time at which a report was last requested, in us */
+	struct hc_call *check;	 /* liveness check under way; NULL: none */
+	int64_t check_us;	 /* time at which the last liveness check was sent, in us */
+	int64_t check_failed_us; /* time of a failed liveness check, in us; 0: none since another
+				  * endpoint answered */
 	struct crash_check *crash; /* check whether the endpoint has crashed, started when attempts
 				    * broke off there; NULL: none */
 	struct lim_permits limit;  /* rate limit set by the endpoint, and this host's permits */
 	int64_t limit_used;	   /* number of requests sent to the endpoint with a permit */
-	bool limit_unreadable;	   /* an unparsable rate limit of the endpoint has been logged */
-	int64_t limit_told_us; /* time of the last report of the limit to the control thread, in us
-				*/
+	bool limit_unreadable_logged; /* an unparsable rate limit of the endpoint has been logged */
+	int64_t limit_reported_us; /* time of the last report of the limit to the control thread, in
+				    * us
+				    */
 	struct rest_period
 		rest; /* rest period, in which the endpoint takes no requests of this host */
-	int64_t rest_since_us; /* time of the last demand for a rest period, in us; 0: never */
-	char *rest_by;	       /* id of the request whose answer demanded the rest period; owned;
-				* NULL: an answer to another call, such as a report, did */
-	bool rest_end_logged;  /* the end of the latest rest period has been logged */
+	int64_t rest_demanded_us; /* time of the last demand for a rest period, in us; 0: never */
+	char *rest_demanded_by;	  /* id of the request whose answer demanded the rest period; owned;
+				   * NULL: an answer to another call, such as a report, did */
+	bool rest_end_logged;	  /* the end of the latest rest period has been logged */
 	bool rest_unreadable_logged; /* an unparsable demand for a rest period has been logged */
 	bool leaving;		     /* an answer of the endpoint announced its shutdown */
 	struct penalty failing;	     /* recent failures; used for endpoints of plain services */
 };
 
 enum {
-	TF_STAGES_MAX = PA_STAGES_MAX /* most stages of a pipeline */
+	TRAF_STAGES_MAX = PA_STAGES_MAX /* most stages of a pipeline */
 };
 
 /* One stage of a pipeline: the endpoint runs layers from..to-1. */
-struct tf_stage {
-	struct tf_ep *ep;
+struct traf_stage {
+	struct traf_ep *ep;
 	int from; /* first layer of the stage */
 	int to;	  /* first layer after the stage */
 };
 
 /* Endpoints chosen for one attempt: the stages of a pipeline, or one endpoint. */
-struct tf_target {
-	struct tf_stage stages[TF_STAGES_MAX];
+struct traf_target {
+	struct traf_stage stages[TRAF_STAGES_MAX];
 	int count;	      /* number of stages */
 	bool layered;	      /* a pipeline; false: one endpoint of a plain service */
 	double tokens;	      /* context tokens of the request, as estimated */
@@ -85,14 +86,14 @@
 };
 
 /* State of the traffic thread. */
-struct tf {
+struct traf {
 	struct router *router;
 	struct loop loop;
 	pthread_t thread;
 	struct hc *hc;		     /* HTTP client for calls to endpoints */
 	struct router_view *view;    /* last view from the control thread; NULL: none yet */
-	GHashTable *eps;	     /* endpoints by incarnation: char * -> struct tf_ep */
-	GHashTable *by_addr;	     /* listed endpoints by address: char * -> struct tf_ep */
+	GHashTable *eps;	     /* endpoints by incarnation: char * -> struct traf_ep */
+	GHashTable *by_addr;	     /* listed endpoints by address: char * -> struct traf_ep */
 	struct sh share;	     /* usage of each client account */
 	struct served served;	     /* contents of requests recently answered in full */
 	struct quar quar;	     /* quarantine of requests that crash endpoints */
@@ -108,82 +109,83 @@
 	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
 	GPtrArray *reqs;	     /* requests that have not been freed (struct rq) */
 	struct hop hop;		     /* measured cost of hops between availability zones */
-	GQueue *parked;	   /* requests received before the first complete view (struct tf_parked) */
-	struct tmr sweep;  /* timer of the periodic sweep */
-	uint32_t seed;	   /* state of the random number generator */
-	double checks;	   /* liveness checks allowed now (a token bucket); see stall.c */
-	int64_t checks_us; /* time at which the token bucket was last refilled, in us */
-	int64_t check_ok_us; /* time at which an endpoint last answered a check or report, in us */
-	int64_t heard_us;    /* time of the last head or data from any endpoint, in us */
-	int64_t start_us;    /* time at which the traffic thread was started, in us */
-	unsigned int open;   /* atomic: number of requests received and not yet freed */
+	GQueue *parked; /* requests received before the first complete view (struct traf_parked) */
+	struct tmr sweep;	   /* timer of the periodic sweep */
+	uint32_t seed;		   /* state of the random number generator */
+	double checks;		   /* liveness checks allowed now (a token bucket); see stall.c */
+	int64_t check_refill_us;   /* time at which the token bucket was last refilled, in us */
+	int64_t check_answered_us; /* time at which an endpoint last answered a check or report, in
+				      us */
+	int64_t heard_us;	   /* time of the last head or data from any endpoint, in us */
+	int64_t start_us;	   /* time at which the traffic thread was started, in us */
+	unsigned int open;	   /* atomic: number of requests received and not yet freed */
 	int64_t view_valid_us; /* last time at which the view was known to match the store, in us */
 };
 
-/* Arguments of tf_pick() and tf_pick_rest_end_us(). */
-struct tf_pick_args {
+/* Arguments of traf_pick() and traf_pick_rest_end_us(). */
+struct traf_pick_args {
 	const struct rt_service *service;
 	const struct seam_request *request;
-	const char *account;	       /* name of the client account; "": none */
-	const struct tf_target *avoid; /* endpoints that must not be chosen; NULL: none */
-	enum pa_trust trust;	       /* least trusted class of endpoints that may be chosen */
-	bool may_repeat;	       /* the request may run more than once */
+	const char *account;		 /* name of the client account; "": none */
+	const struct traf_target *avoid; /* endpoints that must not be chosen; NULL: none */
+	enum pa_trust trust;		 /* least trusted class of endpoints that may be chosen */
+	bool may_repeat;		 /* the request may run more than once */
 };
 
 /*
  * Chooses the endpoints for one attempt. Returns 0 or a negative FWD_E. The target holds
- * references until tf_target_release().
+ * references until traf_target_release().
  */
-int tf_pick(struct tf *tf, const struct tf_pick_args *args, struct tf_target *target);
+int traf_pick(struct traf *traf, const struct traf_pick_args *args, struct traf_target *target);
 
 /*
  * Chooses other endpoints for the layers of the faulty stages of a pipeline and keeps the other
  * stages. Faulty are endpoints in avoid, suspected or leaving ones, and those that are no longer
  * listed as ready. The first stage can't be replaced. Returns 0 or a negative FWD_E.
  */
-int tf_pick_repair(struct tf *tf, const struct rt_service *service,
-		   const struct seam_request *request, const struct tf_target *now,
-		   const struct tf_target *avoid, struct tf_target *target);
+int traf_pick_repair(struct traf *traf, const struct rt_service *service,
+		     const struct seam_request *request, const struct traf_target *now,
+		     const struct traf_target *avoid, struct traf_target *target);
 
 /*
  * Returns the earliest time, in us, at which rest periods leave enough endpoints for the request:
  * the present time if they do so already or no endpoint rests, -1 if there would not be enough even
  * if no endpoint rested.
  */
-int64_t tf_pick_rest_end_us(struct tf *tf, const struct tf_pick_args *args);
+int64_t traf_pick_rest_end_us(struct traf *traf, const struct traf_pick_args *args);
 
 /* Returns whether the endpoint is listed as ready, not leaving and not known to be faulty. */
-bool tf_ep_is_healthy(const struct tf_ep *ep, int64_t now_us);
+bool traf_ep_is_healthy(const struct traf_ep *ep, int64_t now_us);
 
 /* Formats the pipeline as it is sent to endpoints; free with g_free(). */
-char *tf_format_pipeline(const struct tf *tf, const struct tf_target *target);
+char *traf_format_pipeline(const struct traf *traf, const struct traf_target *target);
 
 /* References the target's endpoints and adds the request to their load. */
-void tf_target_acquire(struct tf_target *target);
+void traf_target_acquire(struct traf_target *target);
 
-/* Undoes tf_target_acquire() and empties the target. */
-void tf_target_release(struct tf_target *target);
+/* Undoes traf_target_acquire() and empties the target. */
+void traf_target_release(struct traf_target *target);
 
 /* Starts to determine which stage of a silent pipeline is at fault; see stall.c. */
-void stall_ask(struct tf *tf, const struct tf_target *target);
+void stall_find_stage(struct traf *traf, const struct traf_target *target);
 
 /*
  * Checks an endpoint that the first stage named as the cause of a failure: it may be dead, or only
  * out of memory.
  */
-void stall_on_named(struct tf *tf, struct tf_ep *first, struct tf_ep *culprit);
+void stall_check_named(struct traf *traf, struct traf_ep *first, struct traf_ep *culprit);
 
 enum {
-	TF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
+	TRAF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
 };
 
 /* Return the state of the service, which is created on first use. */
-struct bud *tf_budget(struct tf *tf, const char *service);
-struct bk *tf_retry_delay(struct tf *tf, const char *service);
-struct adm *tf_admission(struct tf *tf, const char *service);
+struct bud *traf_budget(struct traf *traf, const char *service);
+struct bk *traf_retry_delay(struct traf *traf, const char *service);
+struct adm *traf_admission(struct traf *traf, const char *service);
 
 /* Drops a reference; frees the endpoint with the last one. */
-void tf_ep_unref(struct tf_ep *ep);
+void traf_ep_unref(struct traf_ep *ep);
 
 /*
  * Faults of endpoints, found by this host or reported by others. In the functions below, why is the
@@ -194,103 +196,104 @@
  * Excludes the endpoint from choice for that time, on this host only: for symptoms that may have
  * another cause than a faulty endpoint.
  */
-void tf_doubt(struct tf_ep *ep, int64_t for_us, const char *why, const char *request);
+void traf_exclude_briefly(struct traf_ep *ep, int64_t for_us, const char *why, const char *request);
 
 /*
  * Excludes an endpoint that an engine named as faulty, on this host only. The time doubles with
  * each such report in a row.
  */
-void tf_on_named_faulty(struct tf_ep *ep, const char *why, const char *request);
+void traf_on_named_faulty(struct traf_ep *ep, const char *why, const char *request);
 
 /*
  * Excludes the endpoint for that time on all hosts. Only for certain faults: a host that merely
  * guesses which stage of a pipeline is faulty would take sound endpoints from all hosts.
  */
-void tf_suspect(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *why,
-		const char *request);
+void traf_mark_faulty(struct traf *traf, struct traf_ep *ep, int64_t for_us, const char *why,
+		      const char *request);
 
 /*
  * Excludes the endpoint for that time on this host only. Requests whose pipeline stalls there are
  * moved to other endpoints.
  */
-void tf_mark_faulty_here(struct tf *tf, struct tf_ep *ep, int64_t for_us, const char *why,
-			 const char *request);
+void traf_mark_faulty_here(struct traf *traf, struct traf_ep *ep, int64_t for_us, const char *why,
+			   const char *request);
 
 /* Returns the number of an availability zone, from 1; an unknown name gets the next number. */
-int tf_zone_number(struct tf *tf, const char *name);
+int traf_zone_number(struct traf *traf, const char *name);
 
 /*
  * Handles a failure to connect to the endpoint. A single failure may be this host's fault, or the
  * endpoint's listen queue may be full; a second one within a short time is taken as proof of a
  * fault and reported to all hosts.
  */
-void tf_unreached(struct tf *tf, struct tf_ep *ep, const char *why, const char *request);
+void traf_on_unreachable(struct traf *traf, struct traf_ep *ep, const char *why,
+			 const char *request);
 
 /* Returns whether the thread has received a configuration and a list of endpoints. */
-bool tf_has_view(const struct tf *tf);
+bool traf_has_view(const struct traf *traf);
 
 /* One caller's request on this host. */
-struct rq;
+struct txn;
 
 /*
  * Returns the time in us for which the request has waited at engines of the service for its first
  * token, or -1 if it does not wait for one there. The time that it waited on this host, for a
  * configuration or an endpoint, is left out, since it says nothing about the engines.
  */
-int64_t rq_first_token_wait_us(const struct rq *rq, const char *service, int64_t now_us);
+int64_t txn_first_token_wait_us(const struct txn *txn, const char *service, int64_t now_us);
 
 /* Returns whether the request waits for room under the rate limits of the service's endpoints. */
-bool rq_waits_for_limit(const struct rq *rq, const char *service);
+bool txn_waits_for_limit(const struct txn *txn, const char *service);
 
 /* Starts a request. received_us: time at which all of the request had been received. */
-void rq_start(struct tf *tf, struct hd_call *call, int64_t received_us);
+void txn_start(struct traf *traf, struct hd_call *call, int64_t received_us);
 
 /* Repairs the request's pipeline if it is silent and includes an endpoint found faulty. */
-void rq_on_faulty(struct rq *rq, const struct tf_ep *ep);
+void txn_on_faulty(struct txn *txn, const struct traf_ep *ep);
 
 /*
  * Repairs the request's pipeline if it is silent and a stage after the first is an endpoint that
  * does not answer.
  */
-void rq_on_missing(struct rq *rq, struct tf_ep *ep);
+void txn_on_unresponsive(struct txn *txn, struct traf_ep *ep);
 
 /*
  * Returns the first stage of the request's pipeline if the pipeline is silent and ep is a later
  * stage of it; else NULL.
  */
-struct tf_ep *rq_silent_first_stage(const struct rq *rq, const struct tf_ep *ep);
+struct traf_ep *txn_silent_first_stage(const struct txn *txn, const struct traf_ep *ep);
 
 /* Returns whether the request has recently received data through the endpoint. */
-bool rq_received_through(const struct rq *rq, const struct tf_ep *ep, int64_t now_us);
+bool txn_received_through(const struct txn *txn, const struct traf_ep *ep, int64_t now_us);
 
 /*
  * Moves the request off an endpoint that has become slow, unless that would cost a repeat: only a
  * stage after the first is replaced.
  */
-void rq_on_slow(struct rq *rq, const struct tf_ep *ep);
+void txn_on_slow(struct txn *txn, const struct traf_ep *ep);
 
 /*
  * Handles the report of the first stage that the request is stalled at the endpoint with that
  * address. culprit: NULL if the report names none.
  */
-void rq_on_stalled(struct rq *rq, const char *culprit);
+void txn_on_stalled(struct txn *txn, const char *culprit);
 
 /* Returns whether the request has that id and its present attempt was sent to first. */
-bool rq_is(const struct rq *rq, const struct tf_ep *first, const char *id);
+bool txn_is_attempt_at(const struct txn *txn, const struct traf_ep *first, const char *id);
 
 /*
  * Handles a new quarantine entry: if it matches this request, the request ends, unless its answer
  * has already gone on for long enough to show that it does not crash the endpoint.
  */
-void rq_on_quarantine(struct rq *rq, const struct quar_entry *entry);
+void txn_on_quarantine(struct txn *txn, const struct quar_entry *entry);
 
 /*
  * Returns the time in us over which the request's answer has arrived so far, over all attempts; 0
  * if the request has another content or account.
  */
-int64_t rq_lasted_us(const struct rq *rq, const struct quar_id *id);
+int64_t txn_answer_duration_us(const struct txn *txn, const struct quar_id *id);
 
 /* Ends the request if its caller has closed the connection. */
-void rq_on_sweep(struct rq *rq);
+void txn_on_sweep(struct txn *txn);
 
 #endif
--- a/router/tf_heard.h
+++ b/router/traffic_head.h
@@ -1,7 +1,7 @@
-#ifndef ROUTER_TF_HEARD_H
-#define ROUTER_TF_HEARD_H
+#ifndef ROUTER_TRAFFIC_HEAD_H
+#define ROUTER_TRAFFIC_HEAD_H
 
-#include "router/tf.h"
+#include "router/traffic.h"
 
 G_BEGIN_DECLS
 
@@ -13,17 +13,17 @@
  */
 
 /* Handles the head of the answer to a request that was sent at sent_us, by tmr_boot_now(). */
-void tf_head_of_request(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
-			int64_t sent_us, const char *request);
+void traf_head_of_request(struct traf *traf, struct traf_ep *ep, const struct seam_answer *answer,
+			  int64_t sent_us, const char *request);
 
 /* Handles the head of the answer to a report, a check or an order of the traffic thread. */
-void tf_heard_call(struct tf *tf, struct tf_ep *ep, int status, const GPtrArray *headers);
+void traf_head_of_call(struct traf *traf, struct traf_ep *ep, int status, const GPtrArray *headers);
 
 /*
  * Passes the head of an answer that the control thread received on to the traffic thread; may be
  * called in any thread. endpoint: its incarnation.
  */
-void tf_heard_post(struct tf *tf, const char *endpoint, const struct seam_answer *answer);
+void traf_head_post(struct traf *traf, const char *endpoint, const struct seam_answer *answer);
 
 G_END_DECLS
 
--- a/router/tf_limit.c
+++ b/router/traffic_limit.c
@@ -1,4 +1,4 @@
-#include "router/tf_limit.h"
+#include "router/traffic_limit.h"
 #include "base/jl.h"
 #include "base/met.h"
 #include "router/limits.h"
@@ -7,23 +7,23 @@
 
 enum {
 	/* Status of a response from another endpoint, which now has the address. */
-	TF_LIMIT_STATUS_MISDIRECTED = 421,
+	TRAF_LIMIT_STATUS_MISDIRECTED = 421,
 	/* Minimum interval in us between two reports of demand for the same endpoint. */
-	TF_LIMIT_REPORT_INTERVAL_US = 20000
+	TRAF_LIMIT_REPORT_INTERVAL_US = 20000
 };
 
 /* Maximum number of requests that wait for permits, as the time in s in which the limits allow
  * them. */
-static const double tf_limit_queue_s = 0.5;
+static const double traf_limit_queue_s = 0.5;
 
 /* A limit or permits that the control thread posts to the traffic thread. */
-struct tf_limit_msg {
-	struct tf *tf;
+struct traf_limit_msg {
+	struct traf *traf;
 	struct limit_update update;
 };
 
-static void tf_limit_log(const struct tf_ep *ep, const char *event, double before,
-			 const char *request, const char *from)
+static void traf_limit_log(const struct traf_ep *ep, const char *event, double before,
+			   const char *request, const char *from)
 {
 	jl_begin(JL_KEEP, event);
 	jl_str("endpoint", ep->rec->incarnation);
@@ -38,7 +38,7 @@
 }
 
 /* Sets the gauges of one endpoint, which exist from the first limit that it announces. */
-static void tf_limit_set_gauges(const struct tf_ep *ep, int64_t now_us)
+static void traf_limit_set_gauges(const struct traf_ep *ep, int64_t now_us)
 {
 	bool binds = lim_permits_are_required(&ep->limit, now_us);
 	double rate = binds ? lim_current_rate(&ep->limit.news, now_us) : 0;
@@ -53,13 +53,13 @@
  * Counts an unreadable limit, and logs the first one of each endpoint, because it may come with
  * every response.
  */
-static void tf_limit_log_unreadable(struct tf_ep *ep, const struct seam_answer *answer,
-				    const char *request)
+static void traf_limit_log_unreadable(struct traf_ep *ep, const struct seam_answer *answer,
+				      const char *request)
 {
 	met_add(met_counter("bg_limit_unreadable_total", ""), 1);
-	if (ep->limit_unreadable)
+	if (ep->limit_unreadable_logged)
 		return;
-	ep->limit_unreadable = true;
+	ep->limit_unreadable_logged = true;
 	jl_begin(JL_KEEP, "limit_unreadable");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
@@ -70,7 +70,7 @@
 }
 
 /* Reports the limit, the demand for permits and the unused permits to the control thread. */
-static void tf_limit_report_demand(struct tf *tf, struct tf_ep *ep)
+static void traf_limit_report_demand(struct traf *traf, struct traf_ep *ep)
 {
 	const struct limit_update update = {
 		.endpoint = ep->rec->incarnation,
@@ -81,19 +81,19 @@
 
 	ep->limit.wanted = 0;
 	ep->limit.returned = 0;
-	ep->limit_told_us = tmr_now();
-	limits_post(tf->router->ctrl, &update);
+	ep->limit_reported_us = tmr_now();
+	limits_post(traf->router->ctrl, &update);
 }
 
 /* Applies a limit, or the lifting of one. Returns whether that is a change. */
-static bool tf_limit_apply(struct tf_ep *ep, const struct lim_notice *news, const char *request,
-			   const char *from)
+static bool traf_limit_apply(struct traf_ep *ep, const struct lim_notice *news, const char *request,
+			     const char *from)
 {
 	double before = ep->limit.news.named ? ep->limit.news.rate : -1;
 
 	if (!lim_permits_update_limit(&ep->limit, news))
 		return false;
-	tf_limit_log(ep, news->named ? "limit_named" : "limit_lifted", before, request, from);
+	traf_limit_log(ep, news->named ? "limit_named" : "limit_lifted", before, request, from);
 	met_add(met_counter(news->named ? "bg_limits_named_total" : "bg_limits_lifted_total", ""),
 		1);
 	return true;
@@ -105,115 +105,115 @@
  * been delayed, and if the response bears the endpoint's seal, because a rejection may omit the
  * limit.
  */
-static bool tf_limit_is_lifted(const struct tf_ep *ep, const struct seam_answer *answer,
-			       int64_t sent_us)
+static bool traf_limit_is_lifted(const struct traf_ep *ep, const struct seam_answer *answer,
+				 int64_t sent_us)
 {
 	return answer->limit == SEAM_LIMIT_NONE && answer->head.sealed && ep->limit.news.named &&
 	       sent_us > ep->limit.news.stated_us;
 }
 
-void tf_limit_on_answer(struct tf *tf, struct tf_ep *ep, const struct seam_answer *answer,
-			int64_t sent_us, const char *request)
+void traf_limit_on_answer(struct traf *traf, struct traf_ep *ep, const struct seam_answer *answer,
+			  int64_t sent_us, const char *request)
 {
 	struct lim_notice news = {answer->limit == SEAM_LIMIT_STATED, answer->limit_rate,
 				  tmr_boot_now()};
 
-	if (!answer->head.id_matches || answer->head.status == TF_LIMIT_STATUS_MISDIRECTED)
+	if (!answer->head.id_matches || answer->head.status == TRAF_LIMIT_STATUS_MISDIRECTED)
 		return;
 	if (answer->limit_value_count > 1 || answer->limit == SEAM_LIMIT_UNREADABLE)
-		tf_limit_log_unreadable(ep, answer, request);
-	if (!news.named && !tf_limit_is_lifted(ep, answer, sent_us))
+		traf_limit_log_unreadable(ep, answer, request);
+	if (!news.named && !traf_limit_is_lifted(ep, answer, sent_us))
 		return;
 	if (!news.named)
 		news.rate = ep->limit.news.rate;
-	if (tf_limit_apply(ep, &news, request, "endpoint"))
-		tf_limit_report_demand(tf, ep);
+	if (traf_limit_apply(ep, &news, request, "endpoint"))
+		traf_limit_report_demand(traf, ep);
 }
 
 /*
  * Returns whether the endpoint has never announced a limit, as most have not. This is the fast path
  * of each endpoint selection.
  */
-static bool tf_limit_never_announced(const struct tf_ep *ep)
+static bool traf_limit_never_announced(const struct traf_ep *ep)
 {
 	return ep->limit.news.stated_us == 0;
 }
 
-bool tf_limit_is_open(struct tf *tf, struct tf_ep *ep, const char *account)
+bool traf_limit_is_open(struct traf *traf, struct traf_ep *ep, const char *account)
 {
 	int64_t now_us;
 
-	if (tf_limit_never_announced(ep))
+	if (traf_limit_never_announced(ep))
 		return true;
 	now_us = tmr_boot_now();
 	if (!lim_permits_may_send(&ep->limit, now_us))
 		return false;
 	return !lim_permits_are_required(&ep->limit, now_us) ||
-	       lim_fair_may_use_permit(&tf->limit_fair, account, now_us);
+	       lim_fair_may_use_permit(&traf->limit_fair, account, now_us);
 }
 
 /* Counts a permit as needed, and reports the demand unless one was reported just before. */
-static void tf_limit_add_demand(struct tf *tf, struct tf_ep *ep)
+static void traf_limit_add_demand(struct traf *traf, struct traf_ep *ep)
 {
 	ep->limit.wanted++;
-	if (tmr_now() - ep->limit_told_us >= TF_LIMIT_REPORT_INTERVAL_US)
-		tf_limit_report_demand(tf, ep);
+	if (tmr_now() - ep->limit_reported_us >= TRAF_LIMIT_REPORT_INTERVAL_US)
+		traf_limit_report_demand(traf, ep);
 }
 
-void tf_limit_lacked(struct tf *tf, struct tf_ep *ep)
+void traf_limit_lacked(struct traf *traf, struct traf_ep *ep)
 {
 	met_add(met_counter("bg_limit_lacked_total", ""), 1);
-	tf_limit_add_demand(tf, ep);
+	traf_limit_add_demand(traf, ep);
 }
 
-void tf_limit_took(struct tf *tf, struct tf_ep *ep, const char *account)
+void traf_limit_took(struct traf *traf, struct traf_ep *ep, const char *account)
 {
 	int64_t now_us = tmr_boot_now();
 
-	if (tf_limit_never_announced(ep) || !lim_permits_are_required(&ep->limit, now_us))
+	if (traf_limit_never_announced(ep) || !lim_permits_are_required(&ep->limit, now_us))
 		return;
 	lim_permits_use(&ep->limit, now_us);
 	ep->limit_used++;
-	lim_fair_count_permit(&tf->limit_fair, account, now_us);
+	lim_fair_count_permit(&traf->limit_fair, account, now_us);
 	met_add(met_counter("bg_limit_sent_total", ""), 1);
-	tf_limit_add_demand(tf, ep);
+	traf_limit_add_demand(traf, ep);
 }
 
 /*
  * Returns this host's approximate part of the limits of a service, in requests per second, as if
  * all hosts had equal parts.
  */
-static double tf_limit_host_rate(const struct tf *tf, const char *service)
+static double traf_limit_host_rate(const struct traf *traf, const char *service)
 {
 	int64_t now_us = tmr_boot_now();
 	GHashTableIter iter;
 	gpointer value;
 	double rate = 0;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct tf_ep *ep = value;
+		const struct traf_ep *ep = value;
 
 		if (ep->listed && strcmp(ep->rec->service, service) == 0 &&
 		    lim_permits_are_required(&ep->limit, now_us))
 			rate += lim_current_rate(&ep->limit.news, now_us);
 	}
-	return rate / MAX(tf->view->hosts, 1);
+	return rate / MAX(traf->view->hosts, 1);
 }
 
-bool tf_limit_waits(struct tf *tf, const char *service, const char *account)
+bool traf_limit_waits(struct traf *traf, const char *service, const char *account)
 {
-	double most = 1 + tf_limit_queue_s * tf_limit_host_rate(tf, service);
+	double most = 1 + traf_limit_queue_s * traf_limit_host_rate(traf, service);
 	int waiting = 0;
 
-	lim_fair_count_shortage(&tf->limit_fair, account, tmr_boot_now());
-	for (guint i = 0; i < tf->reqs->len; i++)
-		waiting += rq_waits_for_limit(tf->reqs->pdata[i], service);
+	lim_fair_count_shortage(&traf->limit_fair, account, tmr_boot_now());
+	for (guint i = 0; i < traf->reqs->len; i++)
+		waiting += txn_waits_for_limit(traf->reqs->pdata[i], service);
 	return waiting < most;
 }
 
-static void tf_limit_log_refused(const char *service, const char *request, double rate,
-				 int64_t back_us)
+static void traf_limit_log_refused(const char *service, const char *request, double rate,
+				   int64_t back_us)
 {
 	jl_begin(JL_KEEP, "limit_refused");
 	jl_str("id", request);
@@ -224,66 +224,67 @@
 	met_add(met_counter("bg_limit_refused_total", ""), 1);
 }
 
-int64_t tf_limit_back_us(struct tf *tf, const char *service, const char *request, int64_t most_us)
+int64_t traf_limit_back_us(struct traf *traf, const char *service, const char *request,
+			   int64_t most_us)
 {
-	struct lim_retry *turn = g_hash_table_lookup(tf->limit_turns, service);
-	double rate = tf_limit_host_rate(tf, service);
+	struct lim_retry *turn = g_hash_table_lookup(traf->limit_turns, service);
+	double rate = traf_limit_host_rate(traf, service);
 	int64_t back_us;
 
 	if (!turn) {
 		turn = g_new0(struct lim_retry, 1);
-		g_hash_table_insert(tf->limit_turns, g_strdup(service), turn);
+		g_hash_table_insert(traf->limit_turns, g_strdup(service), turn);
 	}
 	back_us = lim_retry_delay_us(turn, rate, most_us, tmr_boot_now());
-	tf_limit_log_refused(service, request, rate, back_us);
+	traf_limit_log_refused(service, request, rate, back_us);
 	return back_us;
 }
 
-void tf_limit_on_sweep(struct tf *tf)
+void traf_limit_on_sweep(struct traf *traf)
 {
 	int64_t now_us = tmr_boot_now();
 	GHashTableIter iter;
 	gpointer value;
 	int named = 0;
 
-	g_hash_table_iter_init(&iter, tf->eps);
+	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct tf_ep *ep = value;
+		struct traf_ep *ep = value;
 
-		if (tf_limit_never_announced(ep))
+		if (traf_limit_never_announced(ep))
 			continue;
-		tf_limit_set_gauges(ep, now_us);
+		traf_limit_set_gauges(ep, now_us);
 		if (!lim_permits_are_required(&ep->limit, now_us))
 			continue;
 		named++;
 		/* This call removes expired permits and counts them as returned. */
 		lim_permits_may_send(&ep->limit, now_us);
 		if (ep->limit.wanted > 0 || ep->limit.returned > 0)
-			tf_limit_report_demand(tf, ep);
+			traf_limit_report_demand(traf, ep);
 	}
 	met_set(met_gauge("bg_limits", ""), (uint64_t)named);
 }
 
-static void tf_limit_on_post(void *ctx)
+static void traf_limit_on_post(void *ctx)
 {
-	struct tf_limit_msg *msg = ctx;
-	struct tf_ep *ep = g_hash_table_lookup(msg->tf->eps, msg->update.endpoint);
+	struct traf_limit_msg *msg = ctx;
+	struct traf_ep *ep = g_hash_table_lookup(msg->traf->eps, msg->update.endpoint);
 
 	if (ep && msg->update.permits > 0)
 		lim_permits_add(&ep->limit, msg->update.permits, msg->update.asked_us,
 				tmr_boot_now());
 	else if (ep)
-		tf_limit_apply(ep, &msg->update.news, NULL, "another host");
+		traf_limit_apply(ep, &msg->update.news, NULL, "another host");
 	g_free(msg->update.endpoint);
 	g_free(msg);
 }
 
-void tf_limit_post(struct tf *tf, const struct limit_update *update)
+void traf_limit_post(struct traf *traf, const struct limit_update *update)
 {
-	struct tf_limit_msg *msg = g_new0(struct tf_limit_msg, 1);
+	struct traf_limit_msg *msg = g_new0(struct traf_limit_msg, 1);
 
-	msg->tf = tf;
+	msg->traf = traf;
 	msg->update = *update;
 	msg->update.endpoint = g_strdup(update->endpoint);
-	loop_post(&tf->loop, tf_limit_on_post, msg);
+	loop_post(&traf->loop, traf_limit_on_post, msg);
 }
--- a/router/tf_quar.h
+++ b/router/traffic_quarantine.h
@@ -1,5 +1,5 @@
-#ifndef ROUTER_TF_QUAR_H
-#define ROUTER_TF_QUAR_H
+#ifndef ROUTER_TRAFFIC_QUARANTINE_H
+#define ROUTER_TRAFFIC_QUARANTINE_H
 
 #include "quar/quar.h"
 #include "router/crash.h"
@@ -8,29 +8,29 @@
  * The quarantine in the traffic thread, which refuses quarantined requests and counts the crashes
  * that this host detects.
  */
-struct tf;
-struct tf_ep;
+struct traf;
+struct traf_ep;
 
 /* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_attempt.
  */
-void tf_quar_crashed(struct tf *tf, const struct tf_ep *ep, const GArray *cuts);
+void traf_quar_crashed(struct traf *traf, const struct traf_ep *ep, const GArray *cuts);
 
 /* Removes the crash of an endpoint that turned out to be alive from all entries, on all hosts. */
-void tf_quar_lives(struct tf *tf, const struct tf_ep *ep);
+void traf_quar_lives(struct traf *traf, const struct traf_ep *ep);
 
 /*
  * Records how long an attempt of the request has run, from the response headers to the newest part
  * of the response.
  */
-void tf_quar_on_part(struct tf *tf, const struct quar_id *id, int64_t lasted_us);
+void traf_quar_on_part(struct traf *traf, const struct quar_id *id, int64_t lasted_us);
 
 /* Clears a request that was served completely, so that it can't be the cause of crashes. */
-void tf_quar_served(struct tf *tf, const struct quar_id *id);
+void traf_quar_served(struct traf *traf, const struct quar_id *id);
 
 /* Removes expired entries from time to time. */
-void tf_quar_on_sweep(struct tf *tf, int64_t now_us);
+void traf_quar_on_sweep(struct traf *traf, int64_t now_us);
 
 /* Returns the points that count against a request if a crash cuts an attempt at that progress. */
-int tf_quar_weight(enum crash_progress progress);
+int traf_quar_weight(enum crash_progress progress);
 
 #endif
--- /dev/null
+++ b/router/txn.c
@@ -0,0 +1,527 @@
+#include "base/err.h"
+#include "base/jl.h"
+#include "base/met.h"
+#include "router/txn_int.h"
+#include "router/traffic_head.h"
+#include "router/traffic_limit.h"
+
+#include <ck_pr.h>
+#include <stdio.h>
+#include <string.h>
+
+enum {
+	TXN_CONNECT_MS = 300,	   /* connection timeout; a live endpoint accepts within a few ms */
+	TXN_GAP_FLOOR_MS = 70,	   /* shortest limit on silence, in ms; a batch that reads a
+				    * prompt causes such pauses */
+	TXN_GAP_MEAN_DIVISOR = 4,  /* the newest gap counts 1/4 in the running mean */
+	TXN_GAP_SILENCE_FACTOR = 3 /* a stream is silent after 3 times the mean gap */
+};
+
+static int txn_send(void *ctx, int attempt, const char *resume_after);
+static int txn_take_repeat(void *ctx);
+static void txn_cancel(void *ctx);
+static void txn_on_wait(void *ctx);
+static void txn_set_timer(void *ctx, int64_t due_us);
+static void txn_ended(void *ctx, enum fwd_cause cause);
+static bool txn_on_head(void *ctx, int status, const GPtrArray *headers);
+static void txn_on_data(void *ctx, const char *data, size_t len);
+static void txn_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len);
+
+static const struct fwd_ops txn_fwd_ops = {
+	.send = txn_send,
+	.charge_retry = txn_take_repeat,
+	.cancel = txn_cancel,
+	.on_wait = txn_on_wait,
+	.on_silent = txn_on_silent,
+	.answer_complete = txn_answer_whole,
+	.answer_begin = txn_answer_begin,
+	.answer_data = txn_answer_data,
+	.answer_end = txn_answer_end,
+	.answer_abort = txn_answer_abort,
+	.refuse = txn_refuse,
+	.set_timer = txn_set_timer,
+	.ended = txn_ended,
+};
+
+static const struct hc_ops txn_hc_ops = {
+	.on_head = txn_on_head,
+	.on_data = txn_on_data,
+	.all_data = true,
+	.on_done = txn_on_done,
+};
+
+static void txn_on_header(void *ctx, const char *name, const char *value)
+{
+	struct txn *txn = ctx;
+
+	txn->traf->router->seam->wire.read_header(&txn->request, name, value);
+}
+
+static void txn_avoid_clear(struct txn *txn)
+{
+	for (int i = 0; i < txn->avoid.count; i++)
+		traf_ep_unref(txn->avoid.stages[i].ep);
+	txn->avoid.count = 0;
+}
+
+void txn_exclude_endpoint(struct txn *txn, struct traf_ep *ep)
+{
+	for (int i = 0; i < txn->avoid.count; i++) {
+		if (txn->avoid.stages[i].ep == ep)
+			return;
+	}
+	if (txn->avoid.count == TRAF_STAGES_MAX)
+		return;
+	ep->refs++;
+	txn->avoid.stages[txn->avoid.count++].ep = ep;
+}
+
+void txn_free(struct txn *txn)
+{
+	struct traf *traf = txn->traf;
+
+	tmr_cancel(&traf->loop.tmr, &txn->timer);
+	txn_cancel(txn);
+	traf_target_release(&txn->target);
+	txn_avoid_clear(txn);
+	seam_answer_finish(&txn->answer);
+	seam_request_finish(&txn->request);
+	fwd_finish(&txn->fwd);
+	rt_conf_unref(txn->conf);
+	hd_unref(txn->call);
+	g_ptr_array_remove_fast(traf->reqs, txn);
+	ck_pr_dec_uint(&traf->open);
+	g_free(txn);
+}
+
+const char *txn_account_name(const struct txn *txn)
+{
+	return txn->account ? txn->account->name : "";
+}
+
+void txn_start(struct traf *traf, struct hd_call *call, int64_t received_us)
+{
+	struct txn *txn = g_new0(struct txn, 1);
+	struct fwd_rules rules;
+	size_t len;
+
+	txn->traf = traf;
+	txn->call = call;
+	txn->began_us = received_us;
+	memset(&rules, 0, sizeof(rules));
+	fwd_init(&txn->fwd, &rules, &txn_fwd_ops, txn);
+	seam_request_init(&txn->request);
+	hd_each_header(call, txn_on_header, txn);
+	g_ptr_array_add(traf->reqs, txn);
+	if (!txn_admit(txn))
+		return;
+	txn_fill_rules(txn, &txn->fwd.rules);
+	txn->body = (char *)hd_body(call, &len);
+	txn->body_len = len;
+	txn->key = quar_key_of(str_of(txn_account_name(txn)), str_of(hd_target(call)),
+			       str_make(txn->body, len));
+	if (txn_deny_if_quarantined(txn))
+		return;
+	bud_on_request(traf_budget(traf, txn->service->name), txn->began_us);
+	txn_charge_share(txn);
+	if (!txn_admit_by_load(txn))
+		return;
+	fwd_start(&txn->fwd, tmr_now());
+}
+
+static int64_t txn_time_left_ms(const struct txn *txn, int64_t now_us)
+{
+	return MAX((txn->fwd.rules.deadline_us - now_us) / TMR_US_PER_MS, 1);
+}
+
+static void txn_log_content(const struct txn *txn)
+{
+	char text[QUAR_KEY_TEXT_LEN + 1];
+
+	quar_key_format(&txn->key, text);
+	jl_str("content", text);
+}
+
+static void txn_log_sent(const struct txn *txn, int attempt, const char *pipeline,
+			 const char *resume_after)
+{
+	jl_begin(JL_INFO, "sent");
+	jl_str("id", txn->request.id);
+	jl_str("route", txn->route->name);
+	jl_str("account", txn->account ? txn->account->name : NULL);
+	txn_log_content(txn);
+	jl_int("attempt", attempt);
+	jl_str("endpoint", txn->target.stages[0].ep->rec->id);
+	jl_str("addr", txn->target.stages[0].ep->rec->addr);
+	jl_str("pipeline", pipeline);
+	jl_str("resume_after", resume_after);
+	jl_int("left_ms", txn_time_left_ms(txn, tmr_now()));
+	jl_int("version", txn->conf->version);
+	jl_int("view_age_ms", (tmr_now() - txn->traf->view_valid_us) / TMR_US_PER_MS);
+	jl_end();
+}
+
+static void txn_fill_pick_args(const struct txn *txn, enum pa_trust trust,
+			       struct traf_pick_args *args)
+{
+	*args = (struct traf_pick_args){
+		.service = txn->service,
+		.request = &txn->request,
+		.account = txn_account_name(txn),
+		.avoid = &txn->avoid,
+		.trust = trust,
+		.may_repeat = txn->fwd.rules.may_repeat,
+	};
+}
+
+static int txn_pick(struct txn *txn, enum pa_trust trust, struct traf_target *target)
+{
+	struct traf_pick_args args;
+
+	txn_fill_pick_args(txn, trust, &args);
+	return traf_pick(txn->traf, &args, target);
+}
+
+/*
+ * No endpoint was found for the first attempt, which may wait. Sets the time at which rest periods
+ * leave enough endpoints; returns FWD_ERESTING, or FWD_ENOENDPOINT if there is no such time.
+ */
+static int txn_wait_for_rest_end(struct txn *txn, enum pa_trust trust)
+{
+	struct traf_pick_args args;
+
+	txn_fill_pick_args(txn, trust, &args);
+	txn->fwd.rules.rest_us = traf_pick_rest_end_us(txn->traf, &args);
+	return txn->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
+}
+
+int64_t txn_rest_left_us(const struct txn *txn)
+{
+	struct traf_pick_args args;
+	int64_t end_us;
+
+	txn_fill_pick_args(txn, PA_DOUBTED, &args);
+	args.avoid = NULL;
+	end_us = traf_pick_rest_end_us(txn->traf, &args);
+	return MAX(end_us - tmr_now(), 0);
+}
+
+bool txn_waits_for_limit(const struct txn *txn, const char *service)
+{
+	return txn->fwd.state == FWD_WAITING && txn->fwd.failure == FWD_LIMITED &&
+	       strcmp(txn->service->name, service) == 0;
+}
+
+static int txn_send(void *ctx, int attempt, const char *resume_after)
+{
+	struct txn *txn = ctx;
+	struct traf *traf = txn->traf;
+	const struct seam_wire *wire = &traf->router->seam->wire;
+	struct seam_forward forward = {.urgency = txn->urgency};
+	struct hc_request request = {.connect_ms = TXN_CONNECT_MS, .fresh = true, .close = true};
+	GPtrArray *headers;
+	char *pipeline = NULL;
+	char *url;
+	enum pa_trust trust = attempt > 0 ? PA_DOUBTED : PA_FAULTY;
+	int err;
+
+	traf_target_release(&txn->target);
+	if (txn_quarantine_us(txn, tmr_now()) > 0)
+		return FWD_EQUARANTINED;
+	err = txn_pick(txn, trust, &txn->target);
+	if (err == FWD_ERESTING && attempt == 0)
+		err = txn_wait_for_rest_end(txn, trust);
+	if (err == FWD_ENOPERMIT &&
+	    !traf_limit_waits(traf, txn->service->name, txn_account_name(txn)))
+		return FWD_EPERMITQUEUE;
+	if (err < 0)
+		return err;
+	if (txn->target.layered)
+		pipeline = traf_format_pipeline(traf, &txn->target);
+	forward.deadline_ms = txn_time_left_ms(txn, tmr_now());
+	forward.instance = txn->target.stages[0].ep->rec->id;
+	forward.account = txn->account ? txn->account->name : NULL;
+	forward.pipeline = pipeline;
+	forward.resume_after = resume_after;
+	headers = wire->make_headers(&txn->request, &forward);
+	url = g_strdup_printf("http://%s/", txn->target.stages[0].ep->rec->addr);
+	request.method = hd_method(txn->call);
+	request.url = url;
+	request.target = hd_target(txn->call);
+	request.headers = (const char *const *)headers->pdata;
+	if (txn->body_len > 0 || strcmp(request.method, "POST") == 0) {
+		request.body = txn->body;
+		request.body_len = txn->body_len;
+	}
+	txn->earlier_duration_us += txn_attempt_duration_us(txn);
+	txn->head_received = false;
+	txn->part_received = false;
+	txn->broken_at = NULL;
+	txn->last_activity_us = tmr_now();
+	txn->attempt_boot_us = tmr_boot_now();
+	traf_limit_took(traf, txn->target.stages[0].ep, txn_account_name(txn));
+	rest_on_sent(&txn->target.stages[0].ep->rest, txn->last_activity_us);
+	penalty_on_chosen(&txn->target.stages[0].ep->failing);
+	if (txn->sent_us == 0)
+		txn->sent_us = txn->last_activity_us;
+	txn_log_sent(txn, attempt, pipeline, resume_after);
+	txn->attempt = hc_start(traf->hc, &request, &txn_hc_ops, txn);
+	g_ptr_array_unref(headers);
+	g_free(url);
+	g_free(pipeline);
+	return 0;
+}
+
+/*
+ * Takes a repeat from the service's budget. If only faulty endpoints are left, nothing is taken:
+ * they would reject the request again, and the budget is meant for requests that can be served.
+ */
+static int txn_take_repeat(void *ctx)
+{
+	struct txn *txn = ctx;
+	struct traf_target target;
+
+	if (txn_reaches_crash_limit(txn))
+		return FWD_EQUARANTINED;
+	if (txn_pick(txn, PA_DOUBTED, &target) < 0)
+		return FWD_ENOENDPOINT;
+	traf_target_release(&target);
+	return bud_charge_retry(traf_budget(txn->traf, txn->service->name), tmr_now())
+		       ? 0
+		       : FWD_EBUDGET;
+}
+
+static void txn_cancel_call(struct hc_call **call)
+{
+	if (*call)
+		hc_cancel(*call);
+	*call = NULL;
+}
+
+static void txn_cancel(void *ctx)
+{
+	struct txn *txn = ctx;
+
+	txn_cancel_call(&txn->attempt);
+	txn_cancel_order(txn);
+}
+
+/*
+ * Logs that the stream waits to be sent again and forgets which endpoints failed it: those that had
+ * no room may have some by then.
+ */
+static void txn_on_wait(void *ctx)
+{
+	struct txn *txn = ctx;
+
+	jl_begin(JL_KEEP, "stream_waits");
+	jl_str("id", txn->request.id);
+	jl_str("why", fwd_cause_name(txn->fwd.failure));
+	jl_int("waits", txn->fwd.waits);
+	jl_int("parts", (int64_t)txn->fwd.parts);
+	jl_int("left_ms", txn_time_left_ms(txn, tmr_now()));
+	jl_end();
+	traf_target_release(&txn->target);
+	txn_avoid_clear(txn);
+}
+
+/*
+ * Excludes the endpoint that caused a failed attempt from this request, and records the failure for
+ * other requests: the endpoint that the answer names, else the first stage.
+ */
+static void txn_record_failure(struct txn *txn, int err, bool sent)
+{
+	int64_t now_us = tmr_now();
+	struct traf_ep *first = txn->target.count > 0 ? txn->target.stages[0].ep : NULL;
+	struct traf_ep *culprit = NULL;
+
+	if (txn->answer.culprit)
+		culprit = g_hash_table_lookup(txn->traf->by_addr, txn->answer.culprit);
+	if (culprit) {
+		txn_exclude_endpoint(txn, culprit);
+		traf_on_named_faulty(culprit, "named_at_fault", txn->request.id);
+		if (first && first != culprit)
+			stall_check_named(txn->traf, first, culprit);
+		return;
+	}
+	if (!first || err == 0)
+		return;
+	txn_exclude_endpoint(txn, first);
+	/* A demand for a rest period is not a failure. */
+	if (txn->answer.rest != SEAM_REST_STATED) {
+		penalty_on_failed(&first->failing, now_us);
+		/* Its load is low because it rejects, so the next request would choose it. */
+		if (txn->target.layered && txn->answer.head.not_run)
+			traf_on_named_faulty(first, "rejected", txn->request.id);
+	}
+	if (!sent)
+		traf_on_unreachable(txn->traf, first, "unreachable", txn->request.id);
+}
+
+/*
+ * Clears doubts about all stages of the pipeline: the head arrives with the first event, so every
+ * stage has worked.
+ */
+static void txn_clear_doubts(struct txn *txn)
+{
+	for (int i = 0; i < txn->target.count; i++)
+		avoid_on_served(&txn->target.stages[i].ep->doubt, txn->last_activity_us);
+}
+
+static bool txn_on_head(void *ctx, int status, const GPtrArray *headers)
+{
+	struct txn *txn = ctx;
+	bool go_on;
+
+	txn->head_received = true;
+	txn->head_us = tmr_now();
+	txn->traf->heard_us = tmr_now();
+	seam_answer_finish(&txn->answer);
+	txn->traf->router->seam->wire.read_answer(status, headers, txn->request.id, &txn->answer);
+	if (txn->target.count > 0)
+		traf_head_of_request(txn->traf, txn->target.stages[0].ep, &txn->answer,
+				     txn->attempt_boot_us, txn->request.id);
+	if (status / 100 == 2) {
+		txn_clear_doubts(txn);
+		if (txn->target.count > 0)
+			penalty_on_served(&txn->target.stages[0].ep->failing, txn->head_us);
+		bk_on_served(traf_retry_delay(txn->traf, txn->service->name), tmr_now());
+	}
+	go_on = fwd_on_head(&txn->fwd, &txn->answer.head, tmr_now());
+	return go_on;
+}
+
+/*
+ * Adapts the limit on silence to the stream's usual gap between parts, but to no more than users
+ * tolerate: 60% of the gap that the route allows, or TXN_GAP_MIN_MS if that is longer.
+ */
+static void txn_update_gap_limit(struct txn *txn, int64_t now_us)
+{
+	int64_t most_us = tmr_ms(MAX(TXN_GAP_MIN_MS, txn->route->target_gap_ms * 6 / 10));
+	int64_t limit_us;
+
+	if (txn->fwd.parts < 1)
+		return;
+	if (txn->target.layered && txn->repairs == 0)
+		hop_observe_pause(&txn->traf->hop, &txn->target.hops,
+				  (double)(now_us - txn->last_activity_us) / TMR_US_PER_MS, now_us);
+	txn->gap_us += (now_us - txn->last_activity_us - txn->gap_us) / TXN_GAP_MEAN_DIVISOR;
+	limit_us = txn->gap_us * TXN_GAP_SILENCE_FACTOR;
+	txn->fwd.rules.gap_us = CLAMP(limit_us, tmr_ms(TXN_GAP_FLOOR_MS), most_us);
+}
+
+static void txn_on_data(void *ctx, const char *data, size_t len)
+{
+	struct txn *txn = ctx;
+	uint64_t parts = txn->fwd.parts;
+
+	txn_update_gap_limit(txn, tmr_now());
+	txn->last_activity_us = tmr_now();
+	txn->traf->heard_us = txn->last_activity_us;
+	if (txn->target.count > 0)
+		txn->target.stages[0].ep->last_data_us = txn->last_activity_us;
+	fwd_on_data(&txn->fwd, data, len, tmr_now());
+	if (txn->fwd.parts > parts)
+		txn_on_part(txn);
+}
+
+static void txn_on_done(void *ctx, int status, int err, bool sent, const char *body, size_t len)
+{
+	struct txn *txn = ctx;
+	bool failed = err < 0 || status >= 500 || txn->answer.head.not_run;
+
+	(void)body;
+	(void)len;
+	txn->attempt = NULL;
+	txn_cancel(txn);
+	if (failed) {
+		jl_begin(JL_KEEP, "attempt_failed");
+		jl_str("id", txn->request.id);
+		jl_str("endpoint",
+		       txn->target.count > 0 ? txn->target.stages[0].ep->rec->id : NULL);
+		jl_int("status", txn->answer.head.status);
+		jl_int("not_run", txn->answer.head.not_run || !sent);
+		jl_str("error", err < 0 ? base_strerror(err) : NULL);
+		jl_str("culprit", txn->answer.culprit);
+		if (txn->answer.rest == SEAM_REST_STATED)
+			jl_int("rest_ms", txn->answer.rest_us / TMR_US_PER_MS);
+		jl_int("parts", (int64_t)txn->fwd.parts);
+		txn_log_content(txn);
+		jl_end();
+		if (err < 0 && sent && txn->target.count > 0)
+			txn_on_attempt_broken(txn, txn->target.stages[0].ep);
+		txn_record_failure(txn, err < 0 ? err : -1, sent);
+	}
+	fwd_on_done(&txn->fwd, err == 0, sent, tmr_now());
+}
+
+static void txn_on_timer(void *ctx, int64_t now_us)
+{
+	struct txn *txn = ctx;
+
+	fwd_on_timer(&txn->fwd, now_us);
+}
+
+static void txn_set_timer(void *ctx, int64_t due_us)
+{
+	struct txn *txn = ctx;
+
+	tmr_set(&txn->traf->loop.tmr, &txn->timer, due_us, txn_on_timer, txn);
+}
+
+void txn_on_sweep(struct txn *txn)
+{
+	if (txn->fwd.state != FWD_ENDED && hd_gone(txn->call))
+		fwd_on_caller_disconnected(&txn->fwd);
+}
+
+static void txn_record_times(const struct txn *txn, int64_t now_us)
+{
+	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
+				       txn->account ? txn->account->name : "", txn->route->name);
+
+	if (txn->first_us > 0)
+		met_observe(met_histogram("bg_first_us", labels), txn->first_us - txn->began_us);
+	met_observe(met_histogram("bg_whole_us", labels), now_us - txn->began_us);
+	g_free(labels);
+}
+
+static void txn_on_free(void *ctx, int64_t now_us)
+{
+	(void)now_us;
+	txn_free(ctx);
+}
+
+/*
+ * Logs and counts the end of the request. It may be within a callback of its own attempt, so it is
+ * freed from the loop.
+ */
+static void txn_ended(void *ctx, enum fwd_cause cause)
+{
+	struct txn *txn = ctx;
+	int64_t now_us = tmr_now();
+	bool bad = cause != FWD_OK && cause != FWD_CALLER_DISCONNECTED;
+	char labels[64];
+
+	jl_begin(bad ? JL_KEEP : JL_INFO, "ended");
+	jl_str("id", txn->request.id);
+	jl_str("cause", fwd_cause_name(cause));
+	jl_int("status", txn->status);
+	jl_str("route", txn->route->name);
+	jl_str("account", txn->account ? txn->account->name : NULL);
+	txn_log_content(txn);
+	jl_int("version", txn->conf->version);
+	jl_int("sends", txn->fwd.sends);
+	jl_int("runs", txn->fwd.runs);
+	jl_int("parts", (int64_t)txn->fwd.parts);
+	jl_int("first_ms",
+	       txn->first_us > 0 ? (txn->first_us - txn->began_us) / TMR_US_PER_MS : -1);
+	jl_int("whole_ms", (now_us - txn->began_us) / TMR_US_PER_MS);
+	jl_end();
+	if (cause == FWD_OK)
+		txn_on_served_whole(txn);
+	snprintf(labels, sizeof(labels), "cause=\"%s\"", fwd_cause_name(cause));
+	met_add(met_counter("bg_requests_total", labels), 1);
+	txn_record_times(txn, now_us);
+	loop_after(&txn->traf->loop, &txn->timer, 0, txn_on_free, txn);
+}
--- a/router/rq_int.h
+++ b/router/txn_int.h
@@ -1,7 +1,7 @@
-#ifndef ROUTER_RQ_INT_H
-#define ROUTER_RQ_INT_H
+#ifndef ROUTER_TXN_INT_H
+#define ROUTER_TXN_INT_H
 
-#include "router/tf.h"
+#include "router/traffic.h"
 
 /*
  * One caller's request on this host: admission, attempts at endpoints, the answer to the caller,
@@ -15,13 +15,13 @@
 	 * After that the first stage is asked what it waits for. Usual are 120 ms and 70 ms;
 	 * callers leave after 2 s.
 	 */
-	RQ_FIRST_MIN_MS = 250,
-	RQ_GAP_MIN_MS = 120,
-	RQ_LOGGED_BODY_MAX = 200 /* a refusal's body is logged if it has fewer bytes than this */
+	TXN_FIRST_MIN_MS = 250,
+	TXN_GAP_MIN_MS = 120,
+	TXN_LOGGED_BODY_MAX = 200 /* a refusal's body is logged if it has fewer bytes than this */
 };
 
-struct rq {
-	struct tf *tf;
+struct txn {
+	struct traf *traf;
 	struct hd_call *call;		  /* the caller's HTTP request and the answer to it */
 	struct seam_request request;	  /* what the headers of the request state */
 	const struct rt_route *route;	  /* route that the request matches; owned by conf */
@@ -32,15 +32,15 @@
 	struct tmr timer;		  /* timer of fwd */
 	struct hc_call *attempt;	  /* attempt under way; NULL: none */
 	struct hc_call *order;		  /* order under way that replaces stages; NULL: none */
-	struct tf_target target;	  /* endpoints of the latest attempt */
-	struct tf_target repair;	  /* pipeline that the order under way asks for */
+	struct traf_target target;	  /* endpoints of the latest attempt */
+	struct traf_target repair;	  /* pipeline that the order under way asks for */
 	int repairs;			  /* number of orders sent for this request */
 	int64_t order_us;		  /* time at which the last order was sent, in us */
 	int64_t attempt_boot_us;  /* time at which the last attempt was sent, by tmr_boot_now() */
 	int64_t last_activity_us; /* time at which the last attempt was sent or last brought data,
 				   * in us */
 	int64_t gap_us; /* running mean of the time between two parts of the answer, in us */
-	struct tf_target avoid;	   /* endpoints that failed the request; they are referenced, but
+	struct traf_target avoid;  /* endpoints that failed the request; they are referenced, but
 				    * their load is not changed */
 	struct seam_answer answer; /* head of the last attempt's answer */
 	int urgency;	     /* urgency sent to engines, 0 (most urgent) to 9; -1: not stated */
@@ -53,102 +53,102 @@
 	bool head_received;  /* the last attempt has received the head of an answer */
 	bool part_received;  /* the last attempt has received a part of the answer */
 	int64_t head_us;     /* time at which the last head was received, in us */
-	int64_t earlier_duration_us;   /* time over which earlier attempts brought parts of the
-					* answer, in us */
-	const struct tf_ep *broken_at; /* endpoint at which the attempt broke off; not referenced,
-					* only compared; NULL: none */
+	int64_t earlier_duration_us;	 /* time over which earlier attempts brought parts of the
+					  * answer, in us */
+	const struct traf_ep *broken_at; /* endpoint at which the attempt broke off; not referenced,
+					  * only compared; NULL: none */
 	enum crash_progress broken_progress; /* progress of the attempt when it broke off */
 	int status;			     /* HTTP status sent to the caller; 0: none yet */
 };
 
 /* Frees the request. */
-void rq_free(struct rq *rq);
+void txn_free(struct txn *txn);
 
 /* Finds route, account and service. If there is none, denies and frees it and returns false. */
-bool rq_admit(struct rq *rq);
+bool txn_admit(struct txn *txn);
 
 /* Fills in the rules of the state machine: deadline, limits on silence, waits and attempts. */
-void rq_fill_rules(struct rq *rq, struct fwd_rules *rules);
+void txn_fill_rules(struct txn *txn, struct fwd_rules *rules);
 
 /* Fills in how long the request may wait for its first token. */
-void rq_fill_limits(const struct rq *rq, struct adm_limits *limits);
+void txn_fill_limits(const struct txn *txn, struct adm_limits *limits);
 
 /*
  * Charges the request to its account's share and sets its urgency. Requests to plain services are
  * not charged, as only engines admit by urgency.
  */
-void rq_charge_share(struct rq *rq);
+void txn_charge_share(struct txn *txn);
 
 /*
  * Denies the request if it would get its first token too late; returns whether it was admitted.
  * Applies to engines only: plain services answer within some ms or reject.
  */
-bool rq_admit_by_load(struct rq *rq);
+bool txn_admit_by_load(struct txn *txn);
 
 /* Answers the caller with an error of the router's own. retry_us 0: no Retry-After. */
-void rq_reply_error(struct rq *rq, int status, const char *code, int64_t retry_us);
+void txn_reply_error(struct txn *txn, int status, const char *code, int64_t retry_us);
 
 /* Answers a request that was never sent with an error, logs that, and frees the request. */
-void rq_deny(struct rq *rq, int status, const char *code, int64_t retry_us);
+void txn_deny(struct txn *txn, int status, const char *code, int64_t retry_us);
 
 /* Callbacks of struct fwd_ops; fwd/fwd.h describes them. */
-void rq_answer_whole(void *ctx, const char *body, size_t len);
-void rq_answer_begin(void *ctx);
-void rq_answer_data(void *ctx, const char *data, size_t len);
-void rq_answer_end(void *ctx);
-void rq_answer_abort(void *ctx);
-void rq_refuse(void *ctx, int status, bool not_run);
+void txn_answer_whole(void *ctx, const char *body, size_t len);
+void txn_answer_begin(void *ctx);
+void txn_answer_data(void *ctx, const char *data, size_t len);
+void txn_answer_end(void *ctx);
+void txn_answer_abort(void *ctx);
+void txn_refuse(void *ctx, int status, bool not_run);
 
 /*
  * Returns the time in us until rest periods leave enough endpoints for the request; 0 if rest
  * periods are not what it lacks endpoints for.
  */
-int64_t rq_rest_left_us(const struct rq *rq);
+int64_t txn_rest_left_us(const struct txn *txn);
 
 /* Excludes the endpoint from further attempts and repairs of this request. */
-void rq_exclude_endpoint(struct rq *rq, struct tf_ep *ep);
+void txn_exclude_endpoint(struct txn *txn, struct traf_ep *ep);
 
 /* Callback of struct fwd_ops: handles a silent attempt. Returns true if the attempt is kept. */
-bool rq_on_silent(void *ctx);
+bool txn_on_silent(void *ctx);
 
 /* Returns the name of the request's client account; "": none. */
-const char *rq_account_name(const struct rq *rq);
+const char *txn_account_name(const struct txn *txn);
 
 /* Handles an attempt that broke off at an endpoint, which may have crashed. */
-void rq_on_attempt_broken(struct rq *rq, struct tf_ep *ep);
+void txn_on_attempt_broken(struct txn *txn, struct traf_ep *ep);
 
 /*
  * Denies the request if it is in quarantine, since endpoints crashed while they ran it; returns
  * whether it was denied.
  */
-bool rq_deny_if_quarantined(struct rq *rq);
+bool txn_deny_if_quarantined(struct txn *txn);
 
 /* Returns the time in us for which the request stays in quarantine; 0 if it is not in it. */
-int64_t rq_quarantine_us(const struct rq *rq, int64_t now_us);
+int64_t txn_quarantine_us(const struct txn *txn, int64_t now_us);
 
 /*
  * Returns whether the request is in quarantine, or will be if the endpoint at which it just broke
  * off has crashed. Whether that has crashed is known some ms later, too late for a decision on
  * another attempt or a repair.
  */
-bool rq_reaches_crash_limit(const struct rq *rq);
+bool txn_reaches_crash_limit(const struct txn *txn);
 
 /*
  * Returns the time in us after which the caller may retry: what is left of the present
  * quarantine term, or the length of the next one.
  */
-int64_t rq_quarantine_retry_us(const struct rq *rq, int64_t now_us);
+int64_t txn_quarantine_retry_us(const struct txn *txn, int64_t now_us);
 
 /* Returns the time in us from the head of the attempt's answer to its newest part. */
-int64_t rq_attempt_duration_us(const struct rq *rq);
+int64_t txn_attempt_duration_us(const struct txn *txn);
 
 /* Records that a part of the answer was received: evidence that the request is harmless. */
-void rq_on_part(struct rq *rq);
+void txn_on_part(struct txn *txn);
 
 /* Records that the request was served in full, so it can't be one that crashes endpoints. */
-void rq_on_served_whole(const struct rq *rq);
+void txn_on_served_whole(const struct txn *txn);
 
 /* Cancels the order under way, if any. */
-void rq_cancel_order(struct rq *rq);
+void txn_cancel_order(struct txn *txn);
 
 #endif
