--- a/base/addr.c
+++ b/base/addr.c
@@ -8,8 +8,8 @@
 #include <unistd.h>
 
 enum {
-	ADDR_BACKLOG = 1024,
-	ADDR_PORT_MAX = 65535
+	ADDR_BACKLOG = 1024,  /* connections that may wait to be accepted */
+	ADDR_PORT_MAX = 65535 /* highest TCP port number */
 };
 
 int addr_parse(const char *text, struct sockaddr_in *sin)
--- a/base/addr.h
+++ b/base/addr.h
@@ -6,10 +6,13 @@
 
 G_BEGIN_DECLS
 
-/* Reads "IP:PORT" (IPv4, by number). Returns 0 or BASE_EADDR. */
+/* Parses a numeric IPv4 address "IP:PORT" into sin. Returns 0 or BASE_EADDR. */
 int addr_parse(const char *text, struct sockaddr_in *sin);
 
-/* Opens a listening, non-blocking TCP socket. Returns the descriptor or a negative base error. */
+/*
+ * Opens a listening, non-blocking TCP socket on the address "IP:PORT". Returns the descriptor or a
+ * negative base error.
+ */
 int addr_listen(const char *text);
 
 G_END_DECLS
--- a/base/err.h
+++ b/base/err.h
@@ -6,24 +6,24 @@
 G_BEGIN_DECLS
 
 /*
- * Errors of the base layer. Each slice has a range of its own, below these, and turns what it gets
- * from a lower layer into its own numbers.
+ * Error numbers of the base layer. Each higher layer has its own range of numbers, below these, and
+ * maps the errors of a lower layer to its own numbers.
  */
 enum base_err {
 	BASE_OK = 0,
-	BASE_ESYS = -1,	    /* a system call failed; errno tells */
-	BASE_EADDR = -2,    /* not an address of the form IP:PORT */
-	BASE_EFRAME = -3,   /* frame over its size, malformed or of an unknown kind */
+	BASE_ESYS = -1,	    /* a system call failed; errno has the cause */
+	BASE_EADDR = -2,    /* the text is not an address of the form IP:PORT */
+	BASE_EFRAME = -3,   /* the frame is too long, malformed or of an unknown kind */
 	BASE_ECLOSED = -4,  /* the peer closed the connection */
-	BASE_ESILENT = -5,  /* the peer sent nothing for the silence limit */
+	BASE_ESILENT = -5,  /* the peer sent nothing within the time limit */
 	BASE_EREFUSED = -6, /* the peer refused the connection */
-	BASE_EHTTP = -7,    /* the HTTP library failed */
-	BASE_ETIMEOUT = -8, /* no answer in time */
-	BASE_EFILE = -9,    /* a settings file could not be read */
-	BASE_ESETTING = -10 /* a settings file is wrong */
+	BASE_EHTTP = -7,    /* the HTTP library reported another failure */
+	BASE_ETIMEOUT = -8, /* the response did not arrive within the time limit */
+	BASE_EFILE = -9,    /* the settings file can't be read */
+	BASE_ESETTING = -10 /* the settings file is invalid */
 };
 
-/* Returns a sentence for an enum base_err; never NULL. */
+/* Returns a description of err, a value of enum base_err; never NULL. */
 const char *base_strerror(int err);
 
 G_END_DECLS
--- a/base/frm.c
+++ b/base/frm.c
@@ -15,8 +15,9 @@
 #include <unistd.h>
 
 enum {
-	FRM_READ_LEN = 65536,
-	FRM_IDLE_ROUNDS = 3 /* heartbeats missed before an idle connection is given up */
+	FRM_READ_LEN = 65536,	    /* bytes of the receive buffer */
+	FRM_IDLE_HEARTBEATS_MAX = 3 /* heartbeat intervals without received data after which an idle
+				       connection is closed */
 };
 
 struct frm_conn {
@@ -25,18 +26,18 @@
 	const struct frm_ops *ops;
 	struct frm_limits limits;
 	void *ctx;
-	void *data;
-	struct frm_server *server;
-	struct tmr heartbeat;
-	GByteArray *in;
-	GByteArray *out; /* not sent yet, from out_at on */
-	guint out_at;
-	int64_t heard_us;
-	int64_t sent_us;
-	int64_t active_us; /* since when it is active */
-	bool active;
-	bool connecting;
-	bool closed; /* freed in a later round of the loop: a callback of it may be running */
+	void *data;		   /* pointer stored by frm_set_data() */
+	struct frm_server *server; /* server that accepted the connection; NULL: frm_connect() */
+	struct tmr heartbeat;	   /* next check of the connection */
+	GByteArray *in;		   /* received bytes that are not handled yet */
+	GByteArray *out;	   /* queued bytes; those before out_offset were sent */
+	guint out_offset;	   /* offset in out of the first unsent byte */
+	int64_t received_us;	   /* time of the last received data, in microseconds */
+	int64_t sent_us;	   /* time at which the last frame was queued, in microseconds */
+	int64_t active_us;	   /* time of the last change of active, in microseconds */
+	bool active;		   /* value set by frm_set_active() */
+	bool connecting;	   /* connect() has not finished yet */
+	bool closed; /* closed, but freed later by the loop, as a callback may still be running */
 };
 
 static struct frm_conn *frm_new(struct loop *loop, int fd, const struct frm_ops *ops,
@@ -45,14 +46,17 @@
 static void frm_on_accept(void *ctx, uint32_t events);
 static void frm_on_heartbeat(void *ctx, int64_t now_us);
 static void frm_set_timer(struct frm_conn *conn);
-static void frm_fail(struct frm_conn *conn, int err);
+static void frm_close_error(struct frm_conn *conn, int err);
 static void frm_free(void *ctx);
 static void frm_flush(struct frm_conn *conn);
 static void frm_read(struct frm_conn *conn);
-static int frm_take(struct frm_conn *conn);
+static int frm_handle_frame(struct frm_conn *conn);
 static void frm_append(struct frm_conn *conn, uint16_t kind, const uint8_t *body, size_t len);
 
-/* Looked up once: a look-up for each frame would cost more than the frame. */
+/*
+ * Counters of all connections. They are looked up once, because a look-up for each frame would cost
+ * more than handling the frame.
+ */
 enum frm_counter {
 	FRM_SENT,
 	FRM_BYTES_SENT,
@@ -85,7 +89,7 @@
 		frm_counters[i] = met_counter(frm_counter_names[i], "");
 }
 
-static void frm_add(enum frm_counter counter, uint64_t n)
+static void frm_count(enum frm_counter counter, uint64_t n)
 {
 	met_add(frm_counters[counter], n);
 }
@@ -128,8 +132,8 @@
 	conn->ctx = ctx;
 	conn->in = g_byte_array_new();
 	conn->out = g_byte_array_new();
-	conn->heard_us = tmr_now();
-	conn->sent_us = conn->heard_us;
+	conn->received_us = tmr_now();
+	conn->sent_us = conn->received_us;
 	frm_set_timer(conn);
 	return conn;
 }
@@ -150,7 +154,7 @@
 	conn->connecting = true;
 	frm_set_timer(conn);
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 && errno != EINPROGRESS) {
-		/* The socket then reports the error as an event; on_close() follows from there. */
+		/* The loop then gets an error event for the socket, which leads to on_close(). */
 		log_msg(LOG_DEBUG, "connect_failed addr=%s errno=%d", addr, errno);
 	}
 	loop_fd_add(loop, &conn->lfd, EPOLLIN | EPOLLOUT);
@@ -221,7 +225,8 @@
 	loop_post(conn->loop, frm_free, conn);
 }
 
-static void frm_fail(struct frm_conn *conn, int err)
+/* Reports the error to the owner of the connection and closes it. */
+static void frm_close_error(struct frm_conn *conn, int err)
 {
 	if (conn->closed)
 		return;
@@ -241,8 +246,8 @@
 	g_byte_array_append(conn->out, head, sizeof(head));
 	if (len > 0)
 		g_byte_array_append(conn->out, body, (guint)len);
-	frm_add(FRM_SENT, 1);
-	frm_add(FRM_BYTES_SENT, FRM_HEAD_LEN + len);
+	frm_count(FRM_SENT, 1);
+	frm_count(FRM_BYTES_SENT, FRM_HEAD_LEN + len);
 }
 
 void frm_send(struct frm_conn *conn, uint16_t kind, const ProtobufCMessage *msg)
@@ -260,40 +265,46 @@
 		frm_flush(conn);
 }
 
+/* Returns the number of queued bytes that are not sent yet. */
 static guint frm_unsent(const struct frm_conn *conn)
 {
-	return conn->out->len - conn->out_at;
+	return conn->out->len - conn->out_offset;
 }
 
 /*
- * What was sent is cut off when it is the larger part, so that each byte is moved once at most: a
- * peer that takes a large message in small pieces would else have the rest moved for each piece.
+ * Removes the sent bytes from the buffer once they are at least as many as the unsent ones, so that
+ * each byte is moved at most once. Otherwise a peer that reads a large message in small pieces
+ * would have the rest of it moved for each piece.
  */
-static void frm_forget_sent(struct frm_conn *conn)
+static void frm_discard_sent(struct frm_conn *conn)
 {
-	if (conn->out_at < frm_unsent(conn))
+	if (conn->out_offset < frm_unsent(conn))
 		return;
-	g_byte_array_remove_range(conn->out, 0, conn->out_at);
-	conn->out_at = 0;
+	g_byte_array_remove_range(conn->out, 0, conn->out_offset);
+	conn->out_offset = 0;
 }
 
-/* A failed write is left for the event that follows it, so that senders never see conn vanish. */
+/*
+ * Sends as much as the socket accepts. An error is handled by the event that follows it, so that
+ * conn is never freed while a caller sends.
+ */
 static void frm_flush(struct frm_conn *conn)
 {
 	ssize_t n = 1;
 
 	while (frm_unsent(conn) > 0 && n > 0) {
-		n = send(conn->lfd.fd, conn->out->data + conn->out_at, frm_unsent(conn),
+		n = send(conn->lfd.fd, conn->out->data + conn->out_offset, frm_unsent(conn),
 			 MSG_NOSIGNAL);
 		if (n <= 0)
 			break;
-		conn->out_at += (guint)n;
-		frm_add(FRM_SEGMENTS_SENT, 1);
+		conn->out_offset += (guint)n;
+		frm_count(FRM_SEGMENTS_SENT, 1);
 	}
-	frm_forget_sent(conn);
+	frm_discard_sent(conn);
 	loop_fd_mod(conn->loop, &conn->lfd, frm_unsent(conn) > 0 ? EPOLLIN | EPOLLOUT : EPOLLIN);
 }
 
+/* Returns the interval of heartbeats in microseconds. */
 static int64_t frm_interval(const struct frm_conn *conn)
 {
 	bool often = conn->active || conn->connecting;
@@ -316,55 +327,57 @@
 }
 
 /*
- * A process that was paused finds all its peers silent when it wakes, for want of having listened.
- * It shows in this timer, which then comes late; a daemon that blamed its peers for its own pause
- * would drop every healthy home at once. They get their time anew.
+ * Returns whether this process was paused. After a pause all peers look silent, because the process
+ * received nothing meanwhile, and a daemon would close all healthy connections at once. The pause
+ * shows in this timer, which then fires late; the silence is then measured from the present time.
  */
 static bool frm_was_paused(const struct frm_conn *conn, int64_t now_us)
 {
 	return now_us - conn->heartbeat.due_us > conn->limits.heartbeat_us;
 }
 
+/* Returns whether nothing was received within the time limit. */
 static bool frm_is_silent(const struct frm_conn *conn, int64_t now_us)
 {
 	if (conn->active || conn->connecting)
-		return now_us - MAX(conn->heard_us, conn->active_us) > conn->limits.silent_us;
-	return now_us - conn->heard_us > FRM_IDLE_ROUNDS * conn->limits.idle_us;
+		return now_us - MAX(conn->received_us, conn->active_us) > conn->limits.silent_us;
+	return now_us - conn->received_us > FRM_IDLE_HEARTBEATS_MAX * conn->limits.idle_us;
 }
 
 /*
- * Either direction may be the quiet one: a peer that sends much and hears nothing would give up a
- * healthy connection just like one that sends nothing.
+ * Returns whether nothing was sent or nothing was received for an interval. Both directions are
+ * checked, because a peer that sends much but receives nothing would also close a healthy
+ * connection.
  */
-static bool frm_is_quiet(const struct frm_conn *conn, int64_t now_us)
+static bool frm_heartbeat_due(const struct frm_conn *conn, int64_t now_us)
 {
-	return now_us - MIN(conn->heard_us, conn->sent_us) >= frm_interval(conn);
+	return now_us - MIN(conn->received_us, conn->sent_us) >= frm_interval(conn);
 }
 
 /*
- * A connection can go silent for good while new ones work: something between the two ends has lost
- * track of it, and TCP alone would not tell for many minutes. The side that connected therefore
- * asks for signs of life, and either side gives up a peer of which it hears nothing at all.
+ * A connection can stop passing data while new ones work, if a device between the two ends has lost
+ * its state. TCP alone would not report this for many minutes. The side that connected therefore
+ * sends heartbeats, and either side closes a connection on which it receives nothing.
  */
 static void frm_on_heartbeat(void *ctx, int64_t now_us)
 {
 	struct frm_conn *conn = ctx;
 
 	if (frm_was_paused(conn, now_us))
-		conn->heard_us = now_us;
+		conn->received_us = now_us;
 	if (frm_is_silent(conn, now_us) || frm_unsent(conn) > FRM_OUT_MAX) {
-		frm_add(FRM_SILENT, 1);
-		frm_fail(conn, BASE_ESILENT);
+		frm_count(FRM_SILENT, 1);
+		frm_close_error(conn, BASE_ESILENT);
 		return;
 	}
-	if (!conn->server && !conn->connecting && frm_is_quiet(conn, now_us)) {
+	if (!conn->server && !conn->connecting && frm_heartbeat_due(conn, now_us)) {
 		frm_append(conn, FRM_KIND_HEARTBEAT, NULL, 0);
 		frm_flush(conn);
 	}
 	frm_set_timer(conn);
 }
 
-/* Only the side that was connected to answers, or the two would never stop. */
+/* Only the accepting side answers; otherwise the two sides would answer each other endlessly. */
 static void frm_answer_heartbeat(struct frm_conn *conn)
 {
 	if (!conn->server)
@@ -373,8 +386,8 @@
 	frm_flush(conn);
 }
 
-/* Handles one frame of the input. Returns bytes used, 0 when there is none, or an error. */
-static int frm_take(struct frm_conn *conn)
+/* Handles one received frame. Returns its length, 0 if there is no whole frame, or an error. */
+static int frm_handle_frame(struct frm_conn *conn)
 {
 	uint16_t kind;
 	const uint8_t *body;
@@ -384,8 +397,8 @@
 
 	if (used <= 0)
 		return used;
-	frm_add(FRM_RECEIVED, 1);
-	frm_add(FRM_BYTES_RECEIVED, (uint64_t)used);
+	frm_count(FRM_RECEIVED, 1);
+	frm_count(FRM_BYTES_RECEIVED, (uint64_t)used);
 	if (kind == FRM_KIND_HEARTBEAT)
 		frm_answer_heartbeat(conn);
 	else
@@ -404,21 +417,21 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		frm_fail(conn, n == 0 ? BASE_ECLOSED : BASE_EREFUSED);
+		frm_close_error(conn, n == 0 ? BASE_ECLOSED : BASE_EREFUSED);
 		return;
 	}
-	conn->heard_us = tmr_now();
-	frm_add(FRM_SEGMENTS_RECEIVED, 1);
+	conn->received_us = tmr_now();
+	frm_count(FRM_SEGMENTS_RECEIVED, 1);
 	g_byte_array_append(conn->in, buf, (guint)n);
 	while (!conn->closed && used > 0) {
-		used = frm_take(conn);
+		used = frm_handle_frame(conn);
 		if (used > 0 && !conn->closed)
 			g_byte_array_remove_range(conn->in, 0, (guint)used);
 	}
 	if (used < 0 && !conn->closed) {
-		frm_add(FRM_REFUSED, 1);
+		frm_count(FRM_REFUSED, 1);
 		log_msg(LOG_WARNING, "frame_refused fd=%d", conn->lfd.fd);
-		frm_fail(conn, BASE_EFRAME);
+		frm_close_error(conn, BASE_EFRAME);
 	}
 }
 
@@ -428,11 +441,11 @@
 
 	if (conn->connecting && events & EPOLLOUT) {
 		conn->connecting = false;
-		conn->heard_us = tmr_now();
+		conn->received_us = tmr_now();
 		frm_set_timer(conn);
 	}
 	if (events & (EPOLLERR | EPOLLHUP) && !(events & EPOLLIN))
-		frm_fail(conn, BASE_EREFUSED);
+		frm_close_error(conn, BASE_EREFUSED);
 	if (!conn->closed && events & EPOLLIN)
 		frm_read(conn);
 	if (!conn->closed && events & EPOLLOUT)
--- a/base/frm.h
+++ b/base/frm.h
@@ -10,73 +10,93 @@
 G_BEGIN_DECLS
 
 /*
- * Framed connections between our own processes. A frame is a length (32 bits), a kind (16 bits),
- * both in network order, and a protobuf message. All calls belong to the loop's thread.
+ * Framed connections between the processes of this project. A frame is the length of the message
+ * (32 bits), its kind (16 bits), both in network order, and a protobuf message. All functions must
+ * be called in the loop's thread.
  */
 enum {
-	FRM_HEAD_LEN = 6,
-	FRM_BODY_MAX = 8 << 20,
-	FRM_KIND_HEARTBEAT = 0,
-	FRM_OUT_MAX = 64 << 20 /* unsent bytes at which a connection is given up */
+	FRM_HEAD_LEN = 6,	/* bytes of a frame before the message */
+	FRM_BODY_MAX = 8 << 20, /* largest message, in bytes */
+	FRM_KIND_HEARTBEAT = 0, /* kind of a frame without a message that checks the connection */
+	FRM_OUT_MAX = 64 << 20	/* unsent bytes above which a connection is closed */
 };
 
+/* A framed connection. */
 struct frm_conn;
 
+/* Callbacks of a connection. */
 struct frm_ops {
 	/*
-	 * A message came in. Return 0, or BASE_EFRAME when it is malformed or of an unknown kind:
-	 * the connection is then closed and counted.
+	 * A message of len bytes was received. Returns 0, or a negative error if the message is
+	 * malformed or of an unknown kind. The connection is then closed with BASE_EFRAME and
+	 * counted in bg_frames_refused_total.
 	 */
 	int (*on_msg)(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
 		      size_t len);
 
-	/* The connection has ended for the reason err; conn is gone after the call. */
+	/* The connection has ended with the error err; conn must not be used afterwards. */
 	void (*on_close)(void *ctx, struct frm_conn *conn, int err);
 };
 
 /*
- * The side that connected asks for signs of life with heartbeats, which the other side answers.
- * While it waits for something (frm_set_active()), it does so often, and gives a silent peer up
- * soon; while it only keeps the connection, seldom, so that connections cost little.
+ * The side that connected sends heartbeats, which the other side answers. While it waits for the
+ * peer (frm_set_active()), it sends them often and closes the connection soon if the peer is
+ * silent. On an idle connection it sends them seldom, so that idle connections cost little.
  */
 struct frm_limits {
-	int64_t heartbeat_us; /* between heartbeats while active */
-	int64_t silent_us;    /* an active connection that heard nothing for so long is given up */
-	int64_t idle_us;      /* between heartbeats while not active */
+	int64_t heartbeat_us; /* interval of heartbeats on an active connection, in microseconds */
+	int64_t silent_us;    /* time in microseconds without received data after which an active
+				 connection is closed */
+	int64_t idle_us;      /* interval of heartbeats on an idle connection, in microseconds */
 };
 
+/* A listening socket and the connections accepted from it. */
 struct frm_server {
 	struct loop *loop;
-	struct loop_fd lfd;
-	const struct frm_ops *ops;
-	struct frm_limits limits;
-	void *ctx;
-	GPtrArray *conns; /* those accepted here and still open */
+	struct loop_fd lfd;	   /* the listening socket */
+	const struct frm_ops *ops; /* callbacks of accepted connections */
+	struct frm_limits limits;  /* heartbeat limits of accepted connections */
+	void *ctx;		   /* first argument of the callbacks */
+	GPtrArray *conns;	   /* open accepted connections (struct frm_conn) */
 };
 
-/* Takes the whole frame at the start of data. Returns bytes used, 0 if incomplete, BASE_EFRAME. */
+/*
+ * Parses the frame at the start of data. Returns its length in bytes, 0 if the frame is incomplete,
+ * or BASE_EFRAME if it is too long. body points into data.
+ */
 int frm_parse(const uint8_t *data, size_t len, uint16_t *kind, const uint8_t **body,
 	      size_t *body_len);
 
+/* Accepts connections on the address "IP:PORT". Returns 0 or a negative base error. */
 int frm_listen(struct frm_server *server, struct loop *loop, const char *addr,
 	       const struct frm_ops *ops, const struct frm_limits *limits, void *ctx);
+
+/* Stops listening and closes all accepted connections without on_close(). */
 void frm_server_finish(struct frm_server *server);
 
-/* Starts to connect; failure is told by on_close(). Returns NULL for a bad address. */
+/*
+ * Starts to connect to the address "IP:PORT". A failure to connect is reported by on_close().
+ * Returns NULL if the address is invalid or no socket can be created.
+ */
 struct frm_conn *frm_connect(struct loop *loop, const char *addr, const struct frm_ops *ops,
 			     const struct frm_limits *limits, void *ctx);
 
-/* Queues one message. Errors show later as on_close(). */
+/* Queues a message for sending. Errors are reported later by on_close(). */
 void frm_send(struct frm_conn *conn, uint16_t kind, const ProtobufCMessage *msg);
 
-/* Whether the owner waits for the peer; for connections made by frm_connect(). */
+/*
+ * Sets whether the caller waits for the peer, which chooses the limits for heartbeats. For
+ * connections made by frm_connect().
+ */
 void frm_set_active(struct frm_conn *conn, bool active);
 
-/* Closes without on_close(). */
+/* Closes the connection without on_close(). */
 void frm_close(struct frm_conn *conn);
 
-/* A pointer that the owner hangs on a connection; NULL at first. */
+/* Stores a pointer of the caller with the connection. */
 void frm_set_data(struct frm_conn *conn, void *data);
+
+/* Returns the pointer stored by frm_set_data(); NULL if none was stored. */
 void *frm_data(const struct frm_conn *conn);
 
 G_END_DECLS
--- a/base/hc.c
+++ b/base/hc.c
@@ -7,26 +7,27 @@
 #include <sys/epoll.h>
 
 enum {
-	HC_BODY_MAX = 16 << 20,
-	HC_IDLE_CONNS_MAX = 1024,
-	HC_RECEIVE_BUFFER = 4096, /* a stream brings a token at a time */
-	HC_SEND_BUFFER = 16384,
-	USEC_PER_MSEC = 1000
+	HC_BODY_MAX = 16 << 20,	  /* largest collected response body, in bytes */
+	HC_IDLE_CONNS_MAX = 1024, /* idle connections that are kept for reuse */
+	HC_RECEIVE_BUFFER = 4096, /* bytes; small, because a stream sends one token at a time */
+	HC_SEND_BUFFER = 16384,	  /* bytes of the upload buffer of a request */
+	USEC_PER_MSEC = 1000	  /* microseconds in a millisecond */
 };
 
 struct hc {
 	struct loop *loop;
 	CURLM *multi;
-	struct tmr timer;
-	struct tmr starter;
-	GPtrArray *waiting; /* calls begun inside a callback of the library */
-	bool inside;	    /* a callback of the library is running */
+	struct tmr timer;	   /* timeout that the library requested */
+	struct tmr deferred_timer; /* starts the deferred requests */
+	GPtrArray *deferred; /* requests (struct hc_call) that were started inside a callback */
+	bool in_callback;    /* a callback of the library is running */
 };
 
+/* A socket of the library that the loop watches. */
 struct hc_sock {
 	struct loop_fd lfd;
 	struct hc *hc;
-	uint32_t events;
+	uint32_t events; /* EPOLLIN and EPOLLOUT as the library requested them */
 };
 
 struct hc_call {
@@ -35,11 +36,11 @@
 	struct curl_slist *headers;
 	const struct hc_ops *ops;
 	void *ctx;
-	GString *body;
-	GPtrArray *head; /* header lines of the answer, once they are asked for */
-	bool head_given;
-	bool canceled; /* canceled inside its own callback; freed when that returns */
-	bool busy;
+	GString *body;		     /* collected response body */
+	GPtrArray *response_headers; /* header lines of the response; NULL without ops->on_head */
+	bool on_head_called;	     /* on_head() was called */
+	bool canceled; /* canceled inside its own callback; freed after the callback returns */
+	bool callback_running; /* a callback of this request is running */
 };
 
 static int hc_on_socket(CURL *easy, curl_socket_t fd, int what, void *ctx, void *sock);
@@ -48,8 +49,8 @@
 static void hc_on_timeout(void *ctx, int64_t now_us);
 static size_t hc_on_body(char *data, size_t size, size_t n, void *ctx);
 static size_t hc_on_header(char *data, size_t size, size_t n, void *ctx);
-static void hc_on_starter(void *ctx, int64_t now_us);
-static void hc_reap(struct hc *hc);
+static void hc_start_deferred(void *ctx, int64_t now_us);
+static void hc_finish_done_calls(struct hc *hc);
 static void hc_finish_call(struct hc_call *call, CURLcode code);
 static void hc_call_free(struct hc_call *call);
 
@@ -64,15 +65,15 @@
 	curl_multi_setopt(hc->multi, CURLMOPT_TIMERFUNCTION, hc_on_timer);
 	curl_multi_setopt(hc->multi, CURLMOPT_TIMERDATA, hc);
 	curl_multi_setopt(hc->multi, CURLMOPT_MAXCONNECTS, (long)HC_IDLE_CONNS_MAX);
-	hc->waiting = g_ptr_array_new();
+	hc->deferred = g_ptr_array_new();
 	return hc;
 }
 
 void hc_free(struct hc *hc)
 {
 	tmr_cancel(&hc->loop->tmr, &hc->timer);
-	tmr_cancel(&hc->loop->tmr, &hc->starter);
-	g_ptr_array_unref(hc->waiting);
+	tmr_cancel(&hc->loop->tmr, &hc->deferred_timer);
+	g_ptr_array_unref(hc->deferred);
 	curl_multi_cleanup(hc->multi);
 	g_free(hc);
 }
@@ -96,7 +97,7 @@
 
 	(void)now_us;
 	curl_multi_socket_action(hc->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-	hc_reap(hc);
+	hc_finish_done_calls(hc);
 }
 
 static int hc_on_socket(CURL *easy, curl_socket_t fd, int what, void *ctx, void *sock)
@@ -141,12 +142,13 @@
 	if (events & (EPOLLERR | EPOLLHUP))
 		flags |= CURL_CSELECT_ERR;
 	curl_multi_socket_action(hc->multi, s->lfd.fd, flags, &running);
-	hc_reap(hc);
+	hc_finish_done_calls(hc);
 }
 
 /*
- * Called for each line, the status line and the empty one at the end included. Interim answers
- * (1xx) have lines and an end of their own; lines after the head are trailers.
+ * Called for the status line, for each header line and for the empty line at the end. An interim
+ * response (1xx) has lines and an empty line of its own, which are discarded. Lines after the
+ * headers of the final response are trailers, which are ignored.
  */
 static size_t hc_on_header(char *data, size_t size, size_t n, void *ctx)
 {
@@ -156,26 +158,26 @@
 	long status = 0;
 	bool go_on;
 
-	if (call->head_given)
+	if (call->on_head_called)
 		return len;
 	while (text > 0 && (data[text - 1] == '\n' || data[text - 1] == '\r'))
 		text--;
 	if (text > 0) {
 		if (strncmp(data, "HTTP/", strlen("HTTP/")) != 0)
-			g_ptr_array_add(call->head, g_strndup(data, text));
+			g_ptr_array_add(call->response_headers, g_strndup(data, text));
 		return len;
 	}
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (status / 100 == 1) {
-		g_ptr_array_set_size(call->head, 0);
+		g_ptr_array_set_size(call->response_headers, 0);
 		return len;
 	}
-	call->head_given = true;
-	call->busy = true;
-	call->hc->inside = true;
-	go_on = call->ops->on_head(call->ctx, (int)status, call->head);
-	call->hc->inside = false;
-	call->busy = false;
+	call->on_head_called = true;
+	call->callback_running = true;
+	call->hc->in_callback = true;
+	go_on = call->ops->on_head(call->ctx, (int)status, call->response_headers);
+	call->hc->in_callback = false;
+	call->callback_running = false;
 	if (!go_on)
 		call->canceled = true;
 	return call->canceled ? 0 : len;
@@ -189,11 +191,11 @@
 
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (call->ops->on_data && (call->ops->all_data || status / 100 == 2)) {
-		call->busy = true;
-		call->hc->inside = true;
+		call->callback_running = true;
+		call->hc->in_callback = true;
 		call->ops->on_data(call->ctx, data, len);
-		call->hc->inside = false;
-		call->busy = false;
+		call->hc->in_callback = false;
+		call->callback_running = false;
 		return call->canceled ? CURL_WRITEFUNC_ERROR : len;
 	}
 	if (call->body->len + len > HC_BODY_MAX)
@@ -202,7 +204,7 @@
 	return len;
 }
 
-static void hc_reap(struct hc *hc)
+static void hc_finish_done_calls(struct hc *hc)
 {
 	CURLMsg *msg;
 	int left;
@@ -237,8 +239,11 @@
 	}
 }
 
-/* Bytes of requests and answers with their headers; those of TCP and IP are not seen here. */
-static void hc_count(CURL *easy, long request_size)
+/*
+ * Counts the bytes of the request and the response with their headers, without the headers of TCP
+ * and IP.
+ */
+static void hc_count_bytes(CURL *easy, long request_size)
 {
 	curl_off_t body = 0;
 	curl_off_t posted = 0;
@@ -253,8 +258,8 @@
 }
 
 /*
- * "sent" is false only when the library never had a connection for the call: then no byte of it can
- * have reached anybody.
+ * "sent" is false only if the library never had a connection for the request, so that no byte of it
+ * can have reached the server.
  */
 static void hc_finish_call(struct hc_call *call, CURLcode code)
 {
@@ -268,8 +273,8 @@
 	curl_easy_getinfo(call->easy, CURLINFO_PRETRANSFER_TIME_T, &connected);
 	curl_easy_getinfo(call->easy, CURLINFO_REQUEST_SIZE, &size);
 	sent = connected > 0 || size > 0;
-	hc_count(call->easy, size);
-	call->busy = true;
+	hc_count_bytes(call->easy, size);
+	call->callback_running = true;
 	if (!call->canceled)
 		call->ops->on_done(call->ctx, err < 0 ? 0 : (int)status, err, sent, call->body->str,
 				   call->body->len);
@@ -278,11 +283,11 @@
 
 static void hc_call_free(struct hc_call *call)
 {
-	g_ptr_array_remove(call->hc->waiting, call);
+	g_ptr_array_remove(call->hc->deferred, call);
 	curl_multi_remove_handle(call->hc->multi, call->easy);
 	curl_easy_cleanup(call->easy);
 	curl_slist_free_all(call->headers);
-	g_clear_pointer(&call->head, g_ptr_array_unref);
+	g_clear_pointer(&call->response_headers, g_ptr_array_unref);
 	g_string_free(call->body, TRUE);
 	g_free(call);
 }
@@ -320,7 +325,7 @@
 	if (request->target)
 		curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, request->target);
 	if (ops->on_head) {
-		call->head = g_ptr_array_new_with_free_func(g_free);
+		call->response_headers = g_ptr_array_new_with_free_func(g_free);
 		curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, hc_on_header);
 		curl_easy_setopt(easy, CURLOPT_HEADERDATA, call);
 	}
@@ -328,9 +333,9 @@
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)request->body_len);
 		curl_easy_setopt(easy, CURLOPT_COPYPOSTFIELDS, request->body);
 	}
-	if (hc->inside) {
-		g_ptr_array_add(hc->waiting, call);
-		loop_after(hc->loop, &hc->starter, 0, hc_on_starter, hc);
+	if (hc->in_callback) {
+		g_ptr_array_add(hc->deferred, call);
+		loop_after(hc->loop, &hc->deferred_timer, 0, hc_start_deferred, hc);
 	} else {
 		curl_multi_add_handle(hc->multi, easy);
 	}
@@ -338,26 +343,29 @@
 }
 
 /*
- * The library refuses new calls inside its own callbacks, without a word to who ignores its result;
- * such a call would never end. They are begun when the callback has returned.
+ * curl_multi_add_handle() fails inside a callback of the library, and a request that was not added
+ * would never end. Requests started there are added after the callback has returned.
  */
-static void hc_on_starter(void *ctx, int64_t now_us)
+static void hc_start_deferred(void *ctx, int64_t now_us)
 {
 	struct hc *hc = ctx;
 
 	(void)now_us;
-	for (guint i = 0; i < hc->waiting->len; i++) {
-		struct hc_call *call = hc->waiting->pdata[i];
+	for (guint i = 0; i < hc->deferred->len; i++) {
+		struct hc_call *call = hc->deferred->pdata[i];
 
 		curl_multi_add_handle(hc->multi, call->easy);
 	}
-	g_ptr_array_set_size(hc->waiting, 0);
+	g_ptr_array_set_size(hc->deferred, 0);
 }
 
-/* Inside the call's own callback the library must not lose the handle; it ends the call itself. */
+/*
+ * A handle must not be removed inside its own callback. There the request is only marked; the
+ * library then ends it and hc_finish_call() frees it.
+ */
 void hc_cancel(struct hc_call *call)
 {
 	call->canceled = true;
-	if (!call->busy)
+	if (!call->callback_running)
 		hc_call_free(call);
 }
--- a/base/hc.h
+++ b/base/hc.h
@@ -8,29 +8,32 @@
 
 G_BEGIN_DECLS
 
-/* HTTP client on a loop (libcurl). All calls belong to the loop's thread. */
+/* HTTP client on an event loop (libcurl). All functions must be called in the loop's thread. */
 struct hc;
+
+/* A request in progress. */
 struct hc_call;
 
 struct hc_ops {
 	/*
-	 * The status line and all header lines of the answer are there; may be NULL. headers are
-	 * lines "Name: value" without line ends. Returns false to end the call as hc_cancel() does.
+	 * The status line and all headers of the response were received; may be NULL. headers are
+	 * lines "Name: value" without line ends. Returns false to cancel the request as hc_cancel()
+	 * does.
 	 */
 	bool (*on_head)(void *ctx, int status, const GPtrArray *headers);
 
 	/*
-	 * Part of the body of a 2xx answer, or of any answer if all_data is set; NULL: the body is
-	 * collected and given to on_done().
+	 * A part of the body of a 2xx response was received, or of any response if all_data is set.
+	 * If on_data is NULL, the body is collected and passed to on_done().
 	 */
 	void (*on_data)(void *ctx, const char *data, size_t len);
 
-	bool all_data;
+	bool all_data; /* on_data() receives the body of a response of any status */
 
 	/*
-	 * The call has ended. status is the HTTP status, or 0 with err a negative base error.
-	 * sent tells whether the request may have left this process: false is certain.
-	 * body holds what was collected. The call is gone afterwards.
+	 * The request has ended. status is the HTTP status, or 0 with err a negative base error.
+	 * sent is false if certainly no byte of the request has left this process. body holds the
+	 * collected body, of len bytes. The hc_call is freed after the callback.
 	 */
 	void (*on_done)(void *ctx, int status, int err, bool sent, const char *body, size_t len);
 };
@@ -38,27 +41,34 @@
 struct hc_request {
 	const char *method;
 	const char *url;
-	const char *const *headers; /* NULL-terminated "Name: value"; may be NULL */
-	const char *body;	    /* copied; may be NULL */
-	size_t body_len;
-	int64_t connect_ms; /* limit for the connection */
-	int64_t total_ms;   /* limit for the whole call; 0: none */
+	const char *const *headers; /* NULL-terminated list of lines "Name: value"; may be NULL */
+	const char *body;	    /* request body, copied by hc_start(); may be NULL */
+	size_t body_len;	    /* length of body in bytes */
+	int64_t connect_ms;	    /* time limit for the connection, in milliseconds */
+	int64_t total_ms;	    /* time limit for the request, in milliseconds; 0: none */
 	/*
-	 * Use a new connection. Without it the library may send the request a second time by
-	 * itself, when a reused connection ends without an answer.
+	 * Use a new connection. Otherwise the library may send the request a second time by itself
+	 * if a reused connection is closed before a response arrives.
 	 */
 	bool fresh;
-	bool close;	    /* close the connection when the call has ended */
+	bool close;	    /* close the connection when the request has ended */
 	const char *target; /* request target to send instead of the one in url; may be NULL */
 };
 
+/* Creates a client on the loop. */
 struct hc *hc_new(struct loop *loop);
+
+/* Frees the client, but not the requests that are still in progress. */
 void hc_free(struct hc *hc);
 
+/*
+ * Starts a request; ops and ctx receive its events. request itself may be freed after the call, ops
+ * must stay valid until the request has ended.
+ */
 struct hc_call *hc_start(struct hc *hc, const struct hc_request *request, const struct hc_ops *ops,
 			 void *ctx);
 
-/* Ends the call without on_done(). */
+/* Cancels a request; on_done() isn't called. */
 void hc_cancel(struct hc_call *call);
 
 G_END_DECLS
--- a/base/hd.c
+++ b/base/hd.c
@@ -12,20 +12,22 @@
 #include <unistd.h>
 
 enum {
-	HD_BLOCK_LEN = 4096,	      /* buffer of an answer in parts: a few tokens */
-	HD_CONNECTION_MEMORY = 32768, /* holds the longest head of a request, 16 KiB, and buffers */
-	HD_IDLE_S = 0,		      /* never, until hd_set_limits() */
-	HD_CONNECTIONS_MAX = 16384
+	HD_BLOCK_LEN = 4096,	      /* bytes of the send buffer of a response in parts; a part
+					 holds a few tokens */
+	HD_CONNECTION_MEMORY = 32768, /* bytes for each connection: the longest request line with
+					 headers, 16 KiB, and the library's buffers */
+	HD_IDLE_S = 0,		      /* idle timeout in seconds until hd_set_limits(); 0: none */
+	HD_CONNECTIONS_MAX = 16384    /* connections open at once */
 };
 
 struct hd {
 	struct MHD_Daemon *daemon;
 	struct hd_config config;
-	char *too_large;
-	unsigned int open;    /* atomic */
-	unsigned int idle_s;  /* atomic */
-	unsigned int closing; /* atomic: answers tell callers to close */
-	uint64_t body_max;    /* atomic */
+	char *too_large;	    /* body of the response with status 413, JSON */
+	unsigned int open_requests; /* requests in progress; atomic */
+	unsigned int idle_s;	    /* idle timeout of a connection in seconds, 0: none; atomic */
+	unsigned int closing;	    /* 1: responses carry "Connection: close"; atomic */
+	uint64_t body_max;	    /* largest request body in bytes; atomic */
 };
 
 struct hd_call {
@@ -33,28 +35,28 @@
 	struct MHD_Connection *conn;
 	char *method;
 	char *path;
-	char *target;
-	GString *body;
-	bool begun; /* the library has called for the head of the request */
-	bool too_large;
-	bool handed; /* the handler has been called */
-	int port;
-	int fd;
-	unsigned int refs;
-
-	/* All below is guarded by lock. */
+	char *target;	       /* request target as the client sent it */
+	GString *body;	       /* request body received so far */
+	bool headers_received; /* the request line and the headers were received */
+	bool too_large;	       /* the request body exceeded body_max */
+	bool handler_called;   /* the handler has been called */
+	int port;	       /* local TCP port; 0 if unknown */
+	int fd;		       /* socket of the connection; -1 if unknown */
+	unsigned int refs;     /* references to this struct; atomic */
+
+	/* lock guards all fields below. */
 	pthread_mutex_t lock;
-	GString *pending; /* of the answer, not yet taken by the library */
-	GPtrArray *headers;
-	char *type;
-	int status;
-	bool streaming;
-	bool answered; /* status and headers are set */
-	bool queued;   /* the library has the answer */
-	bool ended;
-	bool aborted;
-	bool closed; /* the library is done with the connection */
-	bool suspended;
+	GString *pending;   /* bytes of the response that the library hasn't read yet */
+	GPtrArray *headers; /* response headers: name, value, name, value, ... */
+	char *type;	    /* Content-Type of the response; may be NULL */
+	int status;	    /* HTTP status of the response */
+	bool streaming;	    /* the response is sent in parts */
+	bool answered;	    /* the status and the response headers are set */
+	bool queued;	    /* the response was passed to the library */
+	bool ended;	    /* the response body is complete */
+	bool aborted;	    /* hd_abort() was called */
+	bool closed;	    /* the library has finished the request */
+	bool suspended;	    /* the library doesn't poll the connection until it is resumed */
 };
 
 static enum MHD_Result hd_on_request(void *ctx, struct MHD_Connection *conn, const char *url,
@@ -66,8 +68,8 @@
 static void *hd_on_target(void *ctx, const char *target, struct MHD_Connection *conn);
 static struct hd_call *hd_call_new(struct hd *hd, struct MHD_Connection *conn, const char *target);
 static void hd_call_begin(struct hd_call *call, const char *url, const char *method);
-static enum MHD_Result hd_queue(struct hd_call *call);
-static void hd_wake(struct hd_call *call);
+static enum MHD_Result hd_queue_response(struct hd_call *call);
+static void hd_resume(struct hd_call *call);
 
 struct hd *hd_start(const struct hd_config *config)
 {
@@ -115,7 +117,7 @@
 
 unsigned int hd_open(const struct hd *hd)
 {
-	return ck_pr_load_uint(&hd->open);
+	return ck_pr_load_uint(&hd->open_requests);
 }
 
 void hd_adopt(struct hd *hd, int fd)
@@ -132,7 +134,7 @@
 		met_add(met_counter("bg_http_adopt_failed_total", ""), 1);
 }
 
-/* The library hands on what this returns as the state of the request. */
+/* Called for a new request. The library passes the result to its other callbacks as the state. */
 static void *hd_on_target(void *ctx, const char *target, struct MHD_Connection *conn)
 {
 	return hd_call_new(ctx, conn, target);
@@ -153,7 +155,7 @@
 	call->headers = g_ptr_array_new_with_free_func(g_free);
 	call->refs = 1;
 	pthread_mutex_init(&call->lock, NULL);
-	ck_pr_inc_uint(&hd->open);
+	ck_pr_inc_uint(&hd->open_requests);
 	info = MHD_get_connection_info(conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 	call->fd = info ? info->connect_fd : -1;
 	memset(&sin, 0, sizeof(sin));
@@ -166,7 +168,7 @@
 {
 	unsigned int idle_s = ck_pr_load_uint(&call->hd->idle_s);
 
-	call->begun = true;
+	call->headers_received = true;
 	call->method = g_strdup(method);
 	call->path = g_strdup(url);
 	if (idle_s > 0)
@@ -231,7 +233,7 @@
 	(void)version;
 	if (!call)
 		return MHD_NO;
-	if (!call->begun) {
+	if (!call->headers_received) {
 		hd_call_begin(call, url, method);
 		return MHD_YES;
 	}
@@ -245,14 +247,14 @@
 	}
 	if (call->too_large)
 		return hd_reply_too_large(call);
-	if (!call->handed) {
-		call->handed = true;
+	if (!call->handler_called) {
+		call->handler_called = true;
 		ck_pr_inc_uint(&call->refs);
 		hd->config.handler(hd->config.ctx, call);
 	}
 	pthread_mutex_lock(&call->lock);
 	if (call->answered && !call->queued) {
-		result = hd_queue(call);
+		result = hd_queue_response(call);
 	} else if (!call->queued) {
 		call->suspended = true;
 		MHD_suspend_connection(conn);
@@ -275,7 +277,7 @@
 	call->closed = true;
 	pthread_mutex_unlock(&call->lock);
 	*state = NULL;
-	ck_pr_dec_uint(&call->hd->open);
+	ck_pr_dec_uint(&call->hd->open_requests);
 	hd_unref(call);
 }
 
@@ -302,8 +304,8 @@
 	return n;
 }
 
-/* Called with the lock held, in the library's thread. */
-static enum MHD_Result hd_queue(struct hd_call *call)
+/* Passes the response to the library. Called with the lock held, in the library's thread. */
+static enum MHD_Result hd_queue_response(struct hd_call *call)
 {
 	struct MHD_Response *resp;
 	enum MHD_Result result;
@@ -328,8 +330,8 @@
 	return result;
 }
 
-/* Called with the lock held. */
-static void hd_wake(struct hd_call *call)
+/* Makes the library poll a suspended connection again. Called with the lock held. */
+static void hd_resume(struct hd_call *call)
 {
 	if (!call->suspended || call->closed)
 		return;
@@ -353,7 +355,7 @@
 	g_string_append_len(call->pending, body, (gssize)len);
 	call->answered = true;
 	call->ended = true;
-	hd_wake(call);
+	hd_resume(call);
 	pthread_mutex_unlock(&call->lock);
 }
 
@@ -364,7 +366,7 @@
 	call->type = g_strdup(type);
 	call->streaming = true;
 	call->answered = true;
-	hd_wake(call);
+	hd_resume(call);
 	pthread_mutex_unlock(&call->lock);
 }
 
@@ -376,7 +378,7 @@
 	ok = !call->closed && call->pending->len + len <= call->hd->config.pending_max;
 	if (ok)
 		g_string_append_len(call->pending, data, (gssize)len);
-	hd_wake(call);
+	hd_resume(call);
 	pthread_mutex_unlock(&call->lock);
 	return ok;
 }
@@ -385,7 +387,7 @@
 {
 	pthread_mutex_lock(&call->lock);
 	call->ended = true;
-	hd_wake(call);
+	hd_resume(call);
 	pthread_mutex_unlock(&call->lock);
 }
 
@@ -394,13 +396,13 @@
 	pthread_mutex_lock(&call->lock);
 	call->aborted = true;
 	call->answered = true;
-	hd_wake(call);
+	hd_resume(call);
 	pthread_mutex_unlock(&call->lock);
 }
 
 /*
- * While a connection is suspended the library does not look at its socket, so a caller that hangs
- * up would hold its endpoint until the next token. This looks at the socket without reading it.
+ * The library doesn't poll the socket of a suspended connection, so a client that disconnects would
+ * keep its endpoint busy until the next token. This checks the socket without consuming data.
  */
 bool hd_gone(struct hd_call *call)
 {
--- a/base/hd.h
+++ b/base/hd.h
@@ -10,82 +10,126 @@
 
 /*
  * HTTP server (libmicrohttpd). The handler is called in one of the library's threads once the whole
- * request is there; the answer may be given from any thread, at once or in parts.
+ * request has been received. The response may be sent from any thread, whole or in parts.
  */
+
+/* An HTTP server. */
 struct hd;
+
+/* A request that was received, and its response. */
 struct hd_call;
 
-/* Owns a reference on call that hd_unref() gives back. */
+/* Handles a request. The handler owns a reference to call, which it releases by hd_unref(). */
 typedef void (*hd_handler)(void *ctx, struct hd_call *call);
 
 struct hd_config {
-	const char *addr;      /* NULL: no listening socket, connections come by hd_adopt() */
-	unsigned int threads;  /* of the library */
-	size_t body_max;       /* a larger request body is answered 413 */
-	size_t pending_max;    /* unsent bytes of an answer at which a caller counts as too slow */
-	const char *too_large; /* body of the 413 answer, JSON */
-	hd_handler handler;
-	void *ctx;
+	const char *addr; /* listening address IP:PORT; NULL: only hd_adopt() adds connections */
+	unsigned int threads;  /* number of the library's threads */
+	size_t body_max;       /* largest request body in bytes; a larger one gets status 413 */
+	size_t pending_max;    /* unsent bytes of a response above which hd_write() fails */
+	const char *too_large; /* body of the response with status 413, JSON */
+	hd_handler handler;    /* called for each request */
+	void *ctx;	       /* first argument of handler */
 };
 
-/* Returns NULL when the address cannot be had. */
+/* Starts a server. Returns NULL if it can't listen on the address or the library fails. */
 struct hd *hd_start(const struct hd_config *config);
+
+/* Stops the server, closes its connections and frees it. */
 void hd_stop(struct hd *hd);
 
 /*
- * Requests that are in progress: from their first line until the last byte of the answer is with
- * the system or the caller is gone. A daemon that stops must wait for zero, or it cuts answers off.
+ * Returns the number of requests in progress. A request is in progress from its first line until
+ * the last byte of the response is in the kernel's socket buffer or the client has disconnected. A
+ * daemon that stops must wait until the number is 0, or it truncates responses.
  */
 unsigned int hd_open(const struct hd *hd);
 
-/* Hands over a connected socket that somebody else accepted. */
+/* Serves a connected socket that was accepted elsewhere. The server owns and closes fd. */
 void hd_adopt(struct hd *hd, int fd);
 
 /*
- * Largest request body, and seconds after which a silent connection is closed; for requests that
- * begin from now on. Any thread may call this.
+ * Sets the largest request body in bytes, and the seconds after which an idle connection is closed;
+ * 0: never. Both apply to requests that begin after the call. Any thread may call this.
  */
 void hd_set_limits(struct hd *hd, size_t body_max, unsigned int idle_s);
 
-/* Answers from now on tell the caller to close the connection. Any thread may call this. */
+/* Adds the header "Connection: close" to all further responses. Any thread may call this. */
 void hd_set_closing(struct hd *hd);
 
-/* Takes no new connections from now on; those that are open stay. Any thread may call this. */
+/* Stops accepting connections; open ones are served further. Any thread may call this. */
 void hd_quiesce(struct hd *hd);
 
-/* The request target exactly as the caller sent it. */
+/* Returns the request target exactly as the client sent it. */
 const char *hd_target(const struct hd_call *call);
 
-/* Calls fn for each header of the request; until the answer is given. */
+/* Callback of hd_each_header(). */
 typedef void (*hd_header_fn)(void *ctx, const char *name, const char *value);
+
+/* Calls fn for each header of the request. Only allowed before the response is started. */
 void hd_each_header(struct hd_call *call, hd_header_fn fn, void *ctx);
 
+/* Returns the method of the request. */
 const char *hd_method(const struct hd_call *call);
+
+/* Returns the decoded path of the request, without the query. */
 const char *hd_path(const struct hd_call *call);
-const char *hd_header(struct hd_call *call, const char *name); /* until the answer is given */
-const char *hd_query(struct hd_call *call, const char *name);  /* until the answer is given */
+
+/*
+ * Returns the value of a header of the request, or NULL. Only allowed before the response is
+ * started.
+ */
+const char *hd_header(struct hd_call *call, const char *name);
+
+/*
+ * Returns the value of an argument in the query of the request, or NULL. Only allowed before the
+ * response is started.
+ */
+const char *hd_query(struct hd_call *call, const char *name);
+
+/* Returns the body of the request and its length in bytes. */
 const char *hd_body(const struct hd_call *call, size_t *len);
+
+/* Returns the local TCP port of the connection; 0 if unknown. */
 int hd_local_port(const struct hd_call *call);
 
-/* A header of the answer; before hd_reply() or hd_begin(). */
+/* Adds a header to the response. Only allowed before hd_reply() or hd_begin(). */
 void hd_set_header(struct hd_call *call, const char *name, const char *value);
 
-/* The whole answer. body is copied. type may be NULL. */
+/*
+ * Sends a whole response. body and type, the Content-Type, are copied; type may be NULL. len is the
+ * length of body in bytes.
+ */
 void hd_reply(struct hd_call *call, int status, const char *type, const char *body, size_t len);
 
-/* An answer in parts: hd_begin(), hd_write() as often as needed, hd_end(). */
+/*
+ * Starts a response in parts: hd_begin(), then any number of hd_write(), then hd_end(). type is the
+ * Content-Type; it is copied and may be NULL.
+ */
 void hd_begin(struct hd_call *call, int status, const char *type);
 
-/* Returns false when the caller is gone or too slow. */
+/*
+ * Sends a part of the response. Returns false if the client has disconnected, or if more than
+ * pending_max bytes would be unsent.
+ */
 bool hd_write(struct hd_call *call, const char *data, size_t len);
+
+/* Ends a response in parts. */
 void hd_end(struct hd_call *call);
 
-/* Cuts the connection: an answer in parts that must not look complete. */
+/*
+ * Closes the connection without the last chunk, so that the client doesn't take a response in parts
+ * for complete. Parts that were written before are still sent.
+ */
 void hd_abort(struct hd_call *call);
 
-/* Whether the caller has closed the connection; asks the socket, so it works while waiting. */
+/*
+ * Returns whether the client has closed the connection. This checks the socket itself, so it works
+ * while the library doesn't poll it.
+ */
 bool hd_gone(struct hd_call *call);
 
+/* Releases a reference to call; the last one frees it. */
 void hd_unref(struct hd_call *call);
 
 G_END_DECLS
--- a/base/loop.c
+++ b/base/loop.c
@@ -11,15 +11,16 @@
 #include <unistd.h>
 
 enum {
-	LOOP_MAIL_MAX = 1 << 16,
-	LOOP_MAIL_BATCH = 1024,
-	NSEC_PER_USEC = 1000,
-	USEC_PER_SEC = 1000000
+	LOOP_MAIL_MAX = 1 << 16, /* messages that the mailbox holds */
+	LOOP_MAIL_BATCH = 1024,	 /* messages handled before other events are handled again */
+	NSEC_PER_USEC = 1000,	 /* nanoseconds in a microsecond */
+	USEC_PER_SEC = 1000000	 /* microseconds in a second */
 };
 
 /*
- * ThreadSanitizer does not see the fences of Concurrency Kit, which are written in assembler, and
- * would report every message; these two tell it what the ring guarantees.
+ * ThreadSanitizer does not see the memory fences of Concurrency Kit, which are written in
+ * assembler, and would report a data race for every message. These two annotations declare the
+ * ordering that the ring guarantees.
  */
 #ifdef __SANITIZE_THREAD__
 void __tsan_acquire(void *addr);
@@ -31,15 +32,16 @@
 #define LOOP_TSAN_RELEASE(addr) ((void)(addr))
 #endif
 
+/* A posted function and its argument. */
 struct loop_mail {
 	loop_post_fn fn;
 	void *ctx;
 };
 
 struct loop_mailbox {
-	ck_ring_t ring;
-	ck_ring_buffer_t slots[LOOP_MAIL_MAX];
-	struct loop_fd wake;
+	ck_ring_t ring;			       /* queue with many producers and one consumer */
+	ck_ring_buffer_t slots[LOOP_MAIL_MAX]; /* storage of the ring */
+	struct loop_fd wake;		       /* watches the loop's eventfd */
 };
 
 static void loop_on_wake(void *ctx, uint32_t events);
@@ -75,8 +77,8 @@
 }
 
 /*
- * A full mailbox means that the loop's thread is far behind. The poster waits: dropping the message
- * would leave a request without its next event, which shows as a request that never ends.
+ * A full mailbox means that the loop's thread is far behind. The calling thread then waits, because
+ * dropping the message would leave a request without its next event, and it would never end.
  */
 void loop_post(struct loop *loop, loop_post_fn fn, void *ctx)
 {
@@ -128,8 +130,8 @@
 }
 
 /*
- * An event for lfd may already have been taken in this round; handing it out after its owner has
- * freed lfd would be a use after free, so it is struck from the round here.
+ * The current iteration may already have read an event for lfd. Calling its callback after the
+ * owner has freed lfd would be a use after free, so the event is removed from the batch.
  */
 void loop_fd_del(struct loop *loop, struct loop_fd *lfd)
 {
--- a/base/tmr.c
+++ b/base/tmr.c
@@ -2,9 +2,9 @@
 
 #include <time.h>
 
-static void tmr_place(struct tmr_svc *svc, size_t i, struct tmr *t);
-static void tmr_up(struct tmr_svc *svc, size_t i);
-static void tmr_down(struct tmr_svc *svc, size_t i);
+static void tmr_heap_put(struct tmr_svc *svc, size_t i, struct tmr *t);
+static void tmr_sift_up(struct tmr_svc *svc, size_t i);
+static void tmr_sift_down(struct tmr_svc *svc, size_t i);
 
 void tmr_svc_init(struct tmr_svc *svc)
 {
@@ -17,13 +17,13 @@
 	svc->heap = NULL;
 }
 
-static void tmr_place(struct tmr_svc *svc, size_t i, struct tmr *t)
+static void tmr_heap_put(struct tmr_svc *svc, size_t i, struct tmr *t)
 {
 	svc->heap->pdata[i] = t;
 	t->slot = i + 1;
 }
 
-static void tmr_up(struct tmr_svc *svc, size_t i)
+static void tmr_sift_up(struct tmr_svc *svc, size_t i)
 {
 	struct tmr *t = svc->heap->pdata[i];
 
@@ -33,13 +33,13 @@
 
 		if (p->due_us <= t->due_us)
 			break;
-		tmr_place(svc, i, p);
+		tmr_heap_put(svc, i, p);
 		i = parent;
 	}
-	tmr_place(svc, i, t);
+	tmr_heap_put(svc, i, t);
 }
 
-static void tmr_down(struct tmr_svc *svc, size_t i)
+static void tmr_sift_down(struct tmr_svc *svc, size_t i)
 {
 	struct tmr *t = svc->heap->pdata[i];
 	size_t n = svc->heap->len;
@@ -61,10 +61,10 @@
 		}
 		if (t->due_us <= c->due_us)
 			break;
-		tmr_place(svc, i, c);
+		tmr_heap_put(svc, i, c);
 		i = child;
 	}
-	tmr_place(svc, i, t);
+	tmr_heap_put(svc, i, t);
 }
 
 void tmr_set(struct tmr_svc *svc, struct tmr *t, int64_t due_us, tmr_fn fn, void *ctx)
@@ -74,7 +74,7 @@
 	t->fn = fn;
 	t->ctx = ctx;
 	g_ptr_array_add(svc->heap, t);
-	tmr_up(svc, svc->heap->len - 1);
+	tmr_sift_up(svc, svc->heap->len - 1);
 }
 
 void tmr_cancel(struct tmr_svc *svc, struct tmr *t)
@@ -90,9 +90,9 @@
 	g_ptr_array_set_size(svc->heap, (gint)svc->heap->len - 1);
 	if (last == t)
 		return;
-	tmr_place(svc, i, last);
-	tmr_up(svc, i);
-	tmr_down(svc, last->slot - 1);
+	tmr_heap_put(svc, i, last);
+	tmr_sift_up(svc, i);
+	tmr_sift_down(svc, last->slot - 1);
 }
 
 void tmr_run(struct tmr_svc *svc, int64_t now_us)
--- a/base/tmr.h
+++ b/base/tmr.h
@@ -8,66 +8,72 @@
 G_BEGIN_DECLS
 
 enum {
-	TMR_US_PER_MS = 1000,
-	TMR_US_PER_S = 1000000
+	TMR_US_PER_MS = 1000,  /* microseconds in a millisecond */
+	TMR_US_PER_S = 1000000 /* microseconds in a second */
 };
 
-/* Times of constants and settings in the unit of timers. */
+/* Converts milliseconds to microseconds, the unit of timers. */
 static inline int64_t tmr_ms(int64_t ms)
 {
 	return ms * TMR_US_PER_MS;
 }
 
+/* Converts seconds to microseconds, the unit of timers. */
 static inline int64_t tmr_s(int64_t s)
 {
 	return s * TMR_US_PER_S;
 }
 
 /*
- * Timer service. Parts subscribe an entry that they own; the owner of the service calls tmr_run()
- * with the time. Times are microseconds of the monotonic clock (or of a test's own clock).
+ * Timer service: a heap of timers ordered by due time. A caller owns the memory of its timers; the
+ * owner of the service calls tmr_run() with the current time. Times are in microseconds of the
+ * monotonic clock, or of a simulated clock in tests. A timer fires once for each tmr_set().
  */
 typedef void (*tmr_fn)(void *ctx, int64_t now_us);
 
 enum {
-	TMR_NEVER = -1
+	TMR_NEVER = -1 /* returned by tmr_next() if no timer is set */
 };
 
 struct tmr {
-	int64_t due_us;
-	tmr_fn fn;
-	void *ctx;
-	size_t slot; /* 1 + place in the heap; 0 when not subscribed */
+	int64_t due_us; /* time at which the timer fires, in microseconds */
+	tmr_fn fn;	/* callback of the timer */
+	void *ctx;	/* first argument of fn */
+	size_t slot;	/* index in the heap plus 1; 0 if the timer is not set */
 };
 
 struct tmr_svc {
-	GPtrArray *heap;
+	GPtrArray *heap; /* binary heap of struct tmr, earliest due time first */
 };
 
 void tmr_svc_init(struct tmr_svc *svc);
 void tmr_svc_finish(struct tmr_svc *svc);
 
-/* Subscribes t, or moves it if it is subscribed already. */
+/* Sets t to call fn(ctx, now) at due_us; a timer that is already set is moved. */
 void tmr_set(struct tmr_svc *svc, struct tmr *t, int64_t due_us, tmr_fn fn, void *ctx);
 
-/* Unsubscribes t; harmless when it is not subscribed. */
+/* Cancels t; does nothing if t is not set. */
 void tmr_cancel(struct tmr_svc *svc, struct tmr *t);
 
+/* Returns whether t is set and has not fired yet. */
 static inline bool tmr_is_set(const struct tmr *t)
 {
 	return t->slot > 0;
 }
 
-/* Calls every entry that is due at now_us, earliest first. */
+/* Calls the callback of every timer that is due at now_us, earliest first. */
 void tmr_run(struct tmr_svc *svc, int64_t now_us);
 
-/* Time of the earliest entry, or TMR_NEVER. */
+/* Returns the due time of the earliest timer in microseconds, or TMR_NEVER. */
 int64_t tmr_next(const struct tmr_svc *svc);
 
-/* The monotonic clock in microseconds. */
+/* Returns the monotonic clock in microseconds; it stops while the host is suspended. */
 int64_t tmr_now(void);
 
-/* The same, but it goes on while the host is suspended: for what others have counted meanwhile. */
+/*
+ * Returns the clock CLOCK_BOOTTIME in microseconds. It advances while the host is suspended, for
+ * intervals that other hosts measure, too.
+ */
 int64_t tmr_boot_now(void);
 
 G_END_DECLS
