--- a/base/hd_test.cc
+++ b/base/hd_test.cc
@@ -12,7 +12,7 @@
 namespace
 {
 
-/* A server on a port that the kernel chooses, and the last call that came to it. */
+/* A server, a client connection that it adopted, and the last request that it received. */
 class HdTest : public ::testing::Test
 {
       protected:
@@ -23,7 +23,7 @@
 		config.body_max = 100;
 		config.pending_max = 10000;
 		config.too_large = "{}";
-		config.handler = [](void *ctx, hd_call *call) { ((HdTest *)ctx)->Take(call); };
+		config.handler = [](void *ctx, hd_call *call) { ((HdTest *)ctx)->OnRequest(call); };
 		config.ctx = this;
 		hd_ = hd_start(&config);
 		ASSERT_NE(hd_, nullptr);
@@ -50,19 +50,19 @@
 		close(listener_);
 		hd_stop(hd_);
 	}
-	void Take(hd_call *call)
+	void OnRequest(hd_call *call)
 	{
-		if (in_handler_)
-			in_handler_(call);
+		if (handler_hook_)
+			handler_hook_(call);
 		std::lock_guard<std::mutex> lock(mutex_);
 		call_ = call;
-		came_.notify_all();
+		request_received_.notify_all();
 	}
 	hd_call *Send(const std::string &request)
 	{
 		send(client_, request.data(), request.size(), 0);
 		std::unique_lock<std::mutex> lock(mutex_);
-		came_.wait(lock, [this]() { return call_ != nullptr; });
+		request_received_.wait(lock, [this]() { return call_ != nullptr; });
 		return call_;
 	}
 	std::string ReadAll()
@@ -75,14 +75,14 @@
 		return all;
 	}
 	hd *hd_ = nullptr;
-	void (*in_handler_)(hd_call *call) = nullptr;
+	void (*handler_hook_)(hd_call *call) = nullptr;
 	int listener_ = -1, client_ = -1;
 	std::mutex mutex_;
-	std::condition_variable came_;
+	std::condition_variable request_received_;
 	hd_call *call_ = nullptr;
 };
 
-/* The body of an answer in chunks, or what is wrong with it. */
+/* Returns the decoded body of a chunked response, or a description of its first error. */
 std::string Body(const std::string &answer)
 {
 	size_t at = answer.find("\r\n\r\n");
@@ -103,7 +103,7 @@
 	}
 }
 
-TEST_F(HdTest, AnswerInPartsArrivesWhole)
+TEST_F(HdTest, ResponseInPartsIsComplete)
 {
 	hd_call *call = Send("GET /x?a=b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
 	EXPECT_STREQ(hd_path(call), "/x");
@@ -115,16 +115,16 @@
 	hd_unref(call);
 	std::string answer = ReadAll();
 	EXPECT_NE(answer.find("200 OK"), std::string::npos);
-	/* The library may take the parts together or one by one; either way this is the body. */
+	/* The library may send the parts in one chunk or in two; the body is the same. */
 	EXPECT_EQ(Body(answer), "one two");
 }
 
-TEST_F(HdTest, AbortedAnswerDoesNotLookWhole)
+TEST_F(HdTest, AbortedResponseLacksLastChunk)
 {
 	/*
-	 * Symptom: a caller takes the first half of an answer for all of it.
-	 * Sequence: the answer breaks off after some parts were sent.
-	 * Cause: ending the stream as if it were whole. What was written before still arrives.
+	 * Failure: a client takes the first half of a response for the whole.
+	 * Cause: a response that was aborted after some parts ended with the last chunk. Parts
+	 * written before the abort must still arrive.
 	 */
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
 	hd_begin(call, 200, "text/plain");
@@ -136,12 +136,12 @@
 	EXPECT_EQ(answer.find("\r\n0\r\n"), std::string::npos) << "no last chunk";
 }
 
-TEST_F(HdTest, CallerThatDoesNotReadIsNoticed)
+TEST_F(HdTest, WriteFailsWhenClientStopsReading)
 {
 	/*
-	 * Symptom: the daemon's memory grows with each caller that stops reading.
-	 * Sequence: a caller opens a stream and takes nothing of it.
-	 * Cause: parts without a bound on what is not yet taken.
+	 * Failure: the daemon's memory grows with each client that stops reading its response.
+	 * Cause: hd_write() had no limit on the bytes of a response that the library has not sent
+	 * yet.
 	 */
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
 	std::string part(1000, 'x');
@@ -154,7 +154,7 @@
 	hd_unref(call);
 }
 
-TEST_F(HdTest, CallerThatHangsUpIsNoticedWhileItWaits)
+TEST_F(HdTest, ClientDisconnectIsDetectedBeforeResponse)
 {
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
 	EXPECT_FALSE(hd_gone(call));
@@ -166,12 +166,12 @@
 	hd_unref(call);
 }
 
-TEST_F(HdTest, AnswerIsInProgressUntilItIsTaken)
+TEST_F(HdTest, RequestIsInProgressUntilResponseIsRead)
 {
 	/*
-	 * Symptom: a planned stop cuts the end of an answer off.
-	 * Sequence: the request has ended, the caller reads slowly, the daemon exits.
-	 * Cause: counting requests and not answers that are still on their way.
+	 * Failure: a planned stop truncates a response that a client reads slowly.
+	 * Cause: the daemon exits because a request no longer counts as in progress once it has
+	 * been answered, although part of the response is still unsent.
 	 */
 	EXPECT_EQ(hd_open(hd_), 0u);
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
@@ -185,14 +185,14 @@
 }
 
 /*
- * Symptom: an answer arrived with a spoilt Content-Type and none of the headers after it.
- * Sequence: the request is answered and its owner frees its memory before the library's thread has
- * taken the answer (the handler below does both before it returns).
- * Cause: the type was kept as a pointer into the owner's memory.
+ * Failure: a response had a corrupt Content-Type and lacked the headers after it.
+ * Cause: hd_reply() kept a pointer to the caller's Content-Type, which the caller freed before the
+ * library's thread read the response. The handler below reproduces this: it overwrites the string
+ * before it returns.
  */
-TEST_F(HdTest, TypeIsCopied)
+TEST_F(HdTest, ContentTypeIsCopied)
 {
-	in_handler_ = [](hd_call *call) {
+	handler_hook_ = [](hd_call *call) {
 		char type[] = "text/plain";
 		hd_set_header(call, "X-After", "there");
 		hd_reply(call, 200, type, "body", 4);
@@ -205,7 +205,7 @@
 	EXPECT_NE(answer.find("X-After: there\r\n"), std::string::npos) << answer;
 }
 
-TEST_F(HdTest, TargetIsAsTheCallerSentIt)
+TEST_F(HdTest, TargetIsNotNormalized)
 {
 	hd_call *call = Send("GET /a%20b/../c?x=1&y=%2F HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n");
@@ -215,7 +215,7 @@
 	EXPECT_NE(ReadAll().find(" 200 "), std::string::npos);
 }
 
-TEST_F(HdTest, LimitsCanChange)
+TEST_F(HdTest, LimitsApplyToLaterRequests)
 {
 	hd_set_limits(hd_, 200, 30);
 	std::string body(150, 'x');
@@ -231,7 +231,7 @@
 	EXPECT_NE(ReadAll().find("Connection: close"), std::string::npos);
 }
 
-TEST_F(HdTest, BodyOverTheLimitIsRefused)
+TEST_F(HdTest, BodyAboveLimitGets413)
 {
 	std::string body(101, 'x');
 	std::string request = "POST /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
--- a/base/jl.c
+++ b/base/jl.c
@@ -10,22 +10,23 @@
 #include <unistd.h>
 
 enum {
-	JL_RATE_DEFAULT = 300, /* lines a second; a host takes some 60 requests at its peak */
-	JL_USEC_PER_SEC = 1000000,
-	JL_TAIL = 4 /* room for the end of a line */
+	JL_RATE_DEFAULT = 300,	   /* lines per second; a host gets about 60 requests/s at peak */
+	JL_USEC_PER_SEC = 1000000, /* microseconds in a second */
+	JL_LINE_END_LEN = 4	   /* bytes reserved for the end of a line */
 };
 
+/* The line that a thread builds. */
 struct jl_line {
 	char text[JL_LINE_MAX];
-	size_t len;
-	bool skip;
+	size_t len; /* bytes used in text */
+	bool skip;  /* the line is dropped */
 };
 
 static char jl_host[128] = "-";
-static int64_t jl_rate = JL_RATE_DEFAULT;
-static uint64_t jl_second; /* of the count; atomic */
-static uint64_t jl_count;  /* lines written in that second; atomic */
-static uint64_t jl_lost;   /* lines left out since the last one written; atomic */
+static int64_t jl_rate = JL_RATE_DEFAULT; /* lines of level JL_INFO per second */
+static uint64_t jl_second;		  /* second that jl_count counts, monotonic clock; atomic */
+static uint64_t jl_count;		  /* lines of level JL_INFO begun in jl_second; atomic */
+static uint64_t jl_dropped;		  /* lines dropped since the last written line; atomic */
 static __thread struct jl_line jl;
 
 void jl_open(const char *host)
@@ -42,7 +43,10 @@
 	jl_rate = lines_per_s;
 }
 
-/* Threads may race for the first line of a second; a few lines more are no harm. */
+/*
+ * Counts a line and returns whether it is above the limit. Threads may race for the first line of a
+ * second; a few lines above the limit do no harm.
+ */
 static bool jl_over_rate(int64_t now_us)
 {
 	uint64_t second = (uint64_t)(now_us / JL_USEC_PER_SEC);
@@ -54,15 +58,15 @@
 	return ck_pr_faa_64(&jl_count, 1) >= (uint64_t)jl_rate;
 }
 
-static void jl_leave_out(void)
+static void jl_count_dropped(void)
 {
-	ck_pr_inc_64(&jl_lost);
+	ck_pr_inc_64(&jl_dropped);
 	met_add(met_counter("bg_log_left_out_total", ""), 1);
 }
 
-static void G_GNUC_PRINTF(1, 2) jl_put(const char *format, ...)
+static void G_GNUC_PRINTF(1, 2) jl_append(const char *format, ...)
 {
-	size_t room = sizeof(jl.text) - JL_TAIL - jl.len;
+	size_t room = sizeof(jl.text) - JL_LINE_END_LEN - jl.len;
 	va_list args;
 	int n;
 
@@ -81,51 +85,54 @@
 	jl.len = 0;
 	jl.skip = level != JL_KEEP && jl_over_rate(now_us);
 	if (jl.skip) {
-		jl_leave_out();
+		jl_count_dropped();
 		return;
 	}
-	lost = ck_pr_fas_64(&jl_lost, 0);
-	jl_put("{\"t\":%.3f,\"up\":%.3f,\"host\":\"%s\",\"event\":\"%s\"",
-	       (double)g_get_real_time() / JL_USEC_PER_SEC, (double)now_us / JL_USEC_PER_SEC,
-	       jl_host, event);
+	lost = ck_pr_fas_64(&jl_dropped, 0);
+	jl_append("{\"t\":%.3f,\"up\":%.3f,\"host\":\"%s\",\"event\":\"%s\"",
+		  (double)g_get_real_time() / JL_USEC_PER_SEC, (double)now_us / JL_USEC_PER_SEC,
+		  jl_host, event);
 	if (lost > 0)
 		jl_int("left_out", (int64_t)lost);
 }
 
-/* A value may come from a caller: what could end the text or the line is escaped. */
+/*
+ * The value may come from a client, so characters that could end the string or the line are
+ * escaped.
+ */
 void jl_str(const char *name, const char *value)
 {
 	if (jl.skip || !value)
 		return;
-	jl_put(",\"%s\":\"", name);
+	jl_append(",\"%s\":\"", name);
 	for (const unsigned char *c = (const unsigned char *)value;
 	     *c && jl.len + 16 < sizeof(jl.text); c++) {
 		if (*c == '"' || *c == '\\')
-			jl_put("\\%c", *c);
+			jl_append("\\%c", *c);
 		else if (*c < ' ' || *c > '~')
-			jl_put("\\u%04x", *c);
+			jl_append("\\u%04x", *c);
 		else
 			jl.text[jl.len++] = (char)*c;
 	}
-	jl_put("\"");
+	jl_append("\"");
 }
 
 void jl_int(const char *name, int64_t value)
 {
 	if (!jl.skip)
-		jl_put(",\"%s\":%" G_GINT64_FORMAT, name, value);
+		jl_append(",\"%s\":%" G_GINT64_FORMAT, name, value);
 }
 
 void jl_hex(const char *name, uint64_t value)
 {
 	if (!jl.skip)
-		jl_put(",\"%s\":\"%016" G_GINT64_MODIFIER "x\"", name, value);
+		jl_append(",\"%s\":\"%016" G_GINT64_MODIFIER "x\"", name, value);
 }
 
 void jl_real(const char *name, double value)
 {
 	if (!jl.skip)
-		jl_put(",\"%s\":%.3f", name, value);
+		jl_append(",\"%s\":%.3f", name, value);
 }
 
 void jl_end(void)
@@ -135,5 +142,5 @@
 	jl.text[jl.len++] = '}';
 	jl.text[jl.len++] = '\n';
 	if (write(STDOUT_FILENO, jl.text, jl.len) < 0)
-		jl_leave_out();
+		jl_count_dropped();
 }
--- a/base/jl.h
+++ b/base/jl.h
@@ -8,38 +8,51 @@
 G_BEGIN_DECLS
 
 /*
- * Structured log on standard output: one JSON object a line, with "t" (seconds of the time of day),
- * "up" (seconds of the monotonic clock), "host" and "event", then the event's own members. A line
- * is written whole or not at all and never waited for: a full pipe, or too many lines in a second,
- * leaves lines out, which the counter bg_log_left_out_total and the next line's "left_out" tell.
+ * Structured log on standard output: one JSON object per line, with "t" (Unix time in seconds),
+ * "up" (monotonic clock in seconds), "host" and "event", followed by the members of the event. A
+ * line is written whole or not at all, and writing never blocks. Lines are dropped if the pipe is
+ * full or if too many are written in a second. The counter bg_log_left_out_total counts dropped
+ * lines; the member "left_out" of the next line has the number dropped since the last line.
  *
  *   jl_begin(JL_INFO, "sent");
  *   jl_str("id", id);
  *   jl_int("attempt", 1);
  *   jl_end();
  *
- * Any thread may write lines; each has a line of its own under way.
+ * Any thread may write lines; each thread builds its line in its own buffer.
  */
 enum jl_level {
-	JL_KEEP, /* ends a request badly, or start, stop, lost dependency: beyond the limit on lines
-		  */
-	JL_INFO
+	JL_KEEP, /* exempt from the limit on lines per second: failed request, start, stop or loss
+		    of a dependency */
+	JL_INFO	 /* dropped above the limit on lines per second */
 };
 
 enum {
-	JL_LINE_MAX = 2048 /* bytes; below the size that a pipe takes whole */
+	JL_LINE_MAX = 2048 /* bytes of a line; less than PIPE_BUF, so that write() is atomic */
 };
 
+/* Sets the value of the member "host" and makes standard output non-blocking. */
 void jl_open(const char *host);
 
-/* Lines of JL_INFO that may be written in a second. */
+/* Sets the number of lines of level JL_INFO that may be written per second. */
 void jl_set_rate(int64_t lines_per_s);
 
+/* Begins a line of the calling thread. */
 void jl_begin(enum jl_level level, const char *event);
+
+/* Adds a string member; does nothing if value is NULL. */
 void jl_str(const char *name, const char *value);
+
+/* Adds an integer member. */
 void jl_int(const char *name, int64_t value);
-void jl_hex(const char *name, uint64_t value); /* as a text of 16 digits */
+
+/* Adds a string member that holds value as 16 hexadecimal digits. */
+void jl_hex(const char *name, uint64_t value);
+
+/* Adds a number member with three decimals. */
 void jl_real(const char *name, double value);
+
+/* Writes the line, or drops it if the pipe is full. */
 void jl_end(void);
 
 G_END_DECLS
--- a/base/jl_test.cc
+++ b/base/jl_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-/* Standard output is a pipe while a test runs. */
+/* Replaces standard output by a pipe while a test runs. */
 class JlTest : public ::testing::Test
 {
       protected:
@@ -47,7 +47,7 @@
 	int pipe_[2];
 };
 
-void Line(const char *text = "x", jl_level level = JL_INFO)
+void WriteLine(const char *text = "x", jl_level level = JL_INFO)
 {
 	jl_begin(level, "event");
 	jl_str("text", text);
@@ -55,12 +55,12 @@
 	jl_end();
 }
 
-TEST_F(JlTest, OneJsonObjectALineWhateverACallerSends)
+TEST_F(JlTest, EachLineIsOneJsonObjectForAnyValue)
 {
 	const std::string huge(10000, 'y');
 	for (const char *text :
 	     {"plain", "quote\" back\\ line\nend\r", "\x01\x7f\xff", huge.c_str()}) {
-		Line(text);
+		WriteLine(text);
 		std::string line = Read();
 		ASSERT_FALSE(line.empty());
 		EXPECT_EQ(line.find('\n'), line.size() - 1);
@@ -73,28 +73,28 @@
 }
 
 /*
- * Symptom: a host stopped serving because nobody read its log.
- * Sequence: the pipe is full; a line is written.
- * Cause: the write waited for the reader.
+ * Failure: a host stopped serving because no process read its log.
+ * Cause: standard output was a pipe that was full, and write() blocked until a process read from
+ * it.
  */
-TEST_F(JlTest, AFullPipeLeavesLinesOutAndNeverWaits)
+TEST_F(JlTest, FullPipeDropsLinesWithoutBlocking)
 {
 	uint64_t before = met_get(met_counter("bg_log_left_out_total", ""));
 	for (int i = 0; i < 5000; i++)
-		Line("some text of a line", JL_KEEP);
+		WriteLine("some text of a line", JL_KEEP);
 	EXPECT_GT(met_get(met_counter("bg_log_left_out_total", "")), before);
 	while (!Read().empty())
 		;
-	Line("after", JL_KEEP);
+	WriteLine("after", JL_KEEP);
 	EXPECT_NE(Read().find("left_out"), std::string::npos);
 }
 
-TEST_F(JlTest, TooManyLinesASecondAreLeftOutButForTheImportant)
+TEST_F(JlTest, LinesAboveRateLimitAreDroppedUnlessExempt)
 {
 	jl_set_rate(0);
-	Line("ordinary");
+	WriteLine("ordinary");
 	EXPECT_EQ(Read(), "");
-	Line("bad ending", JL_KEEP);
+	WriteLine("bad ending", JL_KEEP);
 	EXPECT_NE(Read().find("bad ending"), std::string::npos);
 }
 
--- a/base/log.c
+++ b/base/log.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 enum {
-	LOG_LINE_MAX = 2048
+	LOG_LINE_MAX = 2048 /* bytes of a line; longer lines are truncated */
 };
 
 static const char *log_program = "bronzegauge";
@@ -38,8 +38,8 @@
 }
 
 /*
- * One write() a line, so that lines of several threads do not mix. Line breaks inside a value are
- * replaced: a caller's text could otherwise forge a line.
+ * Each line is one write(), so that lines of several threads do not mix. Line breaks inside a value
+ * are replaced by spaces, because text of a client could otherwise forge a log line.
  */
 void log_msg(int priority, const char *format, ...)
 {
--- a/base/met.c
+++ b/base/met.c
@@ -5,10 +5,11 @@
 #include <string.h>
 
 enum met_kind {
-	MET_COUNTER,
+	MET_COUNTER, /* counter or gauge */
 	MET_HISTOGRAM
 };
 
+/* A metric with its name and labels. */
 struct met_item {
 	enum met_kind kind;
 	char *name;
@@ -21,15 +22,17 @@
 
 static struct met_item *met_item(enum met_kind kind, const char *name, const char *labels);
 static unsigned int met_bucket(uint64_t value);
-static uint64_t met_edge(unsigned int bucket);
+static uint64_t met_bucket_max(unsigned int bucket);
 static void met_write_item(const struct met_item *item, GString *out);
 
 static pthread_mutex_t met_lock = PTHREAD_MUTEX_INITIALIZER;
-static GHashTable *met_items;
-static GPtrArray *met_order;
+static GHashTable *met_items;	      /* struct met_item by "name{labels}" */
+static GPtrArray *met_items_in_order; /* struct met_item in the order of creation */
 
+/* Quantiles of a histogram that are written. */
 static const double met_quantiles[] = {0.5, 0.95, 0.99};
 
+/* Returns the metric with the given name and labels; creates it if there is none. */
 static struct met_item *met_item(enum met_kind kind, const char *name, const char *labels)
 {
 	char *key = g_strdup_printf("%s{%s}", name, labels);
@@ -38,7 +41,7 @@
 	pthread_mutex_lock(&met_lock);
 	if (!met_items) {
 		met_items = g_hash_table_new(g_str_hash, g_str_equal);
-		met_order = g_ptr_array_new();
+		met_items_in_order = g_ptr_array_new();
 	}
 	item = g_hash_table_lookup(met_items, key);
 	if (item) {
@@ -49,7 +52,7 @@
 		item->name = g_strdup(name);
 		item->labels = g_strdup(labels);
 		g_hash_table_insert(met_items, key, item);
-		g_ptr_array_add(met_order, item);
+		g_ptr_array_add(met_items_in_order, item);
 	}
 	pthread_mutex_unlock(&met_lock);
 	return item;
@@ -85,6 +88,7 @@
 	return &met_item(MET_HISTOGRAM, name, labels)->u.hist;
 }
 
+/* Returns the index of the bucket that counts value. */
 static unsigned int met_bucket(uint64_t value)
 {
 	unsigned int power;
@@ -97,7 +101,8 @@
 	return MIN((power - 2) * MET_HIST_PARTS + part, MET_HIST_BUCKETS - 1U);
 }
 
-static uint64_t met_edge(unsigned int bucket)
+/* Returns the largest value that the bucket counts. */
+static uint64_t met_bucket_max(unsigned int bucket)
 {
 	unsigned int power;
 
@@ -127,9 +132,9 @@
 	for (unsigned int i = 0; i < MET_HIST_BUCKETS; i++) {
 		seen += ck_pr_load_64(&hist->buckets[i]);
 		if (seen > want)
-			return met_edge(i);
+			return met_bucket_max(i);
 	}
-	return met_edge(MET_HIST_BUCKETS - 1);
+	return met_bucket_max(MET_HIST_BUCKETS - 1);
 }
 
 static void met_write_item(const struct met_item *item, GString *out)
@@ -155,7 +160,7 @@
 void met_write(GString *out)
 {
 	pthread_mutex_lock(&met_lock);
-	for (guint i = 0; met_order && i < met_order->len; i++)
-		met_write_item(met_order->pdata[i], out);
+	for (guint i = 0; met_items_in_order && i < met_items_in_order->len; i++)
+		met_write_item(met_items_in_order->pdata[i], out);
 	pthread_mutex_unlock(&met_lock);
 }
--- a/base/prog.c
+++ b/base/prog.c
@@ -9,7 +9,8 @@
 #include <sys/signalfd.h>
 #include <unistd.h>
 
-struct prog_stop {
+/* A watched set of signals and its callback. */
+struct prog_signal {
 	struct loop_fd lfd;
 	void (*fn)(void *ctx);
 	void *ctx;
@@ -29,20 +30,22 @@
 	{NULL, 0, 0, 0, NULL, NULL, NULL},
 };
 
-static void prog_fail(const char *program, const char *text)
+/* Prints an error message and exits. */
+static void prog_usage_error(const char *program, const char *text)
 {
 	fprintf(stderr, "%s: %s\n", program, text);
 	exit(PROG_EXIT_USAGE);
 }
 
-static void prog_load(const char *program, const struct set_item *items, size_t n, void *settings)
+static void prog_load_settings(const char *program, const struct set_item *items, size_t n,
+			       void *settings)
 {
 	GString *errors = g_string_new(NULL);
 
 	if (!prog_config)
 		prog_config = g_strdup(g_getenv("BRONZEGAUGE_CONFIG"));
 	if (!prog_config)
-		prog_fail(program, "--config FILE is missing");
+		prog_usage_error(program, "--config FILE is missing");
 	if (set_load(prog_config, items, n, settings, errors) < 0) {
 		fputs(errors->str, stderr);
 		exit(PROG_EXIT_USAGE);
@@ -69,41 +72,42 @@
 	g_option_context_set_summary(context, summary);
 	g_option_context_add_main_entries(context, prog_options, NULL);
 	if (!g_option_context_parse(context, argc, argv, &error))
-		prog_fail(program, error->message);
+		prog_usage_error(program, error->message);
 	if (*argc > 1)
-		prog_fail(program, "takes no arguments besides options");
+		prog_usage_error(program, "takes no arguments besides options");
 	if (prog_version) {
 		printf("%s %s\n", program, PROG_VERSION);
 		exit(PROG_EXIT_OK);
 	}
 	log_open(program, LOG_INFO);
 	if (prog_log_level && !log_set_level(prog_log_level))
-		prog_fail(program, "unknown log level");
-	prog_load(program, items, n, settings);
+		prog_usage_error(program, "unknown log level");
+	prog_load_settings(program, items, n, settings);
 	g_option_context_free(context);
 }
 
 static void prog_on_signal(void *ctx, uint32_t events)
 {
-	struct prog_stop *stop = ctx;
+	struct prog_signal *watch = ctx;
 	struct signalfd_siginfo info;
 
 	(void)events;
-	if (read(stop->lfd.fd, &info, sizeof(info)) == (ssize_t)sizeof(info))
-		stop->fn(stop->ctx);
+	if (read(watch->lfd.fd, &info, sizeof(info)) == (ssize_t)sizeof(info))
+		watch->fn(watch->ctx);
 }
 
-static void prog_watch(struct loop *loop, const sigset_t *set, void (*fn)(void *ctx), void *ctx)
+static void prog_watch_signals(struct loop *loop, const sigset_t *set, void (*fn)(void *ctx),
+			       void *ctx)
 {
-	struct prog_stop *stop = g_new0(struct prog_stop, 1);
+	struct prog_signal *watch = g_new0(struct prog_signal, 1);
 
 	pthread_sigmask(SIG_BLOCK, set, NULL);
-	stop->lfd.fd = signalfd(-1, set, SFD_NONBLOCK | SFD_CLOEXEC);
-	stop->lfd.fn = prog_on_signal;
-	stop->lfd.ctx = stop;
-	stop->fn = fn;
-	stop->ctx = ctx;
-	loop_fd_add(loop, &stop->lfd, EPOLLIN);
+	watch->lfd.fd = signalfd(-1, set, SFD_NONBLOCK | SFD_CLOEXEC);
+	watch->lfd.fn = prog_on_signal;
+	watch->lfd.ctx = watch;
+	watch->fn = fn;
+	watch->ctx = ctx;
+	loop_fd_add(loop, &watch->lfd, EPOLLIN);
 }
 
 void prog_on_stop(struct loop *loop, void (*fn)(void *ctx), void *ctx)
@@ -114,7 +118,7 @@
 	sigemptyset(&set);
 	sigaddset(&set, SIGTERM);
 	sigaddset(&set, SIGINT);
-	prog_watch(loop, &set, fn, ctx);
+	prog_watch_signals(loop, &set, fn, ctx);
 }
 
 void prog_on_reload(struct loop *loop, void (*fn)(void *ctx), void *ctx)
@@ -123,7 +127,7 @@
 
 	sigemptyset(&set);
 	sigaddset(&set, SIGHUP);
-	prog_watch(loop, &set, fn, ctx);
+	prog_watch_signals(loop, &set, fn, ctx);
 }
 
 void prog_reply_json(struct hd_call *call, int status, json_t *body)
--- a/base/prog.h
+++ b/base/prog.h
@@ -7,35 +7,38 @@
 
 #include <jansson.h>
 
+/* Version that --version prints. */
 #define PROG_VERSION "0.1.0"
 
 /* Exit statuses of all programs. */
 enum prog_exit {
-	PROG_EXIT_OK = 0,
-	PROG_EXIT_FAILED = 1,
-	PROG_EXIT_USAGE = 2
+	PROG_EXIT_OK = 0,     /* success */
+	PROG_EXIT_FAILED = 1, /* failure while the program ran */
+	PROG_EXIT_USAGE = 2   /* invalid options or settings */
 };
 
 /*
- * Common start of a daemon: command line (--config FILE, else from BRONZEGAUGE_CONFIG, --check,
- * --log-level, --version, --help) and settings. Exits by itself on an error, --check or --version.
+ * Common start of a daemon: parses the command line (--config FILE, --check, --log-level,
+ * --version,
+ * --help) and reads the settings file into settings. Without --config, the environment variable
+ * BRONZEGAUGE_CONFIG names the file. Exits on an error, --check, --version or --help.
  */
 void prog_start(int *argc, char ***argv, const char *summary, const struct set_item *items,
 		size_t n, void *settings);
 
-/* The settings file: --config, else what BRONZEGAUGE_CONFIG names. After prog_start(). */
+/* Returns the path of the settings file. Only valid after prog_start(). */
 const char *prog_config_path(void);
 
-/* Calls fn(ctx) in the loop on SIGHUP. Call it before any thread is made. */
+/* Calls fn(ctx) in the loop on SIGHUP. Must be called before any thread is created. */
 void prog_on_reload(struct loop *loop, void (*fn)(void *ctx), void *ctx);
 
-/* Calls fn(ctx) in the loop on SIGTERM and SIGINT. Call it before any thread is made. */
+/* Calls fn(ctx) in the loop on SIGTERM and SIGINT. Must be called before any thread is created. */
 void prog_on_stop(struct loop *loop, void (*fn)(void *ctx), void *ctx);
 
-/* Answers with a JSON value, which is released, and gives back the call. */
+/* Sends body as the response and releases the references to body and call. */
 void prog_reply_json(struct hd_call *call, int status, json_t *body);
 
-/* The last component of a path below a prefix, or NULL if path is not below it. */
+/* Returns the part of path after prefix, or NULL if path doesn't start with prefix. */
 const char *prog_path_below(const char *path, const char *prefix);
 
 #endif
--- a/base/rnd.h
+++ b/base/rnd.h
@@ -4,16 +4,21 @@
 #include <stdint.h>
 
 /*
- * Random numbers from a seed (a linear congruential generator): repeatable, for decisions that are
- * replayed in tests. Not for secrets.
+ * Pseudo-random numbers (a linear congruential generator). The same seed gives the same numbers, so
+ * that tests can replay decisions. Not for secrets.
  */
+
+/* Advances the generator and returns the next 32 bits. */
 static inline uint32_t rnd_step(uint32_t *seed)
 {
 	*seed = *seed * 1664525U + 1013904223U;
 	return *seed;
 }
 
-/* A number from 0 up to, but not including, 1. The low bits repeat soon, so they are left out. */
+/*
+ * Returns a number from 0 up to, but not including, 1. The low bits of the generator have a short
+ * period, so only the high 24 bits are used.
+ */
 static inline double rnd_unit(uint32_t *seed)
 {
 	return (double)(rnd_step(seed) >> 8) / (double)(1U << 24);
--- a/base/set.c
+++ b/base/set.c
@@ -6,15 +6,16 @@
 #include <ini.h>
 #include <stdio.h>
 
+/* State of set_load(). */
 struct set_reader {
 	const char *path;
 	FILE *file;
-	int line; /* of the file that the library is at */
+	int line; /* number of the line that was read last */
 	const struct set_item *items;
-	size_t n;
-	char *target;
-	bool *seen;
-	GString *errors;
+	size_t n;	 /* number of items */
+	char *target;	 /* settings struct */
+	bool *seen;	 /* for each item, whether the file has it */
+	GString *errors; /* messages, one line each */
 };
 
 static int set_on_pair(void *user, const char *section, const char *name, const char *value);
@@ -69,7 +70,7 @@
 	return problem;
 }
 
-/* Returns NULL or what was expected. */
+/* Stores a value in the field of the item. Returns NULL, or a message with the expected form. */
 static const char *set_store(const struct set_item *item, char *target, const char *value)
 {
 	char **text = (char **)(target + item->offset);
@@ -89,7 +90,7 @@
 	return NULL;
 }
 
-/* The library as packaged does not tell its handler the line, so the reader counts. */
+/* Counts lines, because the packaged library doesn't pass the line number to its handler. */
 static char *set_read_line(char *buf, int size, void *stream)
 {
 	struct set_reader *r = stream;
--- a/base/set.h
+++ b/base/set.h
@@ -8,45 +8,51 @@
 G_BEGIN_DECLS
 
 /*
- * Settings of a program: an INI file read whole into a struct by a table. Every problem is reported
- * with file, line and key before the program does anything.
+ * Settings of a program: an INI file that is read into a struct as described by a table. All errors
+ * in the file are reported with file, line and key before the program starts its work.
  */
+/* Type of a setting and of its field in the settings struct. */
 enum set_type {
-	SET_INT,  /* int64_t, within min..max */
-	SET_REAL, /* double, within min..max */
-	SET_TEXT, /* char *, g_free() by set_clear(); may be empty only if min is 0 */
-	SET_ADDR  /* char * of the form IP:PORT */
+	SET_INT,  /* int64_t from min to max */
+	SET_REAL, /* double from min to max */
+	SET_TEXT, /* char *, freed by set_clear(); may be empty only if min is 0 */
+	SET_ADDR  /* char * IP:PORT, freed by set_clear(); may be empty only if it has a default */
 };
 
+/* One row of the table: a setting and its field. */
 struct set_item {
-	const char *section;
-	const char *key;
+	const char *section; /* section of the file, without brackets */
+	const char *key;     /* key in the section */
 	enum set_type type;
-	size_t offset;	     /* of the field in the settings struct */
-	const char *initial; /* value when the file has none; NULL: must be given */
-	int64_t min;
-	int64_t max;
+	size_t offset;	     /* offset of the field in the settings struct, in bytes */
+	const char *initial; /* default value; NULL: the file must have the setting */
+	int64_t min;	     /* smallest allowed number; SET_TEXT: above 0 forbids an empty text */
+	int64_t max;	     /* largest allowed number */
 };
 
 /*
- * Fills the struct at target from path. Problems go to errors, one line each. Returns 0,
- * BASE_EFILE or BASE_ESETTING; after an error the struct may be cleared but not used.
+ * Reads the file at path into the struct at target. Appends one line for each error to errors.
+ * Returns 0, BASE_EFILE or BASE_ESETTING. After an error the struct may only be cleared.
  */
 int set_load(const char *path, const struct set_item *items, size_t n, void *target,
 	     GString *errors);
 
 /*
- * Hash of the settings of these sections (ends with NULL) with their values in effect: two hosts
- * that run the same ones have the same, whatever the order, spaces and comments of their files.
+ * Returns a hash of the effective values of all settings in the given sections, a list that ends
+ * with NULL. Two hosts with the same values have the same hash, regardless of the order, spaces and
+ * comments in their files.
  */
 uint64_t set_digest(const struct set_item *items, size_t n, const void *target,
 		    const char *const *sections);
 
-/* Appends the "section.key" of each setting that differs, with commas between. */
+/*
+ * Appends the "section.key" of each setting that differs between the structs a and b, separated by
+ * commas.
+ */
 void set_differing(const struct set_item *items, size_t n, const void *a, const void *b,
 		   GString *keys);
 
-/* Frees what set_load() has put into the struct. */
+/* Frees the strings that set_load() has stored in the struct. */
 void set_clear(const struct set_item *items, size_t n, void *target);
 
 G_END_DECLS
--- a/base/set_test.cc
+++ b/base/set_test.cc
@@ -20,7 +20,7 @@
 };
 const size_t N = sizeof(ITEMS) / sizeof(ITEMS[0]);
 
-/* The settings of a file with that text. */
+/* Returns the settings that are read from a file with the given text. */
 settings Load(const char *text)
 {
 	settings s{};
@@ -36,7 +36,7 @@
 	return s;
 }
 
-TEST(SetTest, WhatDiffersBetweenTwoHostsIsSeenAndNamed)
+TEST(SettingsTest, DigestAndDifferingKeysOfTwoFiles)
 {
 	const char *const shared[] = {"log", "repeats", nullptr};
 	const struct {
--- a/base/zip.c
+++ b/base/zip.c
@@ -4,7 +4,8 @@
 #include <zlib.h>
 
 enum {
-	ZIP_WHOLE_MAX = 64 << 20 /* bytes; a larger length is a mistake or an attack */
+	ZIP_UNPACKED_MAX = 64 << 20 /* largest uncompressed length in bytes; a larger one is an
+				       error or an attack */
 };
 
 int zip_pack(const void *data, size_t len, GByteArray *out)
@@ -23,7 +24,7 @@
 	uLongf whole = (uLongf)whole_len;
 	uint8_t *text;
 
-	if (whole_len > ZIP_WHOLE_MAX)
+	if (whole_len > ZIP_UNPACKED_MAX)
 		return NULL;
 	text = g_malloc(whole_len + 1);
 	if (uncompress(text, &whole, data, (uLong)len) != Z_OK || whole != whole_len) {
--- a/base/zip_test.cc
+++ b/base/zip_test.cc
@@ -6,7 +6,7 @@
 namespace
 {
 
-TEST(ZipTest, WhatIsPackedComesBack)
+TEST(ZipTest, UnpackRestoresPackedData)
 {
 	std::string text;
 	for (int i = 0; i < 1000; i++)
@@ -24,10 +24,10 @@
 }
 
 /*
- * Symptom: a host crashed or ran out of memory. Sequence: bytes that are damaged, or that state a
- * length which is not theirs, come from another host. Cause: they were believed.
+ * Failure: a host crashed or ran out of memory. Cause: it received damaged data, or a wrong
+ * uncompressed length, from another host and used it without a check.
  */
-TEST(ZipTest, WhatIsDamagedIsRefused)
+TEST(ZipTest, DamagedDataOrWrongLengthIsRejected)
 {
 	const std::string text(5000, 'x');
 	GByteArray *packed = g_byte_array_new();
