--- a/base/frm.h
+++ b/base/frm.h
@@ -85,7 +85,7 @@
 void frm_send(struct frm_conn *conn, uint16_t kind, const ProtobufCMessage *msg);
 
 /*
- * Sets whether the caller waits for the peer, which chooses the limits for heartbeats. For
+ * Sets whether the connection is active, that is, whether the caller waits for the peer. Only for
  * connections made by frm_connect().
  */
 void frm_set_active(struct frm_conn *conn, bool active);
--- a/base/hc.h
+++ b/base/hc.h
@@ -14,6 +14,7 @@
 /* A request in progress. */
 struct hc_call;
 
+/* Callbacks of a request. */
 struct hc_ops {
 	/*
 	 * The status line and all headers of the response were received; may be NULL. headers are
@@ -38,6 +39,7 @@
 	void (*on_done)(void *ctx, int status, int err, bool sent, const char *body, size_t len);
 };
 
+/* A request to send. */
 struct hc_request {
 	const char *method;
 	const char *url;
--- a/base/hd.h
+++ b/base/hd.h
@@ -22,6 +22,7 @@
 /* Handles a request. The handler owns a reference to call, which it releases by hd_unref(). */
 typedef void (*hd_handler)(void *ctx, struct hd_call *call);
 
+/* Configuration of a server. */
 struct hd_config {
 	const char *addr; /* listening address IP:PORT; NULL: only hd_adopt() adds connections */
 	unsigned int threads;  /* number of the library's threads */
@@ -49,8 +50,10 @@
 void hd_adopt(struct hd *hd, int fd);
 
 /*
- * Sets the largest request body in bytes, and the seconds after which an idle connection is closed;
- * 0: never. Both apply to requests that begin after the call. Any thread may call this.
+ * Sets the largest request body in bytes and the idle timeout of connections in seconds. The body
+ * limit is checked whenever body data arrives; the timeout is set when a request begins. An idle_s
+ * of 0 leaves the timeout of a connection as it is; a new connection has none. Any thread may call
+ * this.
  */
 void hd_set_limits(struct hd *hd, size_t body_max, unsigned int idle_s);
 
--- a/base/prog.h
+++ b/base/prog.h
@@ -18,10 +18,9 @@
 };
 
 /*
- * Common start of a daemon: parses the command line (--config FILE, --check, --log-level,
- * --version,
- * --help) and reads the settings file into settings. Without --config, the environment variable
- * BRONZEGAUGE_CONFIG names the file. Exits on an error, --check, --version or --help.
+ * Common start of a daemon: parses the command line (--config FILE, --check, --log-level LEVEL,
+ * --version, --help) and reads the settings file into settings. Without --config, the environment
+ * variable BRONZEGAUGE_CONFIG names the file. Exits on an error, --check, --version or --help.
  */
 void prog_start(int *argc, char ***argv, const char *summary, const struct set_item *items,
 		size_t n, void *settings);
--- a/base/set.h
+++ b/base/set.h
@@ -11,6 +11,7 @@
  * Settings of a program: an INI file that is read into a struct as described by a table. All errors
  * in the file are reported with file, line and key before the program starts its work.
  */
+
 /* Type of a setting and of its field in the settings struct. */
 enum set_type {
 	SET_INT,  /* int64_t from min to max */
