--- a/conf/clog.c
+++ b/conf/clog.c
@@ -4,11 +4,12 @@
 #include <stdlib.h>
 
 enum {
-	CLOG_RECENT_MAX = 256,
-	CLOG_ANY_REVISION = -1,
-	CLOG_COVERS_NONE = -1
+	CLOG_VERDICTS_MAX = 256, /* maximum number of verdicts kept */
+	CLOG_ANY_REVISION = -1,	 /* the command may be applied to any revision */
+	CLOG_COVERS_NONE = -1	 /* no usable snapshot was found */
 };
 
+/* A record that was read before the node was ready. */
 struct clog_record {
 	int64_t offset;
 	json_t *json;
@@ -16,10 +17,10 @@
 
 static void clog_apply(struct clog *clog, int64_t offset, json_t *record,
 		       struct clog_verdict *verdict);
-static void clog_change(struct clog *clog, json_t *record, struct clog_verdict *verdict);
-static int clog_adopt(struct clog *clog, json_t *snapshot);
-static void clog_note_snapshot(struct clog *clog, json_t *record);
-static void clog_remember(struct clog *clog, const struct clog_verdict *verdict);
+static void clog_apply_change(struct clog *clog, json_t *record, struct clog_verdict *verdict);
+static int clog_load_snapshot(struct clog *clog, json_t *snapshot);
+static void clog_on_snapshot(struct clog *clog, json_t *record);
+static void clog_add_verdict(struct clog *clog, const struct clog_verdict *verdict);
 
 static void clog_record_free(struct clog_record *record)
 {
@@ -43,7 +44,8 @@
 	g_queue_free_full(clog->recent, g_free);
 }
 
-static const char *clog_text(const json_t *record, const char *key)
+/* Returns a string member of the record, or "" if it has none. */
+static const char *clog_json_text(const json_t *record, const char *key)
 {
 	const char *text = json_string_value(json_object_get(record, key));
 
@@ -57,13 +59,14 @@
 
 static bool clog_is_snapshot(const json_t *record)
 {
-	return strcmp(clog_text(record, "type"), "snapshot") == 0;
+	return strcmp(clog_json_text(record, "type"), "snapshot") == 0;
 }
 
 /*
- * Records expire. If those after our own offset are gone, going on with what is left would skip
- * changes and end in a configuration that no operator accepted; the node starts over instead and
- * uses nothing until a snapshot covers the gap. Its old state stays in force meanwhile.
+ * Records expire. If records that this node has not read yet have expired, applying the remaining
+ * ones would skip changes and produce a configuration that no operator declared. The node therefore
+ * starts over at the oldest retained record, and applies nothing until a snapshot covers the gap.
+ * The old state stays in force meanwhile.
  */
 int clog_on_first(struct clog *clog, int64_t first)
 {
@@ -100,9 +103,10 @@
 }
 
 /*
- * The newest snapshot wins, and the records that it does not cover are applied to it. Without one
- * the log must reach back to its very first record. A snapshot that covers less than what has
- * expired is of no use: the records between would be skipped.
+ * Loads the newest usable snapshot and applies the records that it does not cover. Without a
+ * snapshot the log must still retain its very first record. A snapshot is not usable if records
+ * after those that it covers have expired, since they would be skipped, or if its revision is lower
+ * than this node's.
  */
 int clog_on_end(struct clog *clog)
 {
@@ -120,7 +124,7 @@
 
 		if (clog_is_snapshot(record->json) && to + 1 >= first &&
 		    clog_revision_of(record->json) >= clog->revision &&
-		    clog_adopt(clog, record->json) > 0)
+		    clog_load_snapshot(clog, record->json) > 0)
 			covers = to;
 	}
 	if (covers == CLOG_COVERS_NONE && first > 0)
@@ -136,18 +140,23 @@
 	return 0;
 }
 
+/* Applies a record of any type; records of unknown types are ignored. */
 static void clog_apply(struct clog *clog, int64_t offset, json_t *record,
 		       struct clog_verdict *verdict)
 {
 	memset(verdict, 0, sizeof(*verdict));
 	clog->next = MAX(clog->next, offset + 1);
 	if (clog_is_snapshot(record))
-		clog_note_snapshot(clog, record);
-	else if (strcmp(clog_text(record, "type"), "change") == 0)
-		clog_change(clog, record, verdict);
+		clog_on_snapshot(clog, record);
+	else if (strcmp(clog_json_text(record, "type"), "change") == 0)
+		clog_apply_change(clog, record, verdict);
 }
 
-static void clog_note_snapshot(struct clog *clog, json_t *record)
+/*
+ * Records the position of the newest snapshot, and counts a divergence if its revision is higher
+ * than this node's. The node's state stays as it is.
+ */
+static void clog_on_snapshot(struct clog *clog, json_t *record)
 {
 	int64_t covers = json_integer_value(json_object_get(record, "covers"));
 	int64_t revision = clog_revision_of(record);
@@ -157,22 +166,23 @@
 	clog->snapshot_at = covers;
 	if (revision > clog->revision)
 		clog->divergences++;
-	clog->changes_since = clog->revision - revision;
+	clog->changes_since_snapshot = clog->revision - revision;
 }
 
 /*
- * The append of a command may have been repeated because its answer was lost; the second record of
- * the same command must not count again.
+ * Applies a change, or rejects it if its expected revision is not the current one or a statement is
+ * invalid. A daemon repeats the append of a command when the response is lost, so a second record
+ * of the same command is ignored.
  */
-static void clog_change(struct clog *clog, json_t *record, struct clog_verdict *verdict)
+static void clog_apply_change(struct clog *clog, json_t *record, struct clog_verdict *verdict)
 {
 	json_t *expected = json_object_get(record, "expect");
 	struct conf_state *next;
 	struct str statements;
 
-	if (clog_find(clog, clog_text(record, "id")))
+	if (clog_find(clog, clog_json_text(record, "id")))
 		return;
-	g_strlcpy(verdict->id, clog_text(record, "id"), sizeof(verdict->id));
+	g_strlcpy(verdict->id, clog_json_text(record, "id"), sizeof(verdict->id));
 	verdict->outcome = CLOG_REJECTED;
 	verdict->revision = clog->revision;
 	statements = str_make(json_string_value(json_object_get(record, "statements")),
@@ -184,7 +194,7 @@
 			   "expected revision %" JSON_INTEGER_FORMAT ", but %" G_GINT64_FORMAT
 			   " is in force",
 			   json_integer_value(expected), clog->revision);
-		clog_remember(clog, verdict);
+		clog_add_verdict(clog, verdict);
 		return;
 	}
 	next = conf_apply(clog->state, statements, &verdict->problem, &verdict->err);
@@ -192,17 +202,18 @@
 		conf_state_unref(clog->state);
 		clog->state = next;
 		clog->revision++;
-		clog->changes_since++;
+		clog->changes_since_snapshot++;
 		verdict->outcome = CLOG_ACCEPTED;
 		verdict->revision = clog->revision;
 	}
-	clog_remember(clog, verdict);
+	clog_add_verdict(clog, verdict);
 }
 
-static void clog_remember(struct clog *clog, const struct clog_verdict *verdict)
+/* Keeps a copy of the verdict and drops the oldest beyond CLOG_VERDICTS_MAX. */
+static void clog_add_verdict(struct clog *clog, const struct clog_verdict *verdict)
 {
 	g_queue_push_tail(clog->recent, g_memdup2(verdict, sizeof(*verdict)));
-	if (g_queue_get_length(clog->recent) > CLOG_RECENT_MAX)
+	if (g_queue_get_length(clog->recent) > CLOG_VERDICTS_MAX)
 		g_free(g_queue_pop_head(clog->recent));
 }
 
@@ -217,7 +228,8 @@
 	return NULL;
 }
 
-static void clog_adopt_recent(struct clog *clog, const json_t *list)
+/* Replaces the recent verdicts by those of a snapshot. */
+static void clog_load_verdicts(struct clog *clog, const json_t *list)
 {
 	size_t i;
 	json_t *item;
@@ -232,16 +244,19 @@
 			.err = (int)json_integer_value(json_object_get(item, "err")),
 		};
 
-		g_strlcpy(verdict.id, clog_text(item, "id"), sizeof(verdict.id));
-		g_strlcpy(verdict.problem.text, clog_text(item, "reason"),
+		g_strlcpy(verdict.id, clog_json_text(item, "id"), sizeof(verdict.id));
+		g_strlcpy(verdict.problem.text, clog_json_text(item, "reason"),
 			  sizeof(verdict.problem.text));
 		verdict.problem.line = (int)json_integer_value(json_object_get(item, "line"));
-		clog_remember(clog, &verdict);
+		clog_add_verdict(clog, &verdict);
 	}
 }
 
-/* Takes the snapshot's state in place of the own one. Returns 1 or CONF_ERECORD. */
-static int clog_adopt(struct clog *clog, json_t *snapshot)
+/*
+ * Replaces the node's state by the snapshot's. Returns 1, or CONF_ERECORD if the snapshot's
+ * statements are invalid.
+ */
+static int clog_load_snapshot(struct clog *clog, json_t *snapshot)
 {
 	int64_t revision = clog_revision_of(snapshot);
 	int64_t covers = json_integer_value(json_object_get(snapshot, "covers"));
@@ -251,7 +266,7 @@
 	int err;
 
 	empty = conf_state_new();
-	state = conf_apply(empty, str_of(clog_text(snapshot, "state")), &problem, &err);
+	state = conf_apply(empty, str_of(clog_json_text(snapshot, "state")), &problem, &err);
 	conf_state_unref(empty);
 	if (!state)
 		return CONF_ERECORD;
@@ -259,8 +274,8 @@
 	clog->state = state;
 	clog->revision = revision;
 	clog->snapshot_at = MAX(clog->snapshot_at, covers);
-	clog->changes_since = 0;
-	clog_adopt_recent(clog, json_object_get(snapshot, "recent"));
+	clog->changes_since_snapshot = 0;
+	clog_load_verdicts(clog, json_object_get(snapshot, "recent"));
 	return 1;
 }
 
@@ -269,21 +284,21 @@
 	json_t *json = json_loadb(snapshot.data, snapshot.len, 0, NULL);
 	int64_t covers = json_integer_value(json_object_get(json, "covers"));
 	int64_t revision = clog_revision_of(json);
-	int taken = 0;
+	int loaded = 0;
 
 	if (!json || !clog_is_snapshot(json)) {
 		json_decref(json);
 		return CONF_ERECORD;
 	}
 	if (revision > clog->revision || (!clog->ready && revision == clog->revision))
-		taken = clog_adopt(clog, json);
-	if (taken > 0) {
+		loaded = clog_load_snapshot(clog, json);
+	if (loaded > 0) {
 		clog->ready = true;
 		clog->next = MAX(covers + 1, 0);
 		g_ptr_array_set_size(clog->pending, 0);
 	}
 	json_decref(json);
-	return taken;
+	return loaded;
 }
 
 char *clog_change_record(const char *id, int64_t expected_revision, const char *by,
--- a/conf/clog.h
+++ b/conf/clog.h
@@ -6,61 +6,79 @@
 G_BEGIN_DECLS
 
 /*
- * The configuration as the platform's log tells it. Pure: records in offset order go in, the state
- * and a verdict for each command come out, the same on every host.
+ * Rebuilds the configuration from the records of the platform's log. The module does no I/O: the
+ * caller passes the records in order of their offsets. Every host that applies the same records
+ * computes the same state and the same verdict for each command.
  *
- * A node that starts reads from the first record the log still holds. While it cannot know yet
- * whether a snapshot follows, it keeps the records; clog_on_end() tells it that the log has no
- * more.
+ * A node that starts reads from the oldest record that the log still retains. A snapshot may follow
+ * later in the log, so the node keeps the records until clog_on_end() reports the end of the log.
  */
 enum clog_outcome {
-	CLOG_NONE,     /* not a change, or a change already seen */
-	CLOG_ACCEPTED, /* revision is the new one */
-	CLOG_REJECTED, /* problem and err tell why */
+	CLOG_NONE,     /* the record is not a change, or repeats an earlier command */
+	CLOG_ACCEPTED, /* the change was applied */
+	CLOG_REJECTED, /* the change was not applied; err and problem give the reason */
 };
 
+/* Result of one command that was read from the log. */
 struct clog_verdict {
 	enum clog_outcome outcome;
-	char id[CONF_NAME_MAX + 1]; /* of the command */
-	int64_t revision;	    /* after the record */
-	int err;
-	struct conf_problem problem;
+	char id[CONF_NAME_MAX + 1];  /* id of the command */
+	int64_t revision;	     /* revision of the configuration after the command */
+	int err;		     /* enum conf_err if the command was rejected, else 0 */
+	struct conf_problem problem; /* location and text of the error if it was rejected */
 };
 
+/* The configuration of one node, and the node's position in the log. */
 struct clog {
-	struct conf_state *state;
-	int64_t revision;
-	int64_t next;	       /* offset of the next record to apply */
-	bool ready;	       /* state may be used */
-	GPtrArray *pending;    /* records read before ready */
-	GQueue *recent;	       /* struct clog_verdict of the last commands, oldest first */
-	int64_t snapshot_at;   /* offset covered by the newest snapshot seen; -1: none */
-	int64_t changes_since; /* changes accepted since that snapshot */
-	uint64_t divergences;  /* snapshots in the log that disagree with this node */
+	struct conf_state *state; /* declarations in force */
+	int64_t revision;	  /* number of changes accepted since the log began */
+	int64_t next;		  /* offset of the next record to apply */
+	bool ready;		  /* the state is complete and may be used */
+	GPtrArray *pending;	  /* struct clog_record: records read while not ready */
+	GQueue *recent;		  /* struct clog_verdict of the latest commands, oldest first */
+	int64_t snapshot_at;	  /* last offset covered by the newest snapshot; -1 if none */
+	int64_t changes_since_snapshot; /* number of changes accepted since that snapshot */
+	uint64_t divergences; /* number of snapshots read with a higher revision than this node's */
 };
 
+/* Initialises a node with an empty state that is not ready. */
 void clog_init(struct clog *clog);
 void clog_finish(struct clog *clog);
 
-/* The log's first retained offset, as each read tells it. Returns 0 or CONF_EGAP. */
+/*
+ * Handles the offset of the oldest record that the log retains, which every read of the log
+ * returns. Returns 0, or CONF_EGAP if a record that this node has not read yet has expired; the
+ * node is then not ready until a snapshot covers the gap.
+ */
 int clog_on_first(struct clog *clog, int64_t first);
 
-/* One record. The verdict is CLOG_NONE until the node is ready. */
+/*
+ * Applies one record, or keeps it while the node is not ready; the verdict's outcome is then
+ * CLOG_NONE. Returns 0, or CONF_ERECORD if the record is not a JSON object.
+ */
 int clog_on_record(struct clog *clog, int64_t offset, struct str data,
 		   struct clog_verdict *verdict);
 
-/* The log has no more records. Returns 0, or CONF_EGAP when the state cannot be had from it. */
+/*
+ * Handles the end of the log: builds the state from the newest usable snapshot and the records
+ * kept. Returns 0, or CONF_EGAP if the log does not hold enough records to build the state.
+ */
 int clog_on_end(struct clog *clog);
 
-/* A peer's state. Taken only if it is newer. Returns 1 if taken, 0 if not, CONF_ERECORD. */
+/*
+ * Replaces the state by a peer's snapshot if its revision is higher, or the same while this node is
+ * not ready. Returns 1 if replaced, 0 if not, CONF_ERECORD if the snapshot is malformed.
+ */
 int clog_on_peer_state(struct clog *clog, struct str snapshot);
 
-/* The verdict of a command among the last ones, or NULL. */
+/* Returns the verdict of the command with this id, or NULL if it is not among the recent ones. */
 const struct clog_verdict *clog_find(const struct clog *clog, const char *id);
 
-/* Record texts; g_free() them. */
+/* Returns the log record of a change as JSON text; the caller frees it with g_free(). */
 char *clog_change_record(const char *id, int64_t expected_revision, const char *by,
 			 struct str statements);
+
+/* Returns the log record of a snapshot of this node's state as JSON text; freed with g_free(). */
 char *clog_snapshot_record(const struct clog *clog);
 
 G_END_DECLS
--- a/conf/parse.c
+++ b/conf/parse.c
@@ -4,9 +4,11 @@
 #include <stdio.h>
 
 enum {
+	/* Maximum number of words in a statement: KIND, NAME and one pair for each attribute. */
 	CONF_WORDS_MAX = 2 * CONF_ATTR_MAX + 2
 };
 
+/* Kinds of statements. */
 enum conf_verb {
 	CONF_VERB_DECLARE, /* KIND NAME [ATTRIBUTE VALUE]... */
 	CONF_VERB_DELETE,  /* delete KIND NAME */
@@ -14,13 +16,15 @@
 	CONF_VERB_ADMIT	   /* admit host|endpoint NAME */
 };
 
+/* One line of the statements, split into words. */
 struct conf_line {
 	struct conf_word words[CONF_WORDS_MAX];
-	int count;
-	int number;
-	int end_column;
+	int count;	/* number of words */
+	int number;	/* number of the line, counted from 1 */
+	int end_column; /* column after the last word, counted from 1 */
 };
 
+/* First words of the statements that are not declarations. */
 static const char *const conf_verbs[] = {
 	[CONF_VERB_DECLARE] = NULL,
 	[CONF_VERB_DELETE] = "delete",
@@ -28,21 +32,24 @@
 	[CONF_VERB_ADMIT] = "admit",
 };
 
-static bool conf_split(struct str text, struct conf_line *line, struct conf_problem *problem);
-static bool conf_line_apply(struct conf_state *state, const struct conf_line *line,
+static bool conf_split_line(struct str text, struct conf_line *line, struct conf_problem *problem);
+static bool conf_apply_line(struct conf_state *state, const struct conf_line *line,
 			    struct conf_problem *problem);
 static bool conf_declare(struct conf_state *state, const struct conf_line *line,
 			 struct conf_problem *problem);
 static bool conf_delete(struct conf_state *state, const struct conf_line *line,
 			struct conf_problem *problem);
-static bool conf_set_drain(struct conf_state *state, const struct conf_line *line,
-			   const char *value, struct conf_problem *problem);
-static bool conf_fail(struct conf_problem *problem, const struct conf_line *line, int word,
-		      const char *format, ...) G_GNUC_PRINTF(4, 5);
-
-/* word is the index of the word at fault; one past the last: something is missing there. */
-static bool conf_fail(struct conf_problem *problem, const struct conf_line *line, int word,
-		      const char *format, ...)
+static bool conf_set_admission(struct conf_state *state, const struct conf_line *line,
+			       const char *value, struct conf_problem *problem);
+static bool conf_set_problem(struct conf_problem *problem, const struct conf_line *line, int word,
+			     const char *format, ...) G_GNUC_PRINTF(4, 5);
+
+/*
+ * Fills in the problem and returns false. word is the index of the invalid word, or the number of
+ * words if a word is missing at the end of the line.
+ */
+static bool conf_set_problem(struct conf_problem *problem, const struct conf_line *line, int word,
+			     const char *format, ...)
 {
 	va_list args;
 
@@ -54,8 +61,8 @@
 	return false;
 }
 
-/* Splits a line at white space; '#' starts a comment. */
-static bool conf_split(struct str text, struct conf_line *line, struct conf_problem *problem)
+/* Splits a line into words at white space; '#' starts a comment. */
+static bool conf_split_line(struct str text, struct conf_line *line, struct conf_problem *problem)
 {
 	size_t i = 0;
 
@@ -70,7 +77,7 @@
 		while (i < text.len && !g_ascii_isspace(text.data[i]) && text.data[i] != '#')
 			i++;
 		if (line->count == CONF_WORDS_MAX)
-			return conf_fail(problem, line, line->count - 1, "too many words");
+			return conf_set_problem(problem, line, line->count - 1, "too many words");
 		line->words[line->count].text = str_make(text.data + start, i - start);
 		line->words[line->count].column = (int)start + 1;
 		line->count++;
@@ -79,6 +86,7 @@
 	return true;
 }
 
+/* Returns the index of the attribute of that name, or -1 if the kind has none. */
 static int conf_attr_find(enum conf_kind kind, struct str name)
 {
 	const struct conf_schema *schema = conf_schema(kind);
@@ -90,6 +98,7 @@
 	return -1;
 }
 
+/* Sets the attributes that a declaration gives after KIND NAME. */
 static bool conf_declare_attrs(struct conf_obj *obj, const struct conf_line *line,
 			       struct conf_problem *problem)
 {
@@ -99,34 +108,38 @@
 		const char *expected;
 
 		if (attr < 0)
-			return conf_fail(problem, line, i, "%s has no attribute '%.*s'",
-					 conf_kind_name(obj->kind), (int)name.len, name.data);
+			return conf_set_problem(problem, line, i, "%s has no attribute '%.*s'",
+						conf_kind_name(obj->kind), (int)name.len,
+						name.data);
 		if (i + 1 == line->count)
-			return conf_fail(problem, line, i + 1, "value of '%.*s' is missing",
-					 (int)name.len, name.data);
+			return conf_set_problem(problem, line, i + 1, "value of '%.*s' is missing",
+						(int)name.len, name.data);
 		expected = conf_attr_set(obj, attr, line->words[i + 1].text);
 		if (expected)
-			return conf_fail(problem, line, i + 1, "'%.*s' of '%.*s': expected %s",
-					 (int)line->words[i + 1].text.len,
-					 line->words[i + 1].text.data, (int)name.len, name.data,
-					 expected);
+			return conf_set_problem(
+				problem, line, i + 1, "'%.*s' of '%.*s': expected %s",
+				(int)line->words[i + 1].text.len, line->words[i + 1].text.data,
+				(int)name.len, name.data, expected);
 	}
 	return true;
 }
 
+/* Declares a new object, or changes the given attributes of a declared one. */
 static bool conf_declare(struct conf_state *state, const struct conf_line *line,
 			 struct conf_problem *problem)
 {
-	enum conf_kind kind = conf_kind_of(line->words[0].text);
+	enum conf_kind kind = conf_kind_from_name(line->words[0].text);
 	const struct conf_schema *schema = conf_schema(kind);
 	const struct conf_obj *old;
 	struct conf_obj *obj;
 	char *name;
 
 	if (line->count < 2)
-		return conf_fail(problem, line, 1, "name of the %s is missing", schema->name);
-	if (!conf_is_word(line->words[1].text))
-		return conf_fail(problem, line, 1, "a name has letters, digits, '.', '_' and '-'");
+		return conf_set_problem(problem, line, 1, "name of the %s is missing",
+					schema->name);
+	if (!conf_is_valid_name(line->words[1].text))
+		return conf_set_problem(problem, line, 1,
+					"a name consists of letters, digits, '.', '_' and '-'");
 	name = str_dup(line->words[1].text);
 	old = conf_get(state, kind, name);
 	obj = old ? conf_obj_copy(old) : conf_obj_new(kind, line->words[1].text);
@@ -139,8 +152,8 @@
 		if (obj->text[i])
 			continue;
 		conf_obj_free(obj);
-		return conf_fail(problem, line, line->count, "%s needs attribute '%s'",
-				 schema->name, schema->attrs[i].name);
+		return conf_set_problem(problem, line, line->count, "%s requires attribute '%s'",
+					schema->name, schema->attrs[i].name);
 	}
 	g_tree_replace(state->objs[kind], obj->name, obj);
 	return true;
@@ -154,21 +167,24 @@
 	bool found;
 
 	if (line->count != 3)
-		return conf_fail(problem, line, line->count, "expected delete KIND NAME");
-	kind = conf_kind_of(line->words[1].text);
+		return conf_set_problem(problem, line, line->count, "expected delete KIND NAME");
+	kind = conf_kind_from_name(line->words[1].text);
 	if (kind == CONF_KIND_COUNT)
-		return conf_fail(problem, line, 1, "unknown kind");
+		return conf_set_problem(problem, line, 1, "unknown kind");
 	name = str_dup(line->words[2].text);
 	found = g_tree_remove(state->objs[kind], name);
 	g_free(name);
 	if (!found)
-		return conf_fail(problem, line, 2, "no such %s", conf_kind_name(kind));
+		return conf_set_problem(problem, line, 2, "no such %s", conf_kind_name(kind));
 	return true;
 }
 
-/* A host need not have been declared: the platform's list names it. An endpoint must be. */
-static bool conf_set_drain(struct conf_state *state, const struct conf_line *line,
-			   const char *value, struct conf_problem *problem)
+/*
+ * Sets the state of a host or endpoint to "admitted" or "draining". A host need not be declared,
+ * since the platform's list of hosts defines which hosts exist; an endpoint must be.
+ */
+static bool conf_set_admission(struct conf_state *state, const struct conf_line *line,
+			       const char *value, struct conf_problem *problem)
 {
 	enum conf_kind kind = CONF_KIND_COUNT;
 	const struct conf_obj *old;
@@ -176,16 +192,16 @@
 	char *name;
 
 	if (line->count > 1)
-		kind = conf_kind_of(line->words[1].text);
+		kind = conf_kind_from_name(line->words[1].text);
 	if (kind != CONF_HOST && kind != CONF_ENDPOINT)
-		return conf_fail(problem, line, 1, "expected host or endpoint");
-	if (line->count != 3 || !conf_is_word(line->words[2].text))
-		return conf_fail(problem, line, 2, "expected one name");
+		return conf_set_problem(problem, line, 1, "expected host or endpoint");
+	if (line->count != 3 || !conf_is_valid_name(line->words[2].text))
+		return conf_set_problem(problem, line, 2, "expected one name");
 	name = str_dup(line->words[2].text);
 	old = conf_get(state, kind, name);
 	g_free(name);
 	if (!old && kind == CONF_ENDPOINT)
-		return conf_fail(problem, line, 2, "no such endpoint");
+		return conf_set_problem(problem, line, 2, "no such endpoint");
 	obj = old ? conf_obj_copy(old) : conf_obj_new(kind, line->words[2].text);
 	conf_attr_set(obj, kind == CONF_HOST ? (int)HOST_STATE : (int)ENDPOINT_STATE,
 		      str_of(value));
@@ -193,7 +209,7 @@
 	return true;
 }
 
-static bool conf_line_apply(struct conf_state *state, const struct conf_line *line,
+static bool conf_apply_line(struct conf_state *state, const struct conf_line *line,
 			    struct conf_problem *problem)
 {
 	struct str first = line->words[0].text;
@@ -201,13 +217,13 @@
 	if (str_is(first, conf_verbs[CONF_VERB_DELETE]))
 		return conf_delete(state, line, problem);
 	if (str_is(first, conf_verbs[CONF_VERB_DRAIN]))
-		return conf_set_drain(state, line, "draining", problem);
+		return conf_set_admission(state, line, "draining", problem);
 	if (str_is(first, conf_verbs[CONF_VERB_ADMIT]))
-		return conf_set_drain(state, line, "admitted", problem);
-	if (conf_kind_of(first) != CONF_KIND_COUNT)
+		return conf_set_admission(state, line, "admitted", problem);
+	if (conf_kind_from_name(first) != CONF_KIND_COUNT)
 		return conf_declare(state, line, problem);
-	return conf_fail(problem, line, 0, "unknown statement '%.*s'", (int)MIN(first.len, 40),
-			 first.data);
+	return conf_set_problem(problem, line, 0, "unknown statement '%.*s'",
+				(int)MIN(first.len, 40), first.data);
 }
 
 static bool conf_apply_lines(struct conf_state *state, struct str text,
@@ -220,9 +236,9 @@
 		if (i < text.len && text.data[i] != '\n')
 			continue;
 		line.number++;
-		if (!conf_split(str_make(text.data + start, i - start), &line, problem))
+		if (!conf_split_line(str_make(text.data + start, i - start), &line, problem))
 			return false;
-		if (line.count > 0 && !conf_line_apply(state, &line, problem))
+		if (line.count > 0 && !conf_apply_line(state, &line, problem))
 			return false;
 		start = i + 1;
 	}
@@ -238,7 +254,7 @@
 	*err = CONF_ESYNTAX;
 	if (conf_apply_lines(next, statements, problem)) {
 		*err = CONF_EREFERENCE;
-		if (conf_check_all(next, problem)) {
+		if (conf_check_state(next, problem)) {
 			*err = 0;
 			return next;
 		}
--- a/conf/schema.c
+++ b/conf/schema.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 
 enum {
-	CONF_LAYERS_MAX = 1024,
-	CONF_BIG = 1000000000
+	CONF_LAYERS_MAX = 1024,	     /* maximum number of layers of a model */
+	CONF_NUMBER_MAX = 1000000000 /* greatest value of most numeric attributes */
 };
 
 static const char *conf_set_number(struct conf_obj *obj, int attr, struct str text);
-static const char *conf_set_word(struct conf_obj *obj, int attr, struct str text);
-static const char *conf_set_list(struct conf_obj *obj, int attr, struct str text);
+static const char *conf_set_name(struct conf_obj *obj, int attr, struct str text);
+static const char *conf_set_models(struct conf_obj *obj, int attr, struct str text);
 static const char *conf_set_address(struct conf_obj *obj, int attr, struct str text);
 static const char *conf_set_addresses(struct conf_obj *obj, int attr, struct str text);
 static const char *conf_set_layers(struct conf_obj *obj, int attr, struct str text);
@@ -18,22 +18,23 @@
 static const char *conf_set_yes_no(struct conf_obj *obj, int attr, struct str text);
 static const char *conf_set_state(struct conf_obj *obj, int attr, struct str text);
 
+/* Parses text into an attribute; returns NULL, or a description of the expected value. */
 typedef const char *(*conf_set_fn)(struct conf_obj *obj, int attr, struct str text);
 
 static const conf_set_fn conf_setters[] = {
-	[CONF_TYPE_NUMBER] = conf_set_number,	    [CONF_TYPE_WORD] = conf_set_word,
-	[CONF_TYPE_LIST] = conf_set_list,	    [CONF_TYPE_ADDRESS] = conf_set_address,
+	[CONF_TYPE_NUMBER] = conf_set_number,	    [CONF_TYPE_NAME] = conf_set_name,
+	[CONF_TYPE_MODELS] = conf_set_models,	    [CONF_TYPE_ADDRESS] = conf_set_address,
 	[CONF_TYPE_ADDRESSES] = conf_set_addresses, [CONF_TYPE_LAYERS] = conf_set_layers,
 	[CONF_TYPE_SECRET] = conf_set_secret,	    [CONF_TYPE_YES_NO] = conf_set_yes_no,
 	[CONF_TYPE_STATE] = conf_set_state,
 };
 
 static const struct conf_attr conf_account_attrs[] = {
-	[ACCOUNT_SHARE] = {"share", CONF_TYPE_NUMBER, "1", 1, CONF_BIG},
-	[ACCOUNT_MODELS] = {"models", CONF_TYPE_LIST, NULL, 0, 0},
-	[ACCOUNT_LIMIT] = {"limit", CONF_TYPE_NUMBER, "1000", 1, CONF_BIG},
-	[ACCOUNT_QUEUE] = {"queue", CONF_TYPE_NUMBER, "100", 1, CONF_BIG},
-	[ACCOUNT_MAX_TOKENS] = {"max-tokens", CONF_TYPE_NUMBER, "4096", 1, CONF_BIG},
+	[ACCOUNT_SHARE] = {"share", CONF_TYPE_NUMBER, "1", 1, CONF_NUMBER_MAX},
+	[ACCOUNT_MODELS] = {"models", CONF_TYPE_MODELS, NULL, 0, 0},
+	[ACCOUNT_LIMIT] = {"limit", CONF_TYPE_NUMBER, "1000", 1, CONF_NUMBER_MAX},
+	[ACCOUNT_QUEUE] = {"queue", CONF_TYPE_NUMBER, "100", 1, CONF_NUMBER_MAX},
+	[ACCOUNT_MAX_TOKENS] = {"max-tokens", CONF_TYPE_NUMBER, "4096", 1, CONF_NUMBER_MAX},
 	[ACCOUNT_TOKEN] = {"token", CONF_TYPE_SECRET, NULL, 0, 0},
 };
 
@@ -43,27 +44,27 @@
 
 static const struct conf_attr conf_model_attrs[] = {
 	[MODEL_LAYERS] = {"layers", CONF_TYPE_NUMBER, NULL, 1, CONF_LAYERS_MAX},
-	[MODEL_VERSION] = {"version", CONF_TYPE_WORD, NULL, 0, 0},
-	[MODEL_ACTIVATION] = {"activation", CONF_TYPE_NUMBER, "8192", 1, CONF_BIG},
+	[MODEL_VERSION] = {"version", CONF_TYPE_NAME, NULL, 0, 0},
+	[MODEL_ACTIVATION] = {"activation", CONF_TYPE_NUMBER, "8192", 1, CONF_NUMBER_MAX},
 };
 
 static const struct conf_attr conf_endpoint_attrs[] = {
 	[ENDPOINT_ADDRESS] = {"address", CONF_TYPE_ADDRESS, NULL, 0, 0},
-	[ENDPOINT_POOL] = {"pool", CONF_TYPE_WORD, NULL, 0, 0},
-	[ENDPOINT_ZONE] = {"zone", CONF_TYPE_WORD, NULL, 0, 0},
-	[ENDPOINT_MODEL] = {"model", CONF_TYPE_WORD, NULL, 0, 0},
-	[ENDPOINT_VERSION] = {"version", CONF_TYPE_WORD, NULL, 0, 0},
+	[ENDPOINT_POOL] = {"pool", CONF_TYPE_NAME, NULL, 0, 0},
+	[ENDPOINT_ZONE] = {"zone", CONF_TYPE_NAME, NULL, 0, 0},
+	[ENDPOINT_MODEL] = {"model", CONF_TYPE_NAME, NULL, 0, 0},
+	[ENDPOINT_VERSION] = {"version", CONF_TYPE_NAME, NULL, 0, 0},
 	[ENDPOINT_LAYERS] = {"layers", CONF_TYPE_LAYERS, NULL, 0, CONF_LAYERS_MAX - 1},
-	[ENDPOINT_RATE] = {"rate", CONF_TYPE_NUMBER, "1000", 1, CONF_BIG},
-	[ENDPOINT_SLOTS] = {"slots", CONF_TYPE_NUMBER, "64", 1, CONF_BIG},
-	[ENDPOINT_KIND] = {"kind", CONF_TYPE_WORD, "any", 0, 0},
+	[ENDPOINT_RATE] = {"rate", CONF_TYPE_NUMBER, "1000", 1, CONF_NUMBER_MAX},
+	[ENDPOINT_SLOTS] = {"slots", CONF_TYPE_NUMBER, "64", 1, CONF_NUMBER_MAX},
+	[ENDPOINT_KIND] = {"kind", CONF_TYPE_NAME, "any", 0, 0},
 	[ENDPOINT_FENCING] = {"fencing", CONF_TYPE_YES_NO, "no", 0, 0},
 	[ENDPOINT_STATE] = {"state", CONF_TYPE_STATE, "admitted", 0, 0},
 };
 
 static const struct conf_attr conf_link_attrs[] = {
-	[LINK_FROM] = {"from", CONF_TYPE_WORD, NULL, 0, 0},
-	[LINK_TO] = {"to", CONF_TYPE_WORD, NULL, 0, 0},
+	[LINK_FROM] = {"from", CONF_TYPE_NAME, NULL, 0, 0},
+	[LINK_TO] = {"to", CONF_TYPE_NAME, NULL, 0, 0},
 	[LINK_BANDWIDTH] = {"bandwidth", CONF_TYPE_NUMBER, NULL, 1, INT64_C(1000000000000)},
 };
 
@@ -101,7 +102,7 @@
 	return conf_schemas[kind].name;
 }
 
-enum conf_kind conf_kind_of(struct str name)
+enum conf_kind conf_kind_from_name(struct str name)
 {
 	int kind;
 
@@ -143,8 +144,11 @@
 	return NULL;
 }
 
-/* memchr() and not strchr(): the latter would find the NUL that ends its list, in a name too. */
-bool conf_is_word(struct str text)
+/*
+ * Uses memchr() because strchr() would also match the NUL that terminates its list of characters,
+ * and so accept a name that contains a NUL.
+ */
+bool conf_is_valid_name(struct str text)
 {
 	static const char others[] = {'.', '_', '-'};
 
@@ -157,15 +161,18 @@
 	return true;
 }
 
-static const char *conf_set_word(struct conf_obj *obj, int attr, struct str text)
+static const char *conf_set_name(struct conf_obj *obj, int attr, struct str text)
 {
 	(void)obj;
 	(void)attr;
-	return conf_is_word(text) ? NULL : "a word of letters, digits, '.', '_' and '-'";
+	return conf_is_valid_name(text) ? NULL : "a word of letters, digits, '.', '_' and '-'";
 }
 
-/* Calls fn for each part between commas; stops and returns what fn returns when not NULL. */
-static const char *conf_each_part(struct str text, const char *(*fn)(struct str))
+/*
+ * Calls fn for each item of a comma-separated list. Stops at the first item that fn rejects and
+ * returns fn's description of the expected value; returns NULL if fn accepts every item.
+ */
+static const char *conf_check_list(struct str text, const char *(*fn)(struct str))
 {
 	size_t start = 0;
 
@@ -182,21 +189,22 @@
 	return NULL;
 }
 
-/* A model, or one of its versions: MODEL or MODEL@VERSION. */
-static const char *conf_part_model(struct str part)
+/* Checks a model or one version of it: MODEL or MODEL@VERSION. */
+static const char *conf_check_model_name(struct str part)
 {
 	const char *at = memchr(part.data, '@', part.len);
 	struct str model = part;
 
 	if (at) {
 		model.len = (size_t)(at - part.data);
-		if (!conf_is_word(str_make(at + 1, part.len - model.len - 1)))
-			return "a version behind the @";
+		if (!conf_is_valid_name(str_make(at + 1, part.len - model.len - 1)))
+			return "a version after the @";
 	}
-	return conf_is_word(model) ? NULL : "MODEL or MODEL@VERSION with commas between, or *";
+	return conf_is_valid_name(model) ? NULL
+					 : "MODEL or MODEL@VERSION with commas between, or *";
 }
 
-static const char *conf_part_address(struct str part)
+static const char *conf_check_address(struct str part)
 {
 	struct sockaddr_in sin;
 	char *copy = str_dup(part);
@@ -206,27 +214,27 @@
 	return err < 0 ? "IP:PORT" : NULL;
 }
 
-static const char *conf_set_list(struct conf_obj *obj, int attr, struct str text)
+static const char *conf_set_models(struct conf_obj *obj, int attr, struct str text)
 {
 	(void)obj;
 	(void)attr;
 	if (str_is(text, "*"))
 		return NULL;
-	return conf_each_part(text, conf_part_model);
+	return conf_check_list(text, conf_check_model_name);
 }
 
 static const char *conf_set_address(struct conf_obj *obj, int attr, struct str text)
 {
 	(void)obj;
 	(void)attr;
-	return conf_part_address(text);
+	return conf_check_address(text);
 }
 
 static const char *conf_set_addresses(struct conf_obj *obj, int attr, struct str text)
 {
 	(void)obj;
 	(void)attr;
-	return conf_each_part(text, conf_part_address);
+	return conf_check_list(text, conf_check_address);
 }
 
 static const char *conf_set_layers(struct conf_obj *obj, int attr, struct str text)
--- a/conf/state.c
+++ b/conf/state.c
@@ -3,19 +3,22 @@
 #include <ck_pr.h>
 #include <stdio.h>
 
+/* Context of conf_each(). */
 struct conf_walk {
 	conf_each_fn fn;
 	void *ctx;
 };
 
+/* Context of conf_check_state(). */
 struct conf_check_walk {
 	const struct conf_state *state;
 	struct conf_problem *problem;
-	bool ok;
+	bool ok; /* no error has been found so far */
 };
 
+/* Context of conf_diff(). */
 struct conf_diff_walk {
-	const struct conf_state *other;
+	const struct conf_state *other; /* state that the objects are compared with */
 	GString *out;
 };
 
@@ -24,8 +27,8 @@
 static bool conf_obj_eq(const struct conf_obj *a, const struct conf_obj *b);
 
 /*
- * Order in which statements can be applied: what is referred to comes before what refers to it. It
- * is the order of enum conf_kind but for accounts, which name models.
+ * Order in which kinds are exported: an object comes before the objects that refer to it. This is
+ * the order of enum conf_kind, except that accounts follow models because they refer to them.
  */
 static const enum conf_kind conf_export_order[CONF_KIND_COUNT] = {
 	CONF_MODEL, CONF_ACCOUNT, CONF_OPERATOR, CONF_ENDPOINT, CONF_LINK, CONF_SERVICE, CONF_HOST,
@@ -71,8 +74,8 @@
 	obj->kind = kind;
 	obj->name = str_dup(name);
 	for (int i = 0; i < schema->attr_count; i++) {
-		if (schema->attrs[i].initial)
-			conf_attr_set(obj, i, str_of(schema->attrs[i].initial));
+		if (schema->attrs[i].default_text)
+			conf_attr_set(obj, i, str_of(schema->attrs[i].default_text));
 	}
 	return obj;
 }
@@ -122,12 +125,12 @@
 	g_tree_foreach(state->objs[kind], conf_visit, &walk);
 }
 
-static void conf_copy_into(void *ctx, const struct conf_obj *obj)
+static void conf_copy_obj_into(void *ctx, const struct conf_obj *obj)
 {
 	struct conf_state *copy = ctx;
-	struct conf_obj *own = conf_obj_copy(obj);
+	struct conf_obj *duplicate = conf_obj_copy(obj);
 
-	g_tree_insert(copy->objs[obj->kind], own->name, own);
+	g_tree_insert(copy->objs[obj->kind], duplicate->name, duplicate);
 }
 
 struct conf_state *conf_state_copy(const struct conf_state *state)
@@ -135,10 +138,11 @@
 	struct conf_state *copy = conf_state_new();
 
 	for (int kind = 0; kind < CONF_KIND_COUNT; kind++)
-		conf_each(state, kind, conf_copy_into, copy);
+		conf_each(state, kind, conf_copy_obj_into, copy);
 	return copy;
 }
 
+/* Appends the object as one statement with all its attributes. */
 static void conf_write_obj(void *ctx, const struct conf_obj *obj)
 {
 	GString *out = ctx;
@@ -272,8 +276,8 @@
 	return true;
 }
 
-bool conf_check(const struct conf_state *state, const struct conf_obj *obj,
-		struct conf_problem *problem)
+bool conf_check_obj(const struct conf_state *state, const struct conf_obj *obj,
+		    struct conf_problem *problem)
 {
 	switch (obj->kind) {
 	case CONF_ENDPOINT:
@@ -287,20 +291,20 @@
 	}
 }
 
-static void conf_check_one(void *ctx, const struct conf_obj *obj)
+static void conf_check_visit(void *ctx, const struct conf_obj *obj)
 {
 	struct conf_check_walk *walk = ctx;
 
 	if (walk->ok)
-		walk->ok = conf_check(walk->state, obj, walk->problem);
+		walk->ok = conf_check_obj(walk->state, obj, walk->problem);
 }
 
-bool conf_check_all(const struct conf_state *state, struct conf_problem *problem)
+bool conf_check_state(const struct conf_state *state, struct conf_problem *problem)
 {
 	struct conf_check_walk walk = {state, problem, true};
 
 	for (int kind = 0; kind < CONF_KIND_COUNT; kind++)
-		conf_each(state, kind, conf_check_one, &walk);
+		conf_each(state, kind, conf_check_visit, &walk);
 	return walk.ok;
 }
 
@@ -308,10 +312,10 @@
 {
 	char *hash = g_compute_hmac_for_string(G_CHECKSUM_SHA256, (const guchar *)salt,
 					       strlen(salt), secret, -1);
-	char *both = g_strdup_printf("%s:%s", salt, hash);
+	char *salted = g_strdup_printf("%s:%s", salt, hash);
 
 	g_free(hash);
-	return both;
+	return salted;
 }
 
 bool conf_secret_matches(const char *salted_hash, const char *secret)
@@ -319,19 +323,19 @@
 	const char *colon = strchr(salted_hash, ':');
 	unsigned int differ = 0;
 	char *salt;
-	char *own;
+	char *computed;
 
 	if (!colon)
 		return false;
 	salt = g_strndup(salted_hash, (gsize)(colon - salted_hash));
-	own = conf_secret_hash(salt, secret);
-	if (strlen(own) == strlen(salted_hash)) {
-		for (size_t i = 0; own[i]; i++)
-			differ |= (unsigned int)(own[i] ^ salted_hash[i]);
+	computed = conf_secret_hash(salt, secret);
+	if (strlen(computed) == strlen(salted_hash)) {
+		for (size_t i = 0; computed[i]; i++)
+			differ |= (unsigned int)(computed[i] ^ salted_hash[i]);
 	} else {
 		differ = 1;
 	}
-	g_free(own);
+	g_free(computed);
 	g_free(salt);
 	return differ == 0;
 }
@@ -340,10 +344,10 @@
 	int err;
 	const char *text;
 } conf_messages[] = {
-	{CONF_ESYNTAX, "statement not well formed"},
-	{CONF_EREFERENCE, "statement names something that is not declared"},
+	{CONF_ESYNTAX, "malformed statement"},
+	{CONF_EREFERENCE, "statement refers to something that is not declared"},
 	{CONF_ECONFLICT, "expected revision is not the current one"},
-	{CONF_ERECORD, "log record not understood"},
+	{CONF_ERECORD, "malformed log record"},
 	{CONF_EGAP, "log records are missing and no snapshot covers them"},
 };
 
