--- a/msg/kind.h
+++ b/msg/kind.h
@@ -1,9 +1,14 @@
 #ifndef MSG_KIND_H
 #define MSG_KIND_H
 
-/* Kinds of frames; 0 is the heartbeat. */
+/*
+ * Kind of a frame, as sent in its header. Each kind is named after the protobuf message that the
+ * frame holds: MSG_POOL_ASK is the message Ask of pool.proto. The values are part of the protocol.
+ */
 enum msg_kind {
-	MSG_HEARTBEAT,
+	MSG_HEARTBEAT, /* empty frame that keeps a connection alive */
+
+	/* Messages of pool.proto. */
 	MSG_POOL_ASK,
 	MSG_POOL_WITHDRAW,
 	MSG_POOL_GRANT,
@@ -11,25 +16,34 @@
 	MSG_POOL_DONE,
 	MSG_POOL_HOLDING,
 	MSG_POOL_HELD,
+
+	/* Messages of once.proto. */
 	MSG_ONCE_CLAIM,
 	MSG_ONCE_VERDICT,
 	MSG_ONCE_RELEASE,
+
+	/* Messages of join.proto. */
 	MSG_JOIN_ASK,
 	MSG_JOIN_ANSWER,
+
+	/* Messages of conf.proto. */
 	MSG_CONF_REVISION,
 	MSG_CONF_FETCH,
 	MSG_CONF_STATE,
 	MSG_CONF_IN_FORCE,
 	MSG_CONF_HOSTS,
+
+	/* Messages of feed.proto. */
 	MSG_FEED_ASK,
 	MSG_FEED_UPDATE,
 	MSG_FEED_SUSPECT,
-	MSG_FEED_QUARANTINE,
+	MSG_FEED_QUARANTINE, /* message Quarantines */
 	MSG_FEED_LIMITS,
-	MSG_LIMIT_ASK,
-	MSG_LIMIT_GRANT,
+	MSG_LIMIT_ASK,	 /* message LimitAsk */
+	MSG_LIMIT_GRANT, /* message LimitGrant */
 	MSG_FEED_HOST,
-	MSG_KIND_COUNT
+
+	MSG_KIND_COUNT /* number of kinds */
 };
 
 #endif
