--- a/conf/clog.h
+++ b/conf/clog.h
@@ -14,7 +14,7 @@
  * later in the log, so the node keeps the records until clog_on_end() reports the end of the log.
  */
 enum clog_outcome {
-	CLOG_NONE,     /* the record is not a change, or repeats an earlier command */
+	CLOG_NONE,     /* no command was applied: no change, a repetition, or not ready */
 	CLOG_ACCEPTED, /* the change was applied */
 	CLOG_REJECTED, /* the change was not applied; err and problem give the reason */
 };
--- a/conf/conf.h
+++ b/conf/conf.h
@@ -136,8 +136,8 @@
 bool conf_obj_same(const struct conf_state *state, const struct conf_obj *obj);
 
 /* Calls fn for each object of a kind, in order of name. */
-typedef void (*conf_each_fn)(void *ctx, const struct conf_obj *obj);
-void conf_each(const struct conf_state *state, enum conf_kind kind, conf_each_fn fn, void *ctx);
+typedef void (*conf_visit_fn)(void *ctx, const struct conf_obj *obj);
+void conf_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn, void *ctx);
 
 /*
  * Returns a new state with all statements applied, or NULL if one of them is invalid; err and
--- a/conf/conf_test.cc
+++ b/conf/conf_test.cc
@@ -7,7 +7,7 @@
 
 namespace
 {
-
+/* Statements of the configuration that most tests begin with. */
 const char *const kBase = "model m layers 4 version v1\n"
 			  "account a models m token s:h\n"
 			  "endpoint e1 address 127.0.0.1:1 pool p zone z model m version v1 "
@@ -31,10 +31,10 @@
 
 struct ParseCase {
 	const char *name;
-	const char *text;
-	int err;
-	int line;
-	int column;
+	const char *text; /* statements of a change that is applied to kBase */
+	int err;	  /* expected error; 0 if the change is valid */
+	int line;	  /* expected line of the error, counted from 1; 0 if none is given */
+	int column;	  /* expected column of the error, counted from 1; 0 if none is given */
 };
 
 const ParseCase kParseCases[] = {
@@ -57,7 +57,7 @@
 	{"drain a host not declared", "drain host h1", 0, 0, 0},
 };
 
-TEST(Conf, StatementsAndTheirErrors)
+TEST(Conf, ReportsErrorsAndTheirLocation)
 {
 	conf_problem problem;
 	int err;
@@ -76,7 +76,7 @@
 	conf_state_unref(empty);
 }
 
-TEST(Conf, RejectedChangeLeavesNothingBehind)
+TEST(Conf, RejectedChangeLeavesStateUnchanged)
 {
 	conf_problem problem;
 	int err;
@@ -89,12 +89,12 @@
 	conf_state_unref(empty);
 }
 
-TEST(Conf, NamesHoldNoNul)
+TEST(Conf, NameWithNulIsRejected)
 {
 	/*
-	 * Symptom: the exported configuration cannot be read back, so no snapshot can be taken from
-	 * it. Sequence: a statement whose name holds a NUL is accepted. Found by the fuzzer of
-	 * statements. Cause: strchr() finds the NUL that ends its own list of characters.
+	 * A name that contains a NUL was accepted, because strchr() also matches the NUL that
+	 * terminates its list of characters. The exported configuration could then not be parsed
+	 * again, so snapshots of it were unusable. Found by fuzzing statements.
 	 */
 	const char text[] = "host \0\0";
 	conf_problem problem;
@@ -128,7 +128,7 @@
 		conf_state_unref(s);
 }
 
-TEST(Conf, SecretsMatchOnlyThemselves)
+TEST(Conf, HashMatchesOnlyItsSecret)
 {
 	char *hash = conf_secret_hash("salt", "secret");
 	EXPECT_TRUE(conf_secret_matches(hash, "secret"));
@@ -138,7 +138,7 @@
 	g_free(hash);
 }
 
-/* A log of records that several nodes read, as the platform would serve it. */
+/* A log in memory that nodes read. Read() applies records and returns the last verdict. */
 class ClogTest : public ::testing::Test
 {
       protected:
@@ -168,15 +168,15 @@
 		return verdict;
 	}
 	clog node_;
-	std::vector<std::string> log_;
+	std::vector<std::string> log_; /* record at each offset */
 };
 
-TEST_F(ClogTest, RacingOperatorsOneWins)
+TEST_F(ClogTest, ConcurrentChangeIsRejected)
 {
 	/*
-	 * Symptom: an operator's change silently undoes another's.
-	 * Sequence: both read revision 1 and send a change at the same moment.
-	 * Cause: without an expected revision the later record would win.
+	 * Two operators read revision 1, and both send a change that expects it.
+	 * The second one must be rejected: without the check of the expected revision, it would
+	 * silently override the first one.
 	 */
 	clog_on_end(&node_);
 	Change("c0", 0, kBase);
@@ -190,12 +190,12 @@
 	EXPECT_EQ(conf_get(node_.state, CONF_ACCOUNT, "a")->value[ACCOUNT_SHARE], 2);
 }
 
-TEST_F(ClogTest, RepeatedAppendCountsOnce)
+TEST_F(ClogTest, RepeatedCommandIsAppliedOnce)
 {
 	/*
-	 * Symptom: one command raises the revision twice, or drains a host again after it was
-	 * admitted. Sequence: the append's answer is lost, the daemon appends the command again.
-	 * Cause: the effect had already taken place.
+	 * The response to an append is lost, and the daemon appends the command again although the
+	 * first append took effect. If the second record were applied, the command would raise the
+	 * revision twice, or drain an endpoint again that was admitted in between.
 	 */
 	clog_on_end(&node_);
 	Change("c0", -1, kBase);
@@ -210,9 +210,9 @@
 TEST_F(ClogTest, SnapshotReplacesExpiredRecords)
 {
 	/*
-	 * Symptom: a restarted host comes up with an old or empty configuration.
-	 * Sequence: records expire; the host starts and reads what is left.
-	 * Cause: what is left is not the whole history.
+	 * Records have expired when a host starts, so the records left are not the whole history.
+	 * The host must load the snapshot that covers the expired records; without one it must not
+	 * become ready, or it would start with an old or empty configuration.
 	 */
 	clog_on_end(&node_);
 	Change("c0", -1, kBase);
@@ -231,22 +231,22 @@
 	EXPECT_EQ(Export(fresh.state), Export(node_.state));
 	clog_finish(&fresh);
 
-	clog late;
-	clog_init(&late);
-	clog_on_first(&late, 3);
-	Read(&late, 3, 4);
-	EXPECT_EQ(clog_on_end(&late), CONF_EGAP);
-	EXPECT_FALSE(late.ready);
-	clog_finish(&late);
+	clog incomplete;
+	clog_init(&incomplete);
+	clog_on_first(&incomplete, 3);
+	Read(&incomplete, 3, 4);
+	EXPECT_EQ(clog_on_end(&incomplete), CONF_EGAP);
+	EXPECT_FALSE(incomplete.ready);
+	clog_finish(&incomplete);
 }
 
 TEST_F(ClogTest, SnapshotThatMissesExpiredRecordsIsNotUsed)
 {
 	/*
-	 * Symptom: one host misses a single change that all others have.
-	 * Sequence: a snapshot covers up to record 0, record 1 is appended before the snapshot
-	 * itself lands as record 2, and record 1 expires. A new host reads from record 2.
-	 * Cause: the snapshot does not cover the record that expired.
+	 * A snapshot covers the log up to record 0, but is appended as record 2, after the change
+	 * in record 1. Record 1 expires, and a new host reads from record 2.
+	 * If the host loaded the snapshot, it would lack the change in record 1, which all other
+	 * hosts have.
 	 */
 	clog_on_end(&node_);
 	Change("c0", -1, kBase);
@@ -267,10 +267,10 @@
 TEST_F(ClogTest, SnapshotOfALowerRevisionIsNotUsed)
 {
 	/*
-	 * Symptom: a change that was in force on a host comes undone there.
-	 * Sequence: the host misses records that expire; what is left of the log holds the snapshot
-	 * of a host with an older state.
-	 * Cause: taking any snapshot after a gap.
+	 * Records expire before a host has read them, and the log still holds a snapshot written by
+	 * a host with an older state.
+	 * If the host loaded any snapshot after a gap, a change that is in force on it would be
+	 * reverted.
 	 */
 	clog_on_end(&node_);
 	Change("c0", -1, kBase);
@@ -286,12 +286,12 @@
 	EXPECT_EQ(node_.revision, 2);
 }
 
-TEST_F(ClogTest, StalePeerNeverRevertsAState)
+TEST_F(ClogTest, StalePeerStateIsNotLoaded)
 {
 	/*
-	 * Symptom: an accepted change disappears on some hosts.
-	 * Sequence: the log is out; a host that was frozen wakes and offers its old state.
-	 * Cause: taking a peer's state without comparing revisions.
+	 * While the log is unavailable, a host that was suspended resumes, and sends its old state
+	 * to a peer.
+	 * If the peer did not compare revisions, an accepted change would be lost there.
 	 */
 	clog_on_end(&node_);
 	Change("c0", -1, kBase);
--- a/conf/state.c
+++ b/conf/state.c
@@ -5,7 +5,7 @@
 
 /* Context of conf_each(). */
 struct conf_walk {
-	conf_each_fn fn;
+	conf_visit_fn fn;
 	void *ctx;
 };
 
@@ -118,7 +118,7 @@
 	return FALSE;
 }
 
-void conf_each(const struct conf_state *state, enum conf_kind kind, conf_each_fn fn, void *ctx)
+void conf_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn, void *ctx)
 {
 	struct conf_walk walk = {fn, ctx};
 
