--- a/conf/clog.h
+++ b/conf/clog.h
@@ -12,9 +12,12 @@
  *
  * A node that starts reads from the oldest record that the log still retains. A snapshot may follow
  * later in the log, so the node keeps the records until clog_on_end() reports the end of the log.
+ * A node is one daemon that holds a copy of the configuration.
  */
+
+/* Outcome of reading one record. */
 enum clog_outcome {
-	CLOG_NONE,     /* no command was applied: no change, a repetition, or not ready */
+	CLOG_NONE,     /* the record is no change or a repeated one, or the node is not ready */
 	CLOG_ACCEPTED, /* the change was applied */
 	CLOG_REJECTED, /* the change was not applied; err and problem give the reason */
 };
--- a/conf/conf.h
+++ b/conf/conf.h
@@ -14,6 +14,8 @@
  *   KIND NAME [ATTRIBUTE VALUE]...
  * and a change is a list of statements that is accepted or rejected as a whole.
  */
+
+/* Errors of the configuration module. */
 enum conf_err {
 	CONF_ESYNTAX = -100,	/* a statement is not well formed */
 	CONF_EREFERENCE = -101, /* a declared object refers to an undeclared object or layer */
@@ -121,8 +123,13 @@
 	char text[200]; /* error message */
 };
 
+/* Returns an empty state with one reference. */
 struct conf_state *conf_state_new(void);
+
+/* Adds a reference to the state and returns it. */
 struct conf_state *conf_state_ref(struct conf_state *state);
+
+/* Drops a reference; the state is freed with the last one. state may be NULL. */
 void conf_state_unref(struct conf_state *state);
 
 /* Returns the object of that kind and name, or NULL if it is not declared. */
