--- a/msg/conf.pb-c.h
+++ b/msg/conf.pb-c.h
@@ -29,12 +29,19 @@
 /* --- messages --- */
 
 /*
- * What a control daemon holds; sent to two others a second, and to entries when it changes.
+ * The revision that a control daemon has in force. It is sent to two other control daemons every
+ * second (setting gossip_ms); a receiver with another revision responds with its own.
  */
 struct  Conf__Revision
 {
   ProtobufCMessage base;
+  /*
+   * revision in force; -1: no configuration is ready
+   */
   int64_t revision;
+  /*
+   * name of the sending host
+   */
   char *host;
 };
 #define CONF__REVISION__INIT \
@@ -43,7 +50,7 @@
 
 
 /*
- * Asks for the state.
+ * Requests the configuration from a control daemon.
  */
 struct  Conf__Fetch
 {
@@ -55,11 +62,14 @@
 
 
 /*
- * The state, as a snapshot record of the log.
+ * The configuration. It is the response to Fetch, and is sent to entry daemons when it changes.
  */
 struct  Conf__State
 {
   ProtobufCMessage base;
+  /*
+   * JSON text of a snapshot record, as in the platform's log
+   */
   char *snapshot;
 };
 #define CONF__STATE__INIT \
@@ -68,12 +78,19 @@
 
 
 /*
- * An entry daemon's greeting and what it has in force; the host it runs on.
+ * The revision that an entry daemon has in force. It is also the first message that an entry daemon
+ * sends on a connection to a control daemon.
  */
 struct  Conf__InForce
 {
   ProtobufCMessage base;
+  /*
+   * revision in force; -1: no configuration is ready
+   */
   int64_t revision;
+  /*
+   * name of the host that the entry daemon runs on
+   */
   char *host;
 };
 #define CONF__IN_FORCE__INIT \
@@ -82,16 +99,34 @@
 
 
 /*
- * The hosts as the control daemon's list has them, for entry daemons.
+ * One host, as listed by a control daemon.
  */
 struct  Conf__Host
 {
   ProtobufCMessage base;
+  /*
+   * name of the host
+   */
   char *name;
+  /*
+   * availability zone of the host
+   */
   char *zone;
+  /*
+   * IP:PORT at which its control daemon accepts framed connections
+   */
   char *control_addr;
+  /*
+   * IP:PORT at which its control daemon serves operators
+   */
   char *operator_addr;
+  /*
+   * IP:PORT at which its entry daemon accepts other entry daemons
+   */
   char *peer_addr;
+  /*
+   * the host is stopping or draining
+   */
   protobuf_c_boolean leaving;
 };
 #define CONF__HOST__INIT \
@@ -99,6 +134,10 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0 }
 
 
+/*
+ * The list of hosts, sent to entry daemons. A control daemon that is stopping also sends its own
+ * entry to other control daemons, before the platform's list shows that it is stopping.
+ */
 struct  Conf__Hosts
 {
   ProtobufCMessage base;
--- a/msg/feed.pb-c.h
+++ b/msg/feed.pb-c.h
@@ -38,34 +38,37 @@
 /* --- messages --- */
 
 /*
- * The first message of a follower: what it has already.
+ * The first message of a follower: states what it already has.
  */
 struct  Feed__Ask
 {
   ProtobufCMessage base;
+  /*
+   * name of the follower
+   */
   char *host;
   /*
-   * -1: none
+   * version of its configuration; -1: none
    */
   int64_t conf_version;
   /*
-   * place of the next record that it wants; -1: the whole list
+   * place of the next record it requires; -1: the whole list
    */
   int64_t endpoints_next;
   /*
-   * of the configuration's text
+   * digest of the text of its configuration
    */
   uint64_t conf_digest;
   /*
-   * of the store, plus one; 0: not known
+   * era of the store that it knows, plus one; 0: not known
    */
   int64_t era;
   /*
-   * of the follower, for other hosts
+   * address at which other hosts can follow it; empty: it is stopping
    */
   char *addr;
   /*
-   * Mbit/s of its link x cores
+   * bandwidth of its link in Mbit/s, multiplied by its number of cores
    */
   double capacity;
   /*
@@ -79,16 +82,22 @@
 
 
 /*
- * A record of an endpoint; without text the entry was removed.
+ * One record of the list of endpoints.
  */
 struct  Feed__Endpoint
 {
   ProtobufCMessage base;
   /*
-   * its place in the log, see era/era.h
+   * place of the record
    */
   int64_t offset;
+  /*
+   * id of the endpoint
+   */
   char *id;
+  /*
+   * text of the record; empty: the endpoint was removed from the list
+   */
   ProtobufCBinaryData text;
 };
 #define FEED__ENDPOINT__INIT \
@@ -97,7 +106,7 @@
 
 
 /*
- * Those of one update, packed together.
+ * The endpoint records of one update, packed together.
  */
 struct  Feed__Endpoints
 {
@@ -111,7 +120,7 @@
 
 
 /*
- * The whole list, as it is kept in the store for hosts that start in an outage.
+ * The whole list of endpoints, as kept in the store for hosts that start during an outage.
  */
 struct  Feed__Note
 {
@@ -121,7 +130,7 @@
    */
   ProtobufCBinaryData endpoints;
   /*
-   * its length before that
+   * length of the message before compression, in bytes
    */
   int64_t endpoints_len;
 };
@@ -130,16 +139,22 @@
     , {0,NULL}, 0 }
 
 
+/*
+ * One host that other hosts can follow.
+ */
 struct  Feed__Host
 {
   ProtobufCMessage base;
+  /*
+   * name of the host
+   */
   char *name;
   /*
-   * empty: the host has left
+   * address at which it can be followed; empty: the host has left
    */
   char *addr;
   /*
-   * Mbit/s of its link x cores
+   * bandwidth of its link in Mbit/s, multiplied by its number of cores
    */
   double capacity;
   /*
@@ -153,21 +168,21 @@
 
 
 /*
- * What an engine reported last to the host that asks all of them.
+ * The latest load report of an engine to the host that polls all engines.
  */
 struct  Feed__Load
 {
   ProtobufCMessage base;
   /*
-   * its incarnation
+   * incarnation of the endpoint
    */
   char *endpoint;
   /*
-   * time of a step as a multiple of what is usual
+   * duration of one step of the engine, as a multiple of the usual duration
    */
   double pace;
   /*
-   * eighths of its memory for requests that are taken
+   * memory in use for requests, in eighths of the memory available for them
    */
   int32_t full;
 };
@@ -177,13 +192,13 @@
 
 
 /*
- * What changed. Each follower gets every change once, in order.
+ * Changes since the previous update. Each follower receives every change once, in order.
  */
 struct  Feed__Update
 {
   ProtobufCMessage base;
   /*
-   * the sender cannot reach the store itself
+   * the sender has no current data of the store to pass on
    */
   protobuf_c_boolean away;
   /*
@@ -191,11 +206,11 @@
    */
   ProtobufCBinaryData conf;
   /*
-   * its length before that
+   * length of the configuration before compression, in bytes
    */
   int64_t conf_len;
   /*
-   * endpoints holds all of them
+   * endpoints holds the whole list instead of changes
    */
   protobuf_c_boolean listing;
   /*
@@ -203,40 +218,40 @@
    */
   ProtobufCBinaryData endpoints;
   /*
-   * its length before that
+   * length of that message before compression, in bytes
    */
   int64_t endpoints_len;
   /*
-   * place after the last record; -1: not read yet
+   * place after the last endpoint record; -1: list not read yet
    */
   int64_t endpoints_next;
   /*
-   * that have come or gone; none: no change
+   * hosts that have joined or left; empty: no change
    */
   size_t n_hosts;
   Feed__Host **hosts;
   /*
-   * hosts are all that are known
+   * hosts holds all known hosts instead of changes
    */
   protobuf_c_boolean hosts_whole;
   /*
-   * fencing number for orders, see era/era.h
+   * newest fencing number of orders to engines, see era/era.h
    */
   int64_t generation;
   /*
-   * of the configuration in the log
+   * place of the configuration's record
    */
   int64_t conf_place;
   /*
-   * of the store, plus one; 0: the sender doesn't know it
+   * era of the store, plus one; 0: not known to the sender
    */
   int64_t era;
   /*
-   * newest round of reports that the sender knows of
+   * number of the newest round of polling engines known to the sender
    */
   int64_t round;
   /*
-   * all that are known; none: no change
+   * all known load reports; empty: no change
    */
   size_t n_loads;
   Feed__Load **loads;
@@ -247,19 +262,26 @@
 
 
 /*
- * An endpoint that one host has found at fault; passed on to all hosts.
+ * An endpoint that one host has found to be faulty, ended, leaving, or refusing requests for a
+ * while. Hosts forward the message to their feeds and followers, for a limited number of hops.
  */
 struct  Feed__Suspect
 {
   ProtobufCMessage base;
   /*
-   * its incarnation
+   * incarnation of the endpoint
    */
   char *endpoint;
+  /*
+   * remaining time of the suspicion, in milliseconds
+   */
   int64_t for_ms;
+  /*
+   * reason, such as "no_answer"; all are listed in router/ctrl.h
+   */
   char *why;
   /*
-   * hosts that have passed it on
+   * number of hosts that have forwarded the message
    */
   int32_t hops;
 };
@@ -269,15 +291,18 @@
 
 
 /*
- * An endpoint that ended while a request was under way there.
+ * An endpoint that ended while a request was in progress on it.
  */
 struct  Feed__Crash
 {
   ProtobufCMessage base;
   /*
-   * hash of its incarnation
+   * hash of the endpoint's incarnation
    */
   uint64_t endpoint;
+  /*
+   * points against the request, 1 or 2; 3: the endpoint turned out alive
+   */
   int32_t weight;
 };
 #define FEED__CRASH__INIT \
@@ -286,39 +311,54 @@
 
 
 /*
- * What is held against a request that may crash endpoints; see quar/quar.h.
+ * The state of a request that may crash endpoints, see quar/quar.h.
  */
 struct  Feed__Quarantine
 {
   ProtobufCMessage base;
   /*
-   * digest of account, target and body
+   * upper half of the digest of account, target and body
    */
   uint64_t key_high;
+  /*
+   * lower half of that digest
+   */
   uint64_t key_low;
+  /*
+   * name of the client account
+   */
   char *account;
+  /*
+   * number of the epoch; crashes of lower epochs no longer count
+   */
   uint32_t epoch;
   /*
-   * that it begins this epoch with
+   * points with which the request began this epoch
    */
   int32_t points;
+  /*
+   * number of periods for which the request has been refused
+   */
   int32_t terms;
+  /*
+   * crashes of endpoints in this epoch
+   */
   size_t n_crashes;
   Feed__Crash **crashes;
   /*
-   * since something was last learnt of it
+   * time since the newest information about the request, in ms
    */
   int64_t age_ms;
   /*
-   * for which it is still refused; 0: it is not
+   * remaining time of the refusal, in ms; 0: not refused
    */
   int64_t left_ms;
   /*
-   * longest that an attempt of it has gone on
+   * longest duration of an attempt of the request, in milliseconds
    */
   int64_t lasted_ms;
   /*
-   * Unix time at which it was written into the store; 0: it was not
+   * Unix time of its write to the store, in ms; 0: not from the store
    */
   int64_t noted_ms;
 };
@@ -327,6 +367,9 @@
     , 0, 0, (char *)protobuf_c_empty_string, 0, 0, 0, 0,NULL, 0, 0, 0, 0 }
 
 
+/*
+ * The states of several requests that may crash endpoints.
+ */
 struct  Feed__Quarantines
 {
   ProtobufCMessage base;
@@ -339,37 +382,37 @@
 
 
 /*
- * What an endpoint says of the requests that it takes from all hosts together; see lim/part.h.
+ * The limit on requests that an endpoint accepts from all hosts together, see lim/permits.h.
  */
 struct  Feed__Limit
 {
   ProtobufCMessage base;
   /*
-   * its incarnation
+   * incarnation of the endpoint
    */
   char *endpoint;
   /*
-   * false: it names none any more
+   * whether the endpoint states a limit; false: it has lifted its limit
    */
   protobuf_c_boolean named;
   /*
-   * requests a second
+   * the limit, in requests per second
    */
   double rate;
   /*
-   * since it said so
+   * time since the endpoint stated the limit, in milliseconds
    */
   int64_t age_ms;
   /*
-   * in LimitAsk: requests that would go there since the last one
+   * in LimitAsk: requests for the endpoint since the previous LimitAsk
    */
   int32_t wanted;
   /*
-   * and permits that became void unused
+   * in LimitAsk: permits that expired unused since the previous LimitAsk
    */
   int32_t returned;
   /*
-   * in LimitGrant: for so many requests
+   * in LimitGrant: number of requests that may be sent to the endpoint
    */
   int32_t permits;
 };
@@ -379,7 +422,7 @@
 
 
 /*
- * Passed on to all hosts.
+ * Changed limits, forwarded to all hosts.
  */
 struct  Feed__Limits
 {
@@ -393,20 +436,26 @@
 
 
 /*
- * A host asks the home of the limits for permits, and tells it that it is there.
+ * A host requests permits from the home of the limits, and confirms that it is alive.
  */
 struct  Feed__LimitAsk
 {
   ProtobufCMessage base;
+  /*
+   * name of the host
+   */
   char *host;
   /*
-   * by the clock of the host
+   * time of sending by the host's clock, in microseconds
    */
   int64_t sent_us;
   /*
-   * newest time of the home's that it has got; 0: none
+   * newest now_us received from the home, in microseconds; 0: none
    */
   int64_t heard_us;
+  /*
+   * limits that the host knows and the permits it requests
+   */
   size_t n_items;
   Feed__Limit **items;
 };
@@ -415,17 +464,23 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0,NULL }
 
 
+/*
+ * The home of the limits grants permits to a host.
+ */
 struct  Feed__LimitGrant
 {
   ProtobufCMessage base;
   /*
-   * sent_us of the last ask
+   * sent_us of the host's last LimitAsk, in microseconds
    */
   int64_t asked_us;
   /*
-   * by the clock of the home
+   * time of sending by the home's clock, in microseconds
    */
   int64_t now_us;
+  /*
+   * permits granted
+   */
   size_t n_items;
   Feed__Limit **items;
 };
--- a/msg/join.pb-c.h
+++ b/msg/join.pb-c.h
@@ -24,9 +24,15 @@
 
 /* --- messages --- */
 
+/*
+ * Asks for the answer to the request of a winning claim.
+ */
 struct  Join__Ask
 {
   ProtobufCMessage base;
+  /*
+   * number that the asking entry daemon gave to this message
+   */
   uint64_t ask_id;
   /*
    * id of the winning claim
@@ -38,26 +44,35 @@
     , 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * The answer to the request, or the reason why there is none.
+ */
 struct  Join__Answer
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Ask that this message answers
+   */
   uint64_t ask_id;
   /*
-   * enum ent_join_state
+   * enum entry_join_state
    */
   uint32_t state;
   /*
-   * enum req_code
+   * enum req_code: outcome of the request
    */
   uint32_t code;
   /*
-   * of a plain service's answer
+   * HTTP status of a plain service's answer
    */
   uint32_t status;
   /*
    * content type of a plain service's answer
    */
   char *type;
+  /*
+   * parts of the answer, in order
+   */
   size_t n_tokens;
   ProtobufCBinaryData *tokens;
 };
--- a/msg/once.pb-c.h
+++ b/msg/once.pb-c.h
@@ -25,22 +25,43 @@
 
 /* --- messages --- */
 
+/*
+ * Claims the right to dispatch one attempt of a non-idempotent request.
+ */
 struct  Once__Claim
 {
   ProtobufCMessage base;
+  /*
+   * number that the entry daemon gave to this message
+   */
   uint64_t ask_id;
   /*
-   * ACCOUNT/KEY
+   * ACCOUNT/KEY, where KEY is the idempotency key
    */
   char *key;
+  /*
+   * id of the claim
+   */
   char *id;
+  /*
+   * id under which engines know the request
+   */
   char *request;
+  /*
+   * name of the host whose entry daemon may dispatch the request
+   */
   char *entry;
   /*
-   * with commas between
+   * names of the endpoints on the route, separated by commas
    */
   char *endpoints;
+  /*
+   * digest of the request's body
+   */
   char *digest;
+  /*
+   * id of the claim that this one replaces; empty: none
+   */
   char *supersedes;
 };
 #define ONCE__CLAIM__INIT \
@@ -48,14 +69,23 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string }
 
 
+/*
+ * The decision about a claim.
+ */
 struct  Once__Verdict
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Claim that is decided
+   */
   uint64_t ask_id;
   /*
    * enum once_verdict
    */
   uint32_t verdict;
+  /*
+   * the claim that counts for the key, if there is one
+   */
   Once__Claim *winner;
 };
 #define ONCE__VERDICT__INIT \
@@ -63,10 +93,19 @@
     , 0, 0, NULL }
 
 
+/*
+ * Gives up a claim whose request was not dispatched, so that its key can be claimed again.
+ */
 struct  Once__Release
 {
   ProtobufCMessage base;
+  /*
+   * ACCOUNT/KEY
+   */
   char *key;
+  /*
+   * id of the claim that is given up
+   */
   char *id;
 };
 #define ONCE__RELEASE__INIT \
--- a/msg/pool.pb-c.h
+++ b/msg/pool.pb-c.h
@@ -29,25 +29,43 @@
 
 /* --- messages --- */
 
+/*
+ * Asks for a pipeline of endpoints for one request.
+ */
 struct  Pool__Ask
 {
   ProtobufCMessage base;
   /*
-   * the entry's own number
+   * number that the entry daemon gave to this message
    */
   uint64_t ask_id;
+  /*
+   * name of the pool
+   */
   char *pool;
+  /*
+   * name of the client account
+   */
   char *account;
+  /*
+   * version of the model
+   */
   char *version;
   /*
-   * estimate
+   * estimated number of tokens that the request needs
    */
   uint64_t tokens;
   /*
-   * longest wait for a start
+   * longest time to wait for the start, in microseconds
    */
   uint64_t wait_us;
+  /*
+   * requests of greater priority start first within the account
+   */
   int32_t priority;
+  /*
+   * names of endpoints to avoid if possible
+   */
   size_t n_exclude;
   char **exclude;
 };
@@ -56,10 +74,19 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0,NULL }
 
 
+/*
+ * Withdraws an Ask that has no answer yet.
+ */
 struct  Pool__Withdraw
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Ask that is withdrawn
+   */
   uint64_t ask_id;
+  /*
+   * name of the pool
+   */
   char *pool;
 };
 #define POOL__WITHDRAW__INIT \
@@ -67,18 +94,27 @@
     , 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Grants a pipeline of endpoints.
+ */
 struct  Pool__Grant
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Ask that is granted
+   */
   uint64_t ask_id;
+  /*
+   * number that the home gave to the grant
+   */
   uint64_t grant_id;
   /*
-   * names of endpoints, in order of layers
+   * names of the endpoints, in order of their layers
    */
   size_t n_stages;
   char **stages;
   /*
-   * what the account would wait now
+   * time that a new request of the account would wait, in microseconds
    */
   uint64_t wait_us;
 };
@@ -87,14 +123,23 @@
     , 0, 0, 0,NULL, 0 }
 
 
+/*
+ * Refuses a pipeline.
+ */
 struct  Pool__Refuse
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Ask that is refused
+   */
   uint64_t ask_id;
   /*
    * enum pool_refusal
    */
   uint32_t why;
+  /*
+   * time after which the request may be repeated, in microseconds
+   */
   uint64_t retry_us;
 };
 #define POOL__REFUSE__INIT \
@@ -102,13 +147,22 @@
     , 0, 0, 0 }
 
 
+/*
+ * Returns a grant after the attempt has ended.
+ */
 struct  Pool__Done
 {
   ProtobufCMessage base;
+  /*
+   * grant_id of the Grant that is returned
+   */
   uint64_t grant_id;
+  /*
+   * name of the pool
+   */
   char *pool;
   /*
-   * what ran
+   * number of tokens that were processed
    */
   uint64_t tokens;
   /*
@@ -116,7 +170,7 @@
    */
   uint32_t outcome;
   /*
-   * endpoint at fault, or empty
+   * name of the endpoint at fault; empty: none
    */
   char *bad;
 };
@@ -126,15 +180,30 @@
 
 
 /*
- * What an entry has in flight that another home granted.
+ * A request in flight that was granted by another home, reported to the pool's new home.
  */
 struct  Pool__Holding
 {
   ProtobufCMessage base;
+  /*
+   * number that the entry daemon gave to the request
+   */
   uint64_t ask_id;
+  /*
+   * name of the pool
+   */
   char *pool;
+  /*
+   * name of the client account
+   */
   char *account;
+  /*
+   * estimated number of tokens that the request needs
+   */
   uint64_t tokens;
+  /*
+   * names of the endpoints in use, in order of their layers
+   */
   size_t n_stages;
   char **stages;
 };
@@ -144,12 +213,18 @@
 
 
 /*
- * The grant that stands for it at the new home.
+ * The grant that the new home has recorded for a request reported by Holding.
  */
 struct  Pool__Held
 {
   ProtobufCMessage base;
+  /*
+   * ask_id of the Holding message
+   */
   uint64_t ask_id;
+  /*
+   * number of the grant; 0: the home knows none of the endpoints
+   */
   uint64_t grant_id;
 };
 #define POOL__HELD__INIT \
