--- a/prog/load_report.c
+++ b/prog/load_report.c
@@ -4,13 +4,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Results: a table on standard output; JSON, CSV and a gnuplot script in files. */
+/*
+ * Results of bgload: a table on standard output; JSON, CSV and a gnuplot script in files.
+ */
 static const char *const load_path_names[LOAD_PATH_COUNT] = {
 	[LOAD_ROUTER] = "router",
 	[LOAD_DIRECT] = "direct",
 };
 
-static gint load_cmp(gconstpointer a, gconstpointer b)
+static gint load_compare_int64(gconstpointer a, gconstpointer b)
 {
 	int64_t x = *(const int64_t *)a;
 	int64_t y = *(const int64_t *)b;
@@ -18,14 +20,14 @@
 	return (x > y) - (x < y);
 }
 
-/* The q-th part (0..1) of the values in milliseconds; 0 when there are none. */
+/* Returns the q-quantile (0 to 1) of values in microseconds, in milliseconds; 0 if none. */
 static double load_quantile(GArray *values, double q)
 {
 	guint index;
 
 	if (values->len == 0)
 		return 0;
-	g_array_sort(values, load_cmp);
+	g_array_sort(values, load_compare_int64);
 	index = MIN((guint)(q * values->len), values->len - 1);
 	return (double)g_array_index(values, int64_t, index) / USEC_PER_MSEC;
 }
@@ -45,27 +47,28 @@
 	printf("%-10s %-7s %7d %7d %6d %10.1f %7.2f %7.2f %7.2f %7.2f %8.1f %8.1f\n", account, path,
 	       (int)t->results[LOAD_OK], (int)t->results[LOAD_REFUSED],
 	       (int)t->results[LOAD_FAILED], (double)t->tokens / seconds,
-	       load_quantile(t->first_us, 0.5), load_quantile(t->first_us, 0.95),
-	       load_quantile(t->gap_us, 0.5), load_quantile(t->gap_us, 0.95),
-	       load_quantile(t->all_us, 0.5), load_quantile(t->all_us, 0.95));
+	       load_quantile(t->first_token_us, 0.5), load_quantile(t->first_token_us, 0.95),
+	       load_quantile(t->token_gap_us, 0.5), load_quantile(t->token_gap_us, 0.95),
+	       load_quantile(t->duration_us, 0.5), load_quantile(t->duration_us, 0.95));
 }
 
 static json_t *load_total_json(const char *account, const char *path, struct load_total *t,
 			       double seconds)
 {
-	return json_pack(
-		"{s:s, s:s, s:I, s:I, s:I, s:I, s:f, s:f, s:f, s:f, s:f, s:f, s:f}", "account",
-		account, "path", path, "ok", (json_int_t)t->results[LOAD_OK], "refused",
-		(json_int_t)t->results[LOAD_REFUSED], "failed", (json_int_t)t->results[LOAD_FAILED],
-		"order_errors", (json_int_t)t->order_errors, "tokens_per_s",
-		(double)t->tokens / seconds, "first_p50_ms", load_quantile(t->first_us, 0.5),
-		"first_p95_ms", load_quantile(t->first_us, 0.95), "gap_p50_ms",
-		load_quantile(t->gap_us, 0.5), "gap_p95_ms", load_quantile(t->gap_us, 0.95),
-		"all_p50_ms", load_quantile(t->all_us, 0.5), "all_p95_ms",
-		load_quantile(t->all_us, 0.95));
+	return json_pack("{s:s, s:s, s:I, s:I, s:I, s:I, s:f, s:f, s:f, s:f, s:f, s:f, s:f}",
+			 "account", account, "path", path, "ok", (json_int_t)t->results[LOAD_OK],
+			 "refused", (json_int_t)t->results[LOAD_REFUSED], "failed",
+			 (json_int_t)t->results[LOAD_FAILED], "order_errors",
+			 (json_int_t)t->order_errors, "tokens_per_s", (double)t->tokens / seconds,
+			 "first_p50_ms", load_quantile(t->first_token_us, 0.5), "first_p95_ms",
+			 load_quantile(t->first_token_us, 0.95), "gap_p50_ms",
+			 load_quantile(t->token_gap_us, 0.5), "gap_p95_ms",
+			 load_quantile(t->token_gap_us, 0.95), "all_p50_ms",
+			 load_quantile(t->duration_us, 0.5), "all_p95_ms",
+			 load_quantile(t->duration_us, 0.95));
 }
 
-static void load_write(const char *prefix, const char *suffix, const char *text, size_t len)
+static void load_write_file(const char *prefix, const char *suffix, const char *text, size_t len)
 {
 	char *path = g_strconcat(prefix, suffix, NULL);
 
@@ -74,8 +77,8 @@
 	g_free(path);
 }
 
-/* Tokens of each account in each second, and the script that plots them. */
-static void load_write_seconds(const struct load *load)
+/* Writes the tokens of each account in each second as CSV, and a gnuplot script for them. */
+static void load_write_throughput(const struct load *load)
 {
 	GString *csv = g_string_new("second");
 	GString *plot = g_string_new("set terminal png size 1000,500\nset datafile separator ','\n"
@@ -97,23 +100,24 @@
 		for (guint i = 0; i < load->accounts->len; i++) {
 			const struct load_account *account = load->accounts->pdata[i];
 
-			g_string_append_printf(csv, ",%" G_GUINT64_FORMAT, account->by_second[s]);
+			g_string_append_printf(csv, ",%" G_GUINT64_FORMAT,
+					       account->tokens_by_second[s]);
 		}
 		g_string_append_c(csv, '\n');
 	}
-	load_write(load->settings.out, "-seconds.csv", csv->str, csv->len);
-	load_write(load->settings.out, ".gnuplot", plot->str, plot->len);
+	load_write_file(load->settings.out, "-seconds.csv", csv->str, csv->len);
+	load_write_file(load->settings.out, ".gnuplot", plot->str, plot->len);
 	g_string_free(csv, TRUE);
 	g_string_free(plot, TRUE);
 }
 
-static void load_print_codes(struct load *load)
+static void load_print_errors(struct load *load)
 {
 	GHashTableIter iter;
 	gpointer key;
 	gpointer count;
 
-	g_hash_table_iter_init(&iter, load->codes);
+	g_hash_table_iter_init(&iter, load->error_counts);
 	while (g_hash_table_iter_next(&iter, &key, &count))
 		printf("  %-28s %u\n", (char *)key, GPOINTER_TO_UINT(count));
 }
@@ -131,7 +135,7 @@
 		const struct load_account *account = load->accounts->pdata[i];
 
 		for (int path = 0; path < LOAD_PATH_COUNT; path++) {
-			struct load_total *t = load_total(load, i, (enum load_path)path);
+			struct load_total *t = load_get_total(load, i, (enum load_path)path);
 
 			if (load_is_empty(t))
 				continue;
@@ -142,15 +146,15 @@
 				load_total_json(account->name, load_path_names[path], t, seconds));
 		}
 	}
-	load_print_codes(load);
+	load_print_errors(load);
 	if (!ordered)
-		printf("tokens came out of order, doubled or were missing\n");
+		printf("tokens were out of order, duplicated or missing\n");
 	if (load->settings.out[0]) {
 		char *text = json_dumps(all, JSON_INDENT(2));
 
-		load_write(load->settings.out, ".json", text, strlen(text));
-		load_write(load->settings.out, ".csv", load->csv->str, load->csv->len);
-		load_write_seconds(load);
+		load_write_file(load->settings.out, ".json", text, strlen(text));
+		load_write_file(load->settings.out, ".csv", load->csv->str, load->csv->len);
+		load_write_throughput(load);
 		free(text);
 	}
 	json_decref(all);
