--- a/prog/ctl.c
+++ b/prog/ctl.c
@@ -8,14 +8,15 @@
 #include <string.h>
 #include <unistd.h>
 
-typedef int (*ctl_fn)(struct ctl *ctl, int argc, char **argv);
+/* Runs a command with the arguments that follow its name. Returns the exit status. */
+typedef int (*ctl_command_fn)(struct ctl *ctl, int argc, char **argv);
 
 struct ctl_command {
 	const char *name;
-	const char *args;
-	const char *help;
-	ctl_fn fn;
-	gboolean local; /* needs no control daemon */
+	const char *args; /* arguments, as shown in the usage message */
+	const char *help; /* one-line description */
+	ctl_command_fn fn;
+	gboolean local; /* runs without --control */
 };
 
 static int ctl_do(struct ctl *ctl, int argc, char **argv);
@@ -30,42 +31,43 @@
 static int ctl_state_command(struct ctl *ctl, int argc, char **argv);
 static int ctl_clear_command(struct ctl *ctl, int argc, char **argv);
 static int ctl_spread_command(struct ctl *ctl, int argc, char **argv);
-static int ctl_wait(const struct ctl *ctl, gint64 revision);
+static int ctl_wait_in_force(const struct ctl *ctl, gint64 revision);
 
 static const struct ctl_command ctl_commands[] = {
 	{"do", "[STATEMENT...]", "send statements (arguments, --file, or standard input)", ctl_do,
 	 FALSE},
-	{"diff", "FILE", "what 'apply' would change", ctl_diff, FALSE},
+	{"diff", "FILE", "print the changes that 'apply' would make", ctl_diff, FALSE},
 	{"apply", "FILE", "make the configuration what the file declares", ctl_apply, FALSE},
 	{"export", "", "print the configuration as declarations", ctl_export, FALSE},
 	{"show", "WHAT", "status, hosts, endpoints, accounts, usage, bound, cost, config",
 	 ctl_show_command, FALSE},
-	{"watch", "WHAT", "show it again every second", ctl_watch, FALSE},
-	{"wait", "REVISION", "return when every live host has it in force", ctl_wait_command,
-	 FALSE},
-	{"explain", "ID [FILE...]", "a request's story from hosts' logs (files, or standard input)",
+	{"watch", "WHAT", "repeat 'show' every second", ctl_watch, FALSE},
+	{"wait", "REVISION", "return when every live host has the revision in force",
+	 ctl_wait_command, FALSE},
+	{"explain", "ID [FILE...]",
+	 "a request's log lines and outcome from hosts' logs (files, or standard input)",
 	 ctl_explain_command, TRUE},
 	{"state", "[WHAT]",
-	 "what a bgrouterd believes (--control: its metrics address): hosts, endpoints, faults, "
+	 "state of a bgrouterd (--control: its metrics address): hosts, endpoints, faults, "
 	 "accounts, budgets, quarantine",
 	 ctl_state_command, FALSE},
 	{"clear", "CONTENT",
-	 "serve a request again that is in quarantine (--control: a bgrouterd's metrics address)",
+	 "remove a request from quarantine (--control: a bgrouterd's metrics address)",
 	 ctl_clear_command, FALSE},
 	{"spread", "ADDR... | LOG...",
-	 "which hosts run which configuration and settings, since when, and who is behind",
+	 "which hosts run which configuration and settings, since when, and which are outdated",
 	 ctl_spread_command, TRUE},
-	{"secret", "NAME", "make a token and its salted hash", ctl_secret, TRUE},
+	{"secret", "NAME", "generate a token and its salted hash", ctl_secret, TRUE},
 };
 
 enum {
-	CTL_TIMEOUT_MS = 10000,
-	CTL_POLL_US = 50000,
-	CTL_WATCH_US = 1000000,
-	CTL_SECRET_LEN = 16
+	CTL_CALL_TIMEOUT_MS = 10000,
+	CTL_POLL_INTERVAL_US = 50000,	 /* pause of "wait" between two checks */
+	CTL_WATCH_INTERVAL_US = 1000000, /* pause of "watch" between two prints */
+	CTL_SECRET_BYTES = 16		 /* random bytes of a token or a salt */
 };
 
-size_t ctl_on_body(char *data, size_t size, size_t n, void *ctx)
+size_t ctl_append_body(char *data, size_t size, size_t n, void *ctx)
 {
 	g_string_append_len(ctx, data, (gssize)(size * n));
 	return size * n;
@@ -87,8 +89,8 @@
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
-	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)CTL_TIMEOUT_MS);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, ctl_on_body);
+	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)CTL_CALL_TIMEOUT_MS);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, ctl_append_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
 	if (text)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, text);
@@ -105,19 +107,20 @@
 	return status;
 }
 
-int ctl_fail(const char *what, long status, json_t *body)
+int ctl_report_failure(const char *operation, long status, json_t *body)
 {
 	const char *reason = json_string_value(json_object_get(body, "reason"));
 
 	if (status == 0)
-		fprintf(stderr, "bgctl: %s: no answer from the control daemon\n", what);
+		fprintf(stderr, "bgctl: %s: no answer from the control daemon\n", operation);
 	else
-		fprintf(stderr, "bgctl: %s: status %ld: %s\n", what, status, reason ? reason : "");
+		fprintf(stderr, "bgctl: %s: status %ld: %s\n", operation, status,
+			reason ? reason : "");
 	json_decref(body);
 	return CTL_FAILED;
 }
 
-static char *ctl_read(FILE *file)
+static char *ctl_read_stream(FILE *file)
 {
 	GString *text = g_string_new(NULL);
 	char buf[4096];
@@ -128,7 +131,9 @@
 	return g_string_free(text, FALSE);
 }
 
-/* "-" is standard input. Returns NULL after saying why. */
+/*
+ * Returns the text of the file at path ("-": standard input), or prints an error and returns NULL.
+ */
 static char *ctl_read_file(const char *path)
 {
 	FILE *file = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
@@ -138,7 +143,7 @@
 		fprintf(stderr, "bgctl: %s: cannot be read\n", path);
 		return NULL;
 	}
-	text = ctl_read(file);
+	text = ctl_read_stream(file);
 	if (file != stdin)
 		fclose(file);
 	if (!g_utf8_validate(text, -1, NULL)) {
@@ -148,15 +153,18 @@
 	return text;
 }
 
-/* The configuration in force at the control daemon. Returns NULL after saying why. */
-static char *ctl_config(const struct ctl *ctl, gint64 *revision)
+/*
+ * Returns the configuration in force at the control daemon and its revision, or prints an error and
+ * returns NULL.
+ */
+static char *ctl_fetch_config(const struct ctl *ctl, gint64 *revision)
 {
 	json_t *body;
 	long status = ctl_call(ctl, ctl->control, "GET", "/v1/config", NULL, &body);
 	char *text;
 
 	if (status != 200) {
-		ctl_fail("config", status, body);
+		ctl_report_failure("config", status, body);
 		return NULL;
 	}
 	text = g_strdup(json_string_value(json_object_get(body, "text")));
@@ -183,7 +191,7 @@
 	g_strfreev(lines);
 }
 
-int ctl_change(const struct ctl *ctl, const char *statements, gint64 expect)
+int ctl_send_change(const struct ctl *ctl, const char *statements, gint64 expect)
 {
 	char *id = g_uuid_string_random();
 	json_t *body;
@@ -197,11 +205,11 @@
 
 	if (!outcome) {
 		result = status == 0 ? CTL_UNKNOWN : CTL_FAILED;
-		ctl_fail("change", status, json_incref(body));
+		ctl_report_failure("change", status, json_incref(body));
 	} else if (strcmp(outcome, "accepted") == 0) {
 		printf("accepted, revision %" G_GINT64_FORMAT "\n", revision);
 		if (ctl->wait)
-			result = ctl_wait(ctl, revision);
+			result = ctl_wait_in_force(ctl, revision);
 	} else if (strcmp(outcome, "rejected") == 0) {
 		ctl_print_rejection(body, statements);
 		result = CTL_REJECTED;
@@ -226,12 +234,12 @@
 		text = ctl_read_file(ctl->file ? ctl->file : "-");
 	if (!text)
 		return CTL_USAGE;
-	result = ctl_change(ctl, text, ctl->expect);
+	result = ctl_send_change(ctl, text, ctl->expect);
 	g_free(text);
 	return result;
 }
 
-static struct conf_state *ctl_parse(const char *name, const char *text)
+static struct conf_state *ctl_parse_config(const char *name, const char *text)
 {
 	struct conf_state *empty = conf_state_new();
 	struct conf_problem problem;
@@ -245,13 +253,17 @@
 	return state;
 }
 
-/* The statements that turn what is in force into what the file declares. NULL after saying why. */
-static GString *ctl_difference(const struct ctl *ctl, const char *path, gint64 *revision)
+/*
+ * Returns the statements that change the configuration in force to the one declared in the file at
+ * path, and the revision in force. Prints an error and returns NULL on failure.
+ */
+static GString *ctl_config_diff(const struct ctl *ctl, const char *path, gint64 *revision)
 {
 	char *wanted_text = ctl_read_file(path);
-	struct conf_state *wanted = wanted_text ? ctl_parse(path, wanted_text) : NULL;
-	char *now_text = wanted ? ctl_config(ctl, revision) : NULL;
-	struct conf_state *now = now_text ? ctl_parse("configuration in force", now_text) : NULL;
+	struct conf_state *wanted = wanted_text ? ctl_parse_config(path, wanted_text) : NULL;
+	char *now_text = wanted ? ctl_fetch_config(ctl, revision) : NULL;
+	struct conf_state *now =
+		now_text ? ctl_parse_config("configuration in force", now_text) : NULL;
 	GString *diff = NULL;
 
 	if (now) {
@@ -272,7 +284,7 @@
 
 	if (argc != 1)
 		return CTL_USAGE;
-	diff = ctl_difference(ctl, argv[0], &revision);
+	diff = ctl_config_diff(ctl, argv[0], &revision);
 	if (!diff)
 		return CTL_FAILED;
 	fputs(diff->str, stdout);
@@ -280,7 +292,10 @@
 	return CTL_OK;
 }
 
-/* The whole difference is one change, and expects the revision that it was made against. */
+/*
+ * Sends all differences as one change, which is rejected if the revision that they were computed
+ * against is no longer in force.
+ */
 static int ctl_apply(struct ctl *ctl, int argc, char **argv)
 {
 	gint64 revision;
@@ -289,14 +304,14 @@
 
 	if (argc != 1)
 		return CTL_USAGE;
-	diff = ctl_difference(ctl, argv[0], &revision);
+	diff = ctl_config_diff(ctl, argv[0], &revision);
 	if (!diff)
 		return CTL_FAILED;
 	if (diff->len == 0) {
 		printf("nothing to change, revision %" G_GINT64_FORMAT "\n", revision);
-		result = ctl->wait ? ctl_wait(ctl, revision) : CTL_OK;
+		result = ctl->wait ? ctl_wait_in_force(ctl, revision) : CTL_OK;
 	} else {
-		result = ctl_change(ctl, diff->str, ctl->expect >= 0 ? ctl->expect : revision);
+		result = ctl_send_change(ctl, diff->str, ctl->expect >= 0 ? ctl->expect : revision);
 	}
 	g_string_free(diff, TRUE);
 	return result;
@@ -310,7 +325,7 @@
 	(void)argv;
 	if (argc != 0)
 		return CTL_USAGE;
-	text = ctl_config(ctl, &revision);
+	text = ctl_fetch_config(ctl, &revision);
 	if (!text)
 		return CTL_FAILED;
 	fputs(text, stdout);
@@ -318,8 +333,11 @@
 	return CTL_OK;
 }
 
-/* Hosts that do not have the revision in force, as a text; "" when all have it. */
-static char *ctl_missing(const struct ctl *ctl, gint64 revision)
+/*
+ * Returns the names of the hosts that do not have the revision in force or do not respond, each
+ * after a space; "" if all have it. Hosts that are leaving are not counted.
+ */
+static char *ctl_hosts_behind(const struct ctl *ctl, gint64 revision)
 {
 	json_t *body;
 	long status = ctl_call(ctl, ctl->control, "GET", "/v1/hosts", NULL, &body);
@@ -347,10 +365,10 @@
 	return g_string_free(missing, FALSE);
 }
 
-static int ctl_wait(const struct ctl *ctl, gint64 revision)
+static int ctl_wait_in_force(const struct ctl *ctl, gint64 revision)
 {
 	gint64 start = g_get_monotonic_time();
-	char *missing = ctl_missing(ctl, revision);
+	char *missing = ctl_hosts_behind(ctl, revision);
 
 	while (missing[0]) {
 		if (g_get_monotonic_time() - start > (gint64)ctl->wait_ms * 1000) {
@@ -359,9 +377,9 @@
 			g_free(missing);
 			return CTL_FAILED;
 		}
-		g_usleep(CTL_POLL_US);
+		g_usleep(CTL_POLL_INTERVAL_US);
 		g_free(missing);
-		missing = ctl_missing(ctl, revision);
+		missing = ctl_hosts_behind(ctl, revision);
 	}
 	g_free(missing);
 	printf("in force everywhere after %.2f s\n",
@@ -373,7 +391,7 @@
 {
 	if (argc != 1)
 		return CTL_USAGE;
-	return ctl_wait(ctl, g_ascii_strtoll(argv[0], NULL, 10));
+	return ctl_wait_in_force(ctl, g_ascii_strtoll(argv[0], NULL, 10));
 }
 
 static int ctl_show_command(struct ctl *ctl, int argc, char **argv)
@@ -393,14 +411,14 @@
 		fflush(stdout);
 		if (result != CTL_OK)
 			break;
-		g_usleep(CTL_WATCH_US);
+		g_usleep(CTL_WATCH_INTERVAL_US);
 	}
 	return result;
 }
 
 static char *ctl_random_hex(void)
 {
-	guint8 bytes[CTL_SECRET_LEN];
+	guint8 bytes[CTL_SECRET_BYTES];
 	FILE *file = fopen("/dev/urandom", "r");
 	GString *hex = g_string_new(NULL);
 
@@ -467,15 +485,17 @@
 	return CTL_OK;
 }
 
-static char *ctl_summary(void)
+static char *ctl_help_summary(void)
 {
 	GString *text = g_string_new("Commands:\n");
 
 	for (size_t i = 0; i < G_N_ELEMENTS(ctl_commands); i++)
 		g_string_append_printf(text, "  %-7s %-15s %s\n", ctl_commands[i].name,
 				       ctl_commands[i].args, ctl_commands[i].help);
-	g_string_append(text, "Any other words are one statement, as in: bgctl drain endpoint e1\n"
-			      "Exit status: 0 done, 1 failed, 2 wrong use, 3 rejected, 4 unknown.");
+	g_string_append(text,
+			"Any other words are sent as one statement: bgctl drain endpoint e1\n"
+			"Exit status: 0 success, 1 failure, 2 wrong usage, 3 change rejected, "
+			"4 outcome unknown.");
 	return g_string_free(text, FALSE);
 }
 
@@ -488,7 +508,7 @@
 	return FALSE;
 }
 
-static int ctl_run(struct ctl *ctl, int argc, char **argv)
+static int ctl_run_command(struct ctl *ctl, int argc, char **argv)
 {
 	char *statement;
 	int result;
@@ -503,7 +523,7 @@
 		return result;
 	}
 	statement = g_strjoinv(" ", argv);
-	result = ctl_change(ctl, statement, ctl->expect);
+	result = ctl_send_change(ctl, statement, ctl->expect);
 	g_free(statement);
 	return result;
 }
@@ -517,11 +537,13 @@
 		 "operators' address of a control daemon (or BRONZEGAUGE_CONTROL)", "IP:PORT"},
 		{"token", 't', 0, G_OPTION_ARG_STRING, &ctl.token,
 		 "operator's token (or BRONZEGAUGE_TOKEN)", "TOKEN"},
-		{"file", 'f', 0, G_OPTION_ARG_FILENAME, &ctl.file, "statements of 'do'", "FILE"},
+		{"file", 'f', 0, G_OPTION_ARG_FILENAME, &ctl.file,
+		 "file with the statements of 'do'", "FILE"},
 		{"json", 'j', 0, G_OPTION_ARG_NONE, &ctl.json, "print JSON", NULL},
 		{"wait", 'w', 0, G_OPTION_ARG_NONE, &ctl.wait,
 		 "return when the change is in force on every live host", NULL},
-		{"wait-ms", 0, 0, G_OPTION_ARG_INT, &ctl.wait_ms, "longest wait", "MS"},
+		{"wait-ms", 0, 0, G_OPTION_ARG_INT, &ctl.wait_ms,
+		 "longest time to wait for a revision, in milliseconds", "MS"},
 		{"expect", 'e', 0, G_OPTION_ARG_INT64, &ctl.expect,
 		 "reject the change unless this revision is in force", "N"},
 		{"version", 'V', 0, G_OPTION_ARG_NONE, &version, "print the version", NULL},
@@ -529,7 +551,7 @@
 	};
 	GOptionContext *context = g_option_context_new("COMMAND [ARGUMENT...]");
 	GError *error = NULL;
-	char *summary = ctl_summary();
+	char *summary = ctl_help_summary();
 	int status;
 
 	g_option_context_set_summary(context, summary);
@@ -556,7 +578,7 @@
 		fputs("bgctl: --control or BRONZEGAUGE_CONTROL is missing\n", stderr);
 		return CTL_USAGE;
 	}
-	status = ctl_run(&ctl, argc - 1, argv + 1);
+	status = ctl_run_command(&ctl, argc - 1, argv + 1);
 	g_free(ctl.control);
 	g_free(ctl.token);
 	g_free(ctl.file);
--- a/prog/ctl.h
+++ b/prog/ctl.h
@@ -5,48 +5,72 @@
 #include <jansson.h>
 
 /* bgctl: the operators' command line. */
+
+/* Exit statuses of bgctl. */
 enum ctl_exit {
 	CTL_OK = 0,
-	CTL_FAILED = 1,	  /* could not be done, or not be reached */
-	CTL_USAGE = 2,	  /* wrong command line, or wrong input */
-	CTL_REJECTED = 3, /* the change was rejected */
-	CTL_UNKNOWN = 4	  /* whether the change was accepted is not known */
+	CTL_FAILED = 1,	  /* the command failed, or a daemon could not be reached */
+	CTL_USAGE = 2,	  /* invalid command line or invalid input */
+	CTL_REJECTED = 3, /* the control daemon rejected the change */
+	CTL_UNKNOWN = 4	  /* it is not known whether the change was accepted */
 };
 
+/* Options of the command line. */
 struct ctl {
-	char *control; /* address of a control daemon's operators' port */
-	char *token;
-	gboolean json;
-	gboolean wait;
-	gint64 expect;
-	gint wait_ms;
-	char *file;
+	char *control; /* IP:PORT of a control daemon's operators' port, or of bgrouterd metrics */
+	char *token;   /* operator's bearer token; NULL: none */
+	gboolean json; /* print JSON instead of a table */
+	gboolean wait; /* after a change, wait until it is in force on every live host */
+	gint64 expect; /* revision that a change requires to be in force; -1: any */
+	gint wait_ms;  /* longest wait for a revision, in milliseconds */
+	char *file;    /* path of a file with the statements of "do"; NULL: none */
 };
 
-/* Collects an answer's body in a GString; for CURLOPT_WRITEFUNCTION. */
-size_t ctl_on_body(char *data, size_t size, size_t n, void *ctx);
+/* Appends a part of a response body to the GString ctx; for CURLOPT_WRITEFUNCTION. */
+size_t ctl_append_body(char *data, size_t size, size_t n, void *ctx);
 
-/* One call to a control daemon. Returns the status, or 0; *body must be released. */
+/*
+ * Makes one HTTP call to the daemon at addr, with the JSON body send (NULL: none), whose reference
+ * it takes over. Returns the HTTP status, or 0 if there was no response. *body is the response as
+ * JSON, or NULL; the caller releases it.
+ */
 long ctl_call(const struct ctl *ctl, const char *addr, const char *method, const char *path,
 	      json_t *send, json_t **body);
 
-/* Prints what went wrong in a call and returns the exit status. */
-int ctl_fail(const char *what, long status, json_t *body);
+/*
+ * Prints why a call failed, from its HTTP status and response body, and releases the body. Returns
+ * CTL_FAILED.
+ */
+int ctl_report_failure(const char *operation, long status, json_t *body);
 
-int ctl_show(const struct ctl *ctl, const char *what);
+/* Prints a view of the deployment, such as "hosts" or "accounts". Returns the exit status. */
+int ctl_show(const struct ctl *ctl, const char *view_name);
 
-/* What a bgrouterd believes; what: a table, NULL: the single values. */
-int ctl_state(const struct ctl *ctl, const char *what);
+/*
+ * Prints the state of one bgrouterd: the table of that name, or the single values if the name is
+ * NULL. Returns the exit status.
+ */
+int ctl_state(const struct ctl *ctl, const char *table_name);
 
-/* Clears a request that is in quarantine; content: its digest. */
+/* Removes a request from quarantine; content is the request's digest. Returns the exit status. */
 int ctl_clear(const struct ctl *ctl, const char *content);
 
-/* The story of a request from logs; files: number of paths, 0: standard input. */
+/*
+ * Prints the log lines of the request with this id, and why it ended. files is the number of paths
+ * of logs; if it is 0, standard input is read. Returns the exit status.
+ */
 int ctl_explain(const char *id, int files, char **paths);
 
-/* Which hosts run which configuration and settings; argv: metrics addresses, or logs. */
+/*
+ * Prints which hosts run which configuration and settings. argv holds metrics addresses of
+ * bgrouterds, paths of logs, or both. Returns the exit status.
+ */
 int ctl_spread(const struct ctl *ctl, int argc, char **argv);
 
-int ctl_change(const struct ctl *ctl, const char *statements, gint64 expect);
+/*
+ * Sends statements as one change of the configuration, which is rejected unless revision expect is
+ * in force (-1: any). Prints the outcome and returns the exit status.
+ */
+int ctl_send_change(const struct ctl *ctl, const char *statements, gint64 expect);
 
 #endif
--- a/prog/ctl_explain.c
+++ b/prog/ctl_explain.c
@@ -6,17 +6,17 @@
 #include <string.h>
 
 /*
- * "bgctl explain ID": the story of one request from the structured logs of all hosts, in order of
- * time, and its cause in one sentence. It reads files or standard input and calls nobody.
+ * "bgctl explain ID": prints the log lines of one request from the structured logs of all hosts, in
+ * order of time, and one sentence on why it ended. Reads files or standard input and calls no host.
  */
 struct explain {
-	const char *id;
-	GPtrArray *lines; /* json_t, those of the request */
-	size_t skipped;	  /* lines that are no JSON */
+	const char *id;	       /* id of the request */
+	GPtrArray *lines;      /* json_t, log lines of the request */
+	size_t non_json_lines; /* number of log lines that are not JSON */
 };
 
-/* Members that every line has, or that are shown in another way. */
-static const char *const explain_plain[] = {"t", "up", "host", "event", "id"};
+/* Members of a log line that are not printed as NAME=VALUE. */
+static const char *const explain_hidden_members[] = {"t", "up", "host", "event", "id"};
 
 static const struct {
 	const char *cause;
@@ -27,60 +27,64 @@
 			"holds every layer. See 'place' lines and the endpoint list of that time."},
 	{"rejected",
 	 "Refused, not run: the endpoints it was sent to said that they did not run it."},
-	{"unreached", "Refused, not run: no connection to an endpoint came about."},
-	{"broken", "It may have run: the endpoint's answer broke off or was not an answer to it."},
+	{"unreached", "Refused, not run: no connection to an endpoint could be made."},
+	{"broken",
+	 "It may have run: the endpoint's answer was incomplete or was not an answer to it."},
 	{"silent", "It may have run: the endpoint sent nothing for too long."},
-	{"deadline", "Its time was over, the caller's or that of the route."},
-	{"caller_gone", "The caller left before the end."},
+	{"deadline", "The caller's deadline or the route's timeout passed."},
+	{"caller_gone", "The caller disconnected before the end."},
 	{"budget",
-	 "It failed at an endpoint and was not sent again: the budget of repeats was spent."},
-	{"endpoint_failed", "The endpoint's own failure was handed on."},
-	{"full", "Refused, not run: no room."},
+	 "It failed at an endpoint and was not sent again: the retry budget was used up."},
+	{"endpoint_failed", "The endpoint's error response was passed on to the caller."},
+	{"full", "Refused, not run: there was no room for the request."},
 	{"no_configuration", "Refused, not run: the host had no configuration yet."},
 	{"no_route", "Refused, not run: no route of the configuration matches host and path."},
-	{"unknown_key", "Refused, not run: no client account of the configuration holds the key."},
-	{"no_service", "Refused, not run: its route names no service that exists."},
-	{"overload", "Refused, not run: it would have begun too late; see the 'overload' line."},
+	{"unknown_key", "Refused, not run: no client account of the configuration has the key."},
+	{"no_service", "Refused, not run: its route names a service that does not exist."},
+	{"overload", "Refused, not run: it would have started too late; see the 'overload' line."},
 	{"crashes_endpoints",
-	 "It is in quarantine: endpoints ended while they ran a request with its 'content'; see "
-	 "the 'quarantined' line."},
+	 "It is in quarantine: endpoints crashed while they ran a request with the same "
+	 "'content'; see the 'quarantined' line."},
 	{"limited",
-	 "Refused, not run: all endpoints for it have named limits, and nothing was left of them; "
+	 "Refused, not run: all endpoints for it have announced limits, which were used up; "
 	 "see the 'limit_refused' line and 'limit_named' lines of that time."},
-	{"resting", "Refused, not run: all endpoints for it had asked this host for rest; see its "
-		    "'rest_refused' line and 'rest_asked' lines of that host before."},
-	{"stopping", "Refused, not run: the host was about to stop and could not have ended it."},
+	{"resting",
+	 "Refused, not run: all endpoints for it had asked this host to send nothing for a while; "
+	 "see its 'rest_refused' line and 'rest_asked' lines of that host before."},
+	{"stopping",
+	 "Refused, not run: the host was about to stop and could not have completed it."},
 };
 
-static bool explain_is_plain(const char *name)
+static bool explain_is_hidden(const char *name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(explain_plain); i++) {
-		if (strcmp(name, explain_plain[i]) == 0)
+	for (size_t i = 0; i < G_N_ELEMENTS(explain_hidden_members); i++) {
+		if (strcmp(name, explain_hidden_members[i]) == 0)
 			return true;
 	}
 	return false;
 }
 
-static void explain_take(struct explain *explain, const char *line)
+/* Adds a line of a log if it is one of the request; text before the first "{" is skipped. */
+static void explain_add_line(struct explain *explain, const char *line)
 {
 	const char *object = strchr(line, '{');
 	json_t *json = object ? json_loads(object, JSON_DISABLE_EOF_CHECK, NULL) : NULL;
 	const char *id = json_string_value(json_object_get(json, "id"));
 
 	if (!json)
-		explain->skipped++;
+		explain->non_json_lines++;
 	if (id && strcmp(id, explain->id) == 0)
 		g_ptr_array_add(explain->lines, json_incref(json));
 	json_decref(json);
 }
 
-static void explain_read(struct explain *explain, FILE *file)
+static void explain_read_file(struct explain *explain, FILE *file)
 {
 	char *line = NULL;
 	size_t size = 0;
 
 	while (getline(&line, &size, file) >= 0)
-		explain_take(explain, line);
+		explain_add_line(explain, line);
 	free(line);
 }
 
@@ -92,20 +96,21 @@
 	return ta < tb ? -1 : (ta > tb ? 1 : 0);
 }
 
-static void explain_print(const json_t *line, double began)
+/* Prints a line with its time after start_s, the Unix time of the first line, in seconds. */
+static void explain_print_line(const json_t *line, double start_s)
 {
 	const char *event = json_string_value(json_object_get(line, "event"));
 	const char *host = json_string_value(json_object_get(line, "host"));
 	const char *name;
 	json_t *value;
 
-	printf("%+9.3f s  %-20s %-16s", json_number_value(json_object_get(line, "t")) - began,
+	printf("%+9.3f s  %-20s %-16s", json_number_value(json_object_get(line, "t")) - start_s,
 	       host ? host : "-", event ? event : "-");
 	json_object_foreach((json_t *)line, name, value)
 	{
 		char *text;
 
-		if (explain_is_plain(name))
+		if (explain_is_hidden(name))
 			continue;
 		text = json_dumps(value, JSON_ENCODE_ANY);
 		printf(" %s=%s", name, text);
@@ -114,17 +119,17 @@
 	printf("\n");
 }
 
-static const char *explain_sentence(const char *cause)
+static const char *explain_cause_text(const char *cause)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(explain_causes); i++) {
 		if (cause && strcmp(cause, explain_causes[i].cause) == 0)
 			return explain_causes[i].sentence;
 	}
-	return "No line tells how it ended: the host may have been killed, or its log is missing.";
+	return "No log line states how it ended: the host may have been killed, or its log is missing.";
 }
 
-/* The cause stands in the last line that ends the request. */
-static const char *explain_cause(const struct explain *explain)
+/* Returns the cause from the last line that ends the request; NULL if there is none. */
+static const char *explain_find_cause(const struct explain *explain)
 {
 	const char *cause = NULL;
 
@@ -142,18 +147,19 @@
 
 static int explain_report(const struct explain *explain)
 {
-	double began;
+	double start_s;
 
 	if (explain->lines->len == 0) {
-		fprintf(stderr, "bgctl: explain: no line names %s (%zu lines were no JSON)\n",
-			explain->id, explain->skipped);
+		fprintf(stderr,
+			"bgctl: explain: no log line has the id %s (%zu lines are not JSON)\n",
+			explain->id, explain->non_json_lines);
 		return CTL_FAILED;
 	}
 	g_ptr_array_sort(explain->lines, explain_by_time);
-	began = json_number_value(json_object_get(explain->lines->pdata[0], "t"));
+	start_s = json_number_value(json_object_get(explain->lines->pdata[0], "t"));
 	for (guint i = 0; i < explain->lines->len; i++)
-		explain_print(explain->lines->pdata[i], began);
-	printf("cause: %s\n", explain_sentence(explain_cause(explain)));
+		explain_print_line(explain->lines->pdata[i], start_s);
+	printf("cause: %s\n", explain_cause_text(explain_find_cause(explain)));
 	return CTL_OK;
 }
 
@@ -170,12 +176,12 @@
 			fprintf(stderr, "bgctl: explain: %s: cannot be read\n", paths[i]);
 			result = CTL_USAGE;
 		} else {
-			explain_read(&explain, file);
+			explain_read_file(&explain, file);
 			fclose(file);
 		}
 	}
 	if (files == 0)
-		explain_read(&explain, stdin);
+		explain_read_file(&explain, stdin);
 	if (result == CTL_OK)
 		result = explain_report(&explain);
 	g_ptr_array_unref(explain.lines);
--- a/prog/ctl_gather.c
+++ b/prog/ctl_gather.c
@@ -5,41 +5,41 @@
 #include <string.h>
 
 /*
- * What hosts say of themselves: from their metrics addresses, all asked at once, or from their
- * logs. Both end in rows of one kind.
+ * Collects the observations for "bgctl spread": from the metrics addresses of hosts, which are all
+ * queried in parallel, or from their logs. Both give rows of the same type.
  */
 enum {
-	GATHER_CALL_MS = 1500, /* a host that lives answers within some ms */
-	GATHER_POLL_MS = 100,
+	GATHER_CALL_TIMEOUT_MS = 1500, /* a working host responds within some milliseconds */
+	GATHER_POLL_INTERVAL_MS = 100,
 	HTTP_OK = 200
 };
 
-/* One host that is asked. */
+/* One HTTP call to a host. */
 struct gather_call {
-	const char *addr;
-	GString *body;
+	const char *addr; /* metrics address (IP:PORT) */
+	GString *body;	  /* response received so far */
 	CURL *easy;
 };
 
-static void gather_row(struct spread *spread, const char *host, enum spread_kind kind,
-		       const json_t *from, gint64 since_ms)
+static void gather_add_row(struct spread *spread, const char *host, enum spread_kind kind,
+			   const json_t *from, gint64 since_ms)
 {
 	struct spread_row row = {.kind = kind, .since_ms = since_ms};
 
 	row.host = g_strdup(host);
 	row.version = json_integer_value(json_object_get(from, "version"));
 	row.digest = g_strdup(json_string_value(json_object_get(from, "digest")));
-	row.by = g_strdup(json_string_value(json_object_get(from, "by")));
+	row.source = g_strdup(json_string_value(json_object_get(from, "by")));
 	g_array_append_val(spread->rows, row);
 }
 
-static void gather_silent(struct spread *spread, const char *what, const char *why)
+static void gather_add_unreachable(struct spread *spread, const char *addr, const char *reason)
 {
-	g_ptr_array_add(spread->silent, g_strdup_printf("%s (%s)", what, why));
+	g_ptr_array_add(spread->unreachable, g_strdup_printf("%s (%s)", addr, reason));
 }
 
-/* The answer of one host. */
-static void gather_state(struct spread *spread, const char *addr, const GString *body)
+/* Adds the observations in the response of one host to GET /state. */
+static void gather_parse_state(struct spread *spread, const char *addr, const GString *body)
 {
 	json_t *json = json_loadb(body->str, body->len, 0, NULL);
 	const json_t *runs = json_object_get(json, "runs");
@@ -49,20 +49,20 @@
 	const json_t *settings = json_object_get(runs, "settings");
 
 	if (!host || !conf || !settings) {
-		gather_silent(spread, addr, "its answer is not that of a bgrouterd");
+		gather_add_unreachable(spread, addr, "its answer is not that of a bgrouterd");
 		json_decref(json);
 		return;
 	}
-	gather_row(spread, host, SPREAD_CONF, conf,
-		   json_integer_value(json_object_get(conf, "since_ms")));
-	gather_row(spread, host, SPREAD_SETTINGS, settings,
-		   json_integer_value(json_object_get(settings, "since_ms")));
+	gather_add_row(spread, host, SPREAD_CONF, conf,
+		       json_integer_value(json_object_get(conf, "since_ms")));
+	gather_add_row(spread, host, SPREAD_SETTINGS, settings,
+		       json_integer_value(json_object_get(settings, "since_ms")));
 	if (waiting && *waiting)
-		g_ptr_array_add(spread->waiting, g_strdup_printf("%s (%s)", host, waiting));
+		g_ptr_array_add(spread->restart_pending, g_strdup_printf("%s (%s)", host, waiting));
 	json_decref(json);
 }
 
-static void gather_begin(CURLM *multi, struct gather_call *call)
+static void gather_start_call(CURLM *multi, struct gather_call *call)
 {
 	char *url = g_strdup_printf("http://%s/state", call->addr);
 
@@ -70,28 +70,28 @@
 	call->easy = curl_easy_init();
 	curl_easy_setopt(call->easy, CURLOPT_URL, url);
 	curl_easy_setopt(call->easy, CURLOPT_NOPROXY, "*");
-	curl_easy_setopt(call->easy, CURLOPT_TIMEOUT_MS, (long)GATHER_CALL_MS);
-	curl_easy_setopt(call->easy, CURLOPT_WRITEFUNCTION, ctl_on_body);
+	curl_easy_setopt(call->easy, CURLOPT_TIMEOUT_MS, (long)GATHER_CALL_TIMEOUT_MS);
+	curl_easy_setopt(call->easy, CURLOPT_WRITEFUNCTION, ctl_append_body);
 	curl_easy_setopt(call->easy, CURLOPT_WRITEDATA, call->body);
 	curl_multi_add_handle(multi, call->easy);
 	g_free(url);
 }
 
-static void gather_end(struct spread *spread, CURLM *multi, struct gather_call *call)
+static void gather_finish_call(struct spread *spread, CURLM *multi, struct gather_call *call)
 {
 	long status = 0;
 
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (status == HTTP_OK)
-		gather_state(spread, call->addr, call->body);
+		gather_parse_state(spread, call->addr, call->body);
 	else
-		gather_silent(spread, call->addr, status == 0 ? "no answer" : "refused");
+		gather_add_unreachable(spread, call->addr, status == 0 ? "no answer" : "refused");
 	curl_multi_remove_handle(multi, call->easy);
 	curl_easy_cleanup(call->easy);
 	g_string_free(call->body, TRUE);
 }
 
-void gather_hosts(struct spread *spread, int n, char **addrs)
+void gather_from_hosts(struct spread *spread, int n, char **addrs)
 {
 	struct gather_call *calls = g_new0(struct gather_call, n);
 	CURLM *multi = curl_multi_init();
@@ -99,19 +99,20 @@
 
 	for (int i = 0; i < n; i++) {
 		calls[i].addr = addrs[i];
-		gather_begin(multi, &calls[i]);
+		gather_start_call(multi, &calls[i]);
 	}
 	while (running > 0 && curl_multi_perform(multi, &running) == CURLM_OK && running > 0)
-		curl_multi_poll(multi, NULL, 0, GATHER_POLL_MS, NULL);
+		curl_multi_poll(multi, NULL, 0, GATHER_POLL_INTERVAL_MS, NULL);
 	for (int i = 0; i < n; i++)
-		gather_end(spread, multi, &calls[i]);
+		gather_finish_call(spread, multi, &calls[i]);
 	curl_multi_cleanup(multi);
 	g_free(calls);
 }
 
 /*
- * Lines on what a host decides on a request, at that moment. A request that is sent again keeps the
- * configuration that it was let in by.
+ * Returns whether a log line records the decision of a host to send on or to deny a request under
+ * the configuration in force. Later attempts don't count: a request keeps the configuration under
+ * which it was admitted.
  */
 static bool gather_is_decision(const char *event, const json_t *line)
 {
@@ -122,8 +123,11 @@
 	return strcmp(event, "denied") == 0;
 }
 
-/* A line that tells of a configuration or of settings; both name them in their own way. */
-static void gather_line(struct spread *spread, const json_t *line)
+/*
+ * Adds the observation in a log line, if there is one. Lines on configurations and on settings have
+ * different members for digest and source.
+ */
+static void gather_add_log_line(struct spread *spread, const json_t *line)
 {
 	const char *event = json_string_value(json_object_get(line, "event"));
 	const char *host = json_string_value(json_object_get(line, "host"));
@@ -136,19 +140,19 @@
 		row = json_pack("{s:O, s:O?, s:O?}", "version", json_object_get(line, "version"),
 				"digest", json_object_get(line, "digest"), "by",
 				json_object_get(line, "from"));
-		gather_row(spread, host, SPREAD_CONF, row, at_ms);
+		gather_add_row(spread, host, SPREAD_CONF, row, at_ms);
 		json_decref(row);
 	} else if (strcmp(event, "start") == 0 || strcmp(event, "reload") == 0) {
 		row = json_pack("{s:O?, s:O?}", "digest", json_object_get(line, "settings"), "by",
 				json_object_get(line, "by"));
-		gather_row(spread, host, SPREAD_SETTINGS, row, at_ms);
+		gather_add_row(spread, host, SPREAD_SETTINGS, row, at_ms);
 		json_decref(row);
 	} else if (gather_is_decision(event, line)) {
-		gather_row(spread, host, SPREAD_ANSWER, line, at_ms);
+		gather_add_row(spread, host, SPREAD_DECISION, line, at_ms);
 	}
 }
 
-int gather_log(struct spread *spread, const char *path)
+int gather_from_log(struct spread *spread, const char *path)
 {
 	FILE *file = fopen(path, "r");
 	char *text = NULL;
@@ -163,9 +167,9 @@
 		json_t *line = json_loadb(text, (size_t)len, 0, NULL);
 
 		if (line)
-			gather_line(spread, line);
+			gather_add_log_line(spread, line);
 		else
-			spread->unreadable++;
+			spread->non_json_lines++;
 		json_decref(line);
 	}
 	free(text);
--- a/prog/ctl_show.c
+++ b/prog/ctl_show.c
@@ -5,15 +5,16 @@
 #include <string.h>
 
 /*
- * What 'bgctl show' prints. Pools are known at their homes only, so every host is asked and what
- * they say is put together.
+ * "bgctl show". The state of a pool is known to its home only, so every host is queried and the
+ * responses are merged.
  */
+/* Prints a table of the merged responses. */
 typedef void (*ctl_print_fn)(json_t *list);
 
 struct ctl_view {
-	const char *name;
-	const char *path;
-	const char *member; /* list to be put together over all hosts; NULL: the answer itself */
+	const char *name;   /* argument of "bgctl show" */
+	const char *path;   /* HTTP path of a control daemon */
+	const char *member; /* array in each response that is merged; NULL: the whole response */
 	ctl_print_fn print;
 };
 
@@ -36,19 +37,19 @@
 	{"config", "/v1/config", NULL, ctl_print_config},
 };
 
-static const char *ctl_text(const json_t *json, const char *key)
+static const char *ctl_member_text(const json_t *json, const char *key)
 {
 	const char *text = json_string_value(json_object_get(json, key));
 
 	return text ? text : "";
 }
 
-static long long ctl_int(const json_t *json, const char *key)
+static long long ctl_member_int(const json_t *json, const char *key)
 {
 	return (long long)json_integer_value(json_object_get(json, key));
 }
 
-static const char *ctl_bool(const json_t *json, const char *key)
+static const char *ctl_member_yes_no(const json_t *json, const char *key)
 {
 	return json_is_true(json_object_get(json, key)) ? "yes" : "no";
 }
@@ -62,9 +63,10 @@
 	       "ENTRIES");
 	json_array_foreach(list, i, s)
 	{
-		printf("%-12s %-6s %-7s %9lld %9lld %8lld\n", ctl_text(s, "host"),
-		       ctl_bool(s, "ready"), ctl_bool(s, "log_ok"), ctl_int(s, "revision"),
-		       ctl_int(s, "in_force"), ctl_int(s, "entries"));
+		printf("%-12s %-6s %-7s %9lld %9lld %8lld\n", ctl_member_text(s, "host"),
+		       ctl_member_yes_no(s, "ready"), ctl_member_yes_no(s, "log_ok"),
+		       ctl_member_int(s, "revision"), ctl_member_int(s, "in_force"),
+		       ctl_member_int(s, "entries"));
 	}
 }
 
@@ -77,8 +79,9 @@
 	printf("%-12s %-12s %-8s %-10s %s\n", "HOST", "ZONE", "LEAVING", "SUSPECTED", "OPERATORS");
 	json_array_foreach(hosts, i, h)
 	{
-		printf("%-12s %-12s %-8s %-10s %s\n", ctl_text(h, "name"), ctl_text(h, "zone"),
-		       ctl_bool(h, "leaving"), ctl_bool(h, "suspected"), ctl_text(h, "operators"));
+		printf("%-12s %-12s %-8s %-10s %s\n", ctl_member_text(h, "name"),
+		       ctl_member_text(h, "zone"), ctl_member_yes_no(h, "leaving"),
+		       ctl_member_yes_no(h, "suspected"), ctl_member_text(h, "operators"));
 	}
 }
 
@@ -97,13 +100,13 @@
 		{
 			char layers[32];
 
-			g_snprintf(layers, sizeof(layers), "%lld-%lld", ctl_int(e, "first"),
-				   ctl_int(e, "last"));
+			g_snprintf(layers, sizeof(layers), "%lld-%lld", ctl_member_int(e, "first"),
+				   ctl_member_int(e, "last"));
 			printf("%-12s %-12s %-9s %-9s %-9s %10lld %6lld %9lld\n",
-			       ctl_text(pool, "pool"), ctl_text(e, "endpoint"),
-			       ctl_text(e, "version"), layers, ctl_text(e, "state"),
-			       ctl_int(e, "in_flight"), ctl_int(e, "slots"),
-			       ctl_int(e, "reported"));
+			       ctl_member_text(pool, "pool"), ctl_member_text(e, "endpoint"),
+			       ctl_member_text(e, "version"), layers, ctl_member_text(e, "state"),
+			       ctl_member_int(e, "in_flight"), ctl_member_int(e, "slots"),
+			       ctl_member_int(e, "reported"));
 		}
 	}
 }
@@ -121,9 +124,10 @@
 	{
 		json_array_foreach(json_object_get(pool, "accounts"), j, a)
 		{
-			printf("%-12s %-16s %6lld %8lld %10lld %12lld\n", ctl_text(pool, "pool"),
-			       ctl_text(a, "account"), ctl_int(a, "share"), ctl_int(a, "waiting"),
-			       ctl_int(a, "in_flight"), ctl_int(a, "tokens"));
+			printf("%-12s %-16s %6lld %8lld %10lld %12lld\n",
+			       ctl_member_text(pool, "pool"), ctl_member_text(a, "account"),
+			       ctl_member_int(a, "share"), ctl_member_int(a, "waiting"),
+			       ctl_member_int(a, "in_flight"), ctl_member_int(a, "tokens"));
 		}
 	}
 }
@@ -137,9 +141,9 @@
 	       "BOUND-TOKENS/S");
 	json_array_foreach(list, i, pool)
 	{
-		printf("%-12s %-12s %-12s %9lld %14lld\n", ctl_text(pool, "pool"),
-		       ctl_text(pool, "model"), ctl_text(pool, "home"), ctl_int(pool, "pipelines"),
-		       ctl_int(pool, "bound"));
+		printf("%-12s %-12s %-12s %9lld %14lld\n", ctl_member_text(pool, "pool"),
+		       ctl_member_text(pool, "model"), ctl_member_text(pool, "home"),
+		       ctl_member_int(pool, "pipelines"), ctl_member_int(pool, "bound"));
 	}
 }
 
@@ -152,13 +156,13 @@
 	       "BYTES-SENT", "BYTES-RECEIVED");
 	json_array_foreach(list, i, c)
 	{
-		printf("%-12s %10lld %10lld %12lld %14lld %14lld\n", ctl_text(c, "host"),
-		       ctl_int(c, "up_us") / 1000000, ctl_int(c, "cpu_us") / 1000,
-		       ctl_int(c, "resident_kb"),
-		       ctl_int(c, "bg_frame_bytes_sent_total") +
-			       ctl_int(c, "bg_http_bytes_sent_total"),
-		       ctl_int(c, "bg_frame_bytes_received_total") +
-			       ctl_int(c, "bg_http_bytes_received_total"));
+		printf("%-12s %10lld %10lld %12lld %14lld %14lld\n", ctl_member_text(c, "host"),
+		       ctl_member_int(c, "up_us") / 1000000, ctl_member_int(c, "cpu_us") / 1000,
+		       ctl_member_int(c, "resident_kb"),
+		       ctl_member_int(c, "bg_frame_bytes_sent_total") +
+			       ctl_member_int(c, "bg_http_bytes_sent_total"),
+		       ctl_member_int(c, "bg_frame_bytes_received_total") +
+			       ctl_member_int(c, "bg_http_bytes_received_total"));
 	}
 }
 
@@ -166,10 +170,11 @@
 {
 	const json_t *config = json_array_get(list, 0);
 
-	printf("# revision %lld\n%s", ctl_int(config, "revision"), ctl_text(config, "text"));
+	printf("# revision %lld\n%s", ctl_member_int(config, "revision"),
+	       ctl_member_text(config, "text"));
 }
 
-static const struct ctl_view *ctl_view(const char *name)
+static const struct ctl_view *ctl_find_view(const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(ctl_views); i++) {
 		if (strcmp(ctl_views[i].name, name) == 0)
@@ -178,8 +183,11 @@
 	return NULL;
 }
 
-/* Asks every live host; one that does not answer is told of and left out. */
-static json_t *ctl_gather(const struct ctl *ctl, const struct ctl_view *view, json_t *hosts)
+/*
+ * Queries every listed host and merges the responses. Prints an error for a host without a valid
+ * response and leaves it out.
+ */
+static json_t *ctl_query_hosts(const struct ctl *ctl, const struct ctl_view *view, json_t *hosts)
 {
 	json_t *all = json_array();
 	size_t i;
@@ -188,12 +196,12 @@
 	json_array_foreach(hosts, i, host)
 	{
 		json_t *body;
-		long status =
-			ctl_call(ctl, ctl_text(host, "operators"), "GET", view->path, NULL, &body);
+		long status = ctl_call(ctl, ctl_member_text(host, "operators"), "GET", view->path,
+				       NULL, &body);
 
 		if (status != 200) {
-			fprintf(stderr, "bgctl: %s does not answer (status %ld)\n",
-				ctl_text(host, "name"), status);
+			fprintf(stderr, "bgctl: %s: no valid response (status %ld)\n",
+				ctl_member_text(host, "name"), status);
 			json_decref(body);
 			continue;
 		}
@@ -206,22 +214,24 @@
 	return all;
 }
 
-int ctl_show(const struct ctl *ctl, const char *what)
+int ctl_show(const struct ctl *ctl, const char *view_name)
 {
-	const struct ctl_view *view = ctl_view(what);
-	gboolean one = strcmp(what, "hosts") == 0 || strcmp(what, "config") == 0;
+	const struct ctl_view *view = ctl_find_view(view_name);
+	gboolean single_call = strcmp(view_name, "hosts") == 0 || strcmp(view_name, "config") == 0;
 	json_t *body;
 	json_t *list;
 	long status;
 
 	if (!view) {
-		fprintf(stderr, "bgctl: show what? '%s' is not known\n", what);
+		fprintf(stderr, "bgctl: show: unknown view '%s'\n", view_name);
 		return CTL_USAGE;
 	}
-	status = ctl_call(ctl, ctl->control, "GET", one ? view->path : "/v1/hosts", NULL, &body);
+	status = ctl_call(ctl, ctl->control, "GET", single_call ? view->path : "/v1/hosts", NULL,
+			  &body);
 	if (status != 200)
-		return ctl_fail(what, status, body);
-	list = one ? json_pack("[O]", body) : ctl_gather(ctl, view, json_object_get(body, "hosts"));
+		return ctl_report_failure(view_name, status, body);
+	list = single_call ? json_pack("[O]", body)
+			   : ctl_query_hosts(ctl, view, json_object_get(body, "hosts"));
 	if (ctl->json) {
 		json_dumpf(list, stdout, JSON_INDENT(2));
 		putchar('\n');
--- a/prog/ctl_spread.c
+++ b/prog/ctl_spread.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 enum {
-	SPREAD_SHOWN = 20 /* hosts of a list that are printed */
+	SPREAD_MAX_PRINTED = 20 /* largest number of hosts printed of one list */
 };
 
-/* All hosts that had one version, by the time at which they first had it. */
+/* One version of the configuration, with the hosts on which it came into force. */
 struct spread_version {
 	gint64 version;
-	GPtrArray *rows; /* struct spread_row */
+	GPtrArray *rows; /* struct spread_row, the first of each host, in order of time */
 };
 
 static void spread_row_clear(gpointer data)
@@ -19,7 +19,7 @@
 
 	g_free(row->host);
 	g_free(row->digest);
-	g_free(row->by);
+	g_free(row->source);
 }
 
 void spread_init(struct spread *spread)
@@ -27,18 +27,18 @@
 	memset(spread, 0, sizeof(*spread));
 	spread->rows = g_array_new(FALSE, TRUE, sizeof(struct spread_row));
 	g_array_set_clear_func(spread->rows, spread_row_clear);
-	spread->silent = g_ptr_array_new_with_free_func(g_free);
-	spread->waiting = g_ptr_array_new_with_free_func(g_free);
+	spread->unreachable = g_ptr_array_new_with_free_func(g_free);
+	spread->restart_pending = g_ptr_array_new_with_free_func(g_free);
 }
 
 void spread_finish(struct spread *spread)
 {
 	g_array_unref(spread->rows);
-	g_ptr_array_unref(spread->silent);
-	g_ptr_array_unref(spread->waiting);
+	g_ptr_array_unref(spread->unreachable);
+	g_ptr_array_unref(spread->restart_pending);
 }
 
-static const char *spread_digest(const struct spread_row *row)
+static const char *spread_digest_text(const struct spread_row *row)
 {
 	return row->digest ? row->digest : "not told";
 }
@@ -54,8 +54,8 @@
 	return hosts;
 }
 
-/* The rows of a kind in order of time; they still belong to the spread. */
-static GPtrArray *spread_rows(const struct spread *spread, enum spread_kind kind)
+/* Returns the rows of one kind in order of time; the spread keeps ownership of the rows. */
+static GPtrArray *spread_rows_of_kind(const struct spread *spread, enum spread_kind kind)
 {
 	GPtrArray *rows = g_ptr_array_new();
 
@@ -77,7 +77,8 @@
 	g_free(version);
 }
 
-static struct spread_version *spread_version_of(GPtrArray *versions, gint64 number)
+/* Returns the version with this number, which is added if it is not there yet. */
+static struct spread_version *spread_get_version(GPtrArray *versions, gint64 number)
 {
 	struct spread_version *version;
 
@@ -110,14 +111,14 @@
 	return va->version < vb->version ? -1 : va->version > vb->version;
 }
 
-/* Versions, oldest first, each with the hosts that ever had it. */
+/* Returns the versions in ascending order, each with all hosts that ever had it in force. */
 static GPtrArray *spread_versions(const GPtrArray *rows)
 {
 	GPtrArray *versions = g_ptr_array_new_with_free_func(spread_version_free);
 
 	for (guint i = 0; i < rows->len; i++) {
 		struct spread_row *row = rows->pdata[i];
-		struct spread_version *version = spread_version_of(versions, row->version);
+		struct spread_version *version = spread_get_version(versions, row->version);
 
 		if (!spread_has_host(version->rows, row->host))
 			g_ptr_array_add(version->rows, row);
@@ -126,6 +127,7 @@
 	return versions;
 }
 
+/* Returns when a version came into force on the first, the middle and the last host. */
 static json_t *spread_version_json(const struct spread_version *version)
 {
 	const struct spread_row *first = version->rows->pdata[0];
@@ -137,7 +139,7 @@
 	for (guint i = 0; i < version->rows->len; i++) {
 		const struct spread_row *row = version->rows->pdata[i];
 
-		json_object_set_new(digests, spread_digest(row), json_true());
+		json_object_set_new(digests, spread_digest_text(row), json_true());
 	}
 	different = (int)json_object_size(digests);
 	json_decref(digests);
@@ -146,32 +148,32 @@
 			 different, "first_ms", (json_int_t)first->since_ms, "first", first->host,
 			 "middle_after_ms", (json_int_t)(middle->since_ms - first->since_ms),
 			 "last_after_ms", (json_int_t)(last->since_ms - first->since_ms), "last",
-			 last->host, "by", last->by);
+			 last->host, "by", last->source);
 }
 
-/* The newest row of each host; rows are in order of time. */
-static GHashTable *spread_now(const GPtrArray *rows)
+/* Returns the latest row of each host, by host name; rows are in order of time. */
+static GHashTable *spread_latest_rows(const GPtrArray *rows)
 {
-	GHashTable *now = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *latest = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (guint i = 0; i < rows->len; i++) {
 		struct spread_row *row = rows->pdata[i];
 
-		g_hash_table_replace(now, row->host, row);
+		g_hash_table_replace(latest, row->host, row);
 	}
-	return now;
+	return latest;
 }
 
-/* Hosts whose newest version is not the newest of all. */
-static json_t *spread_behind(const GPtrArray *rows, const struct spread_version *newest)
+/* Returns the hosts whose latest version is not the newest version of all hosts. */
+static json_t *spread_hosts_behind(const GPtrArray *rows, const struct spread_version *newest)
 {
 	const struct spread_row *first = newest->rows->pdata[0];
-	GHashTable *now = spread_now(rows);
+	GHashTable *latest = spread_latest_rows(rows);
 	json_t *behind = json_array();
-	GList *hosts = g_list_sort(g_hash_table_get_keys(now), (GCompareFunc)strcmp);
+	GList *hosts = g_list_sort(g_hash_table_get_keys(latest), (GCompareFunc)strcmp);
 
 	for (GList *host = hosts; host; host = host->next) {
-		const struct spread_row *row = g_hash_table_lookup(now, host->data);
+		const struct spread_row *row = g_hash_table_lookup(latest, host->data);
 
 		if (row->version == newest->version)
 			continue;
@@ -180,12 +182,12 @@
 							"since_ms", (json_int_t)first->since_ms));
 	}
 	g_list_free(hosts);
-	g_hash_table_destroy(now);
+	g_hash_table_destroy(latest);
 	return behind;
 }
 
-/* The digest that most hosts run. */
-static const char *spread_usual(GHashTable *now)
+/* Returns the digest that most hosts run, the first in alphabetical order if several do. */
+static const char *spread_most_common_digest(GHashTable *latest)
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
 	const char *usual = NULL;
@@ -193,10 +195,10 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, now);
+	g_hash_table_iter_init(&iter, latest);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct spread_row *row = value;
-		const char *digest = spread_digest(row);
+		const char *digest = spread_digest_text(row);
 		guint n = GPOINTER_TO_UINT(g_hash_table_lookup(counts, digest)) + 1;
 
 		g_hash_table_replace(counts, (gpointer)digest, GUINT_TO_POINTER(n));
@@ -209,29 +211,31 @@
 	return usual;
 }
 
-/* Hosts that run other settings than most. */
-static json_t *spread_settings(const GPtrArray *rows)
+/* Returns the most common settings, and the hosts that run others. */
+static json_t *spread_settings_json(const GPtrArray *rows)
 {
-	GHashTable *now = spread_now(rows);
-	const char *usual = spread_usual(now);
-	GList *hosts = g_list_sort(g_hash_table_get_keys(now), (GCompareFunc)strcmp);
+	GHashTable *latest = spread_latest_rows(rows);
+	const char *usual = spread_most_common_digest(latest);
+	GList *hosts = g_list_sort(g_hash_table_get_keys(latest), (GCompareFunc)strcmp);
 	json_t *others = json_array();
 
 	for (GList *host = hosts; host; host = host->next) {
-		const struct spread_row *row = g_hash_table_lookup(now, host->data);
+		const struct spread_row *row = g_hash_table_lookup(latest, host->data);
 
-		if (strcmp(spread_digest(row), usual) == 0)
+		if (strcmp(spread_digest_text(row), usual) == 0)
 			continue;
-		json_array_append_new(others, json_pack("{s:s, s:s?, s:I, s:s?}", "host", row->host,
-							"digest", row->digest, "since_ms",
-							(json_int_t)row->since_ms, "by", row->by));
+		json_array_append_new(others,
+				      json_pack("{s:s, s:s?, s:I, s:s?}", "host", row->host,
+						"digest", row->digest, "since_ms",
+						(json_int_t)row->since_ms, "by", row->source));
 	}
 	g_list_free(hosts);
-	g_hash_table_destroy(now);
+	g_hash_table_destroy(latest);
 	return json_pack("{s:s?, s:o}", "usual", usual, "others", others);
 }
 
-/* When the first host had a version that is newer than that one; 0: none has. */
+/* Returns the time at which a newer version first came into force on any host, as Unix time in
+ * milliseconds; 0 if there is no newer version. */
 static gint64 spread_newer_since(const GPtrArray *versions, gint64 number)
 {
 	gint64 since_ms = 0;
@@ -246,27 +250,29 @@
 	return since_ms;
 }
 
-static const char *spread_text(const json_t *row, const char *member)
+static const char *spread_member_text(const json_t *row, const char *member)
 {
 	const char *text = json_string_value(json_object_get(row, member));
 
 	return text ? text : "-";
 }
 
-static long long spread_number(const json_t *row, const char *member)
+static long long spread_member_int(const json_t *row, const char *member)
 {
 	return json_integer_value(json_object_get(row, member));
 }
 
-/* Requests that were sent on or denied by an older version after a newer one was in force
- * elsewhere, by host. */
-static json_t *spread_old_answers(const GPtrArray *answers, const GPtrArray *versions)
+/*
+ * Returns, for each host, the number of requests that it sent on or denied under a version after a
+ * newer one had come into force on some host, and the longest time after that.
+ */
+static json_t *spread_outdated_decisions(const GPtrArray *decisions, const GPtrArray *versions)
 {
 	GHashTable *hosts = g_hash_table_new(g_str_hash, g_str_equal);
 	json_t *list = json_array();
 
-	for (guint i = 0; i < answers->len; i++) {
-		const struct spread_row *row = answers->pdata[i];
+	for (guint i = 0; i < decisions->len; i++) {
+		const struct spread_row *row = decisions->pdata[i];
 		gint64 newer_ms = spread_newer_since(versions, row->version);
 		json_t *host = g_hash_table_lookup(hosts, row->host);
 		gint64 after_ms = row->since_ms - newer_ms;
@@ -280,15 +286,15 @@
 			g_hash_table_insert(hosts, row->host, host);
 		}
 		json_object_set_new(host, "requests",
-				    json_integer(spread_number(host, "requests") + 1));
-		after_ms = MAX(after_ms, spread_number(host, "latest_after_ms"));
+				    json_integer(spread_member_int(host, "requests") + 1));
+		after_ms = MAX(after_ms, spread_member_int(host, "latest_after_ms"));
 		json_object_set_new(host, "latest_after_ms", json_integer(after_ms));
 	}
 	g_hash_table_destroy(hosts);
 	return list;
 }
 
-static json_t *spread_names(const GPtrArray *names)
+static json_t *spread_string_array(const GPtrArray *names)
 {
 	json_t *list = json_array();
 
@@ -299,26 +305,28 @@
 
 json_t *spread_report(const struct spread *spread)
 {
-	GPtrArray *confs = spread_rows(spread, SPREAD_CONF);
-	GPtrArray *settings = spread_rows(spread, SPREAD_SETTINGS);
-	GPtrArray *answers = spread_rows(spread, SPREAD_ANSWER);
+	GPtrArray *confs = spread_rows_of_kind(spread, SPREAD_CONF);
+	GPtrArray *settings = spread_rows_of_kind(spread, SPREAD_SETTINGS);
+	GPtrArray *decisions = spread_rows_of_kind(spread, SPREAD_DECISION);
 	GPtrArray *versions = spread_versions(confs);
 	json_t *list = json_array();
 	json_t *report;
 
 	for (guint i = 0; i < versions->len; i++)
 		json_array_append_new(list, spread_version_json(versions->pdata[i]));
-	report = json_pack(
-		"{s:o, s:o, s:o, s:o, s:o, s:o, s:i}", "versions", list, "behind",
-		versions->len > 0 ? spread_behind(confs, versions->pdata[versions->len - 1])
-				  : json_array(),
-		"settings", spread_settings(settings), "waiting", spread_names(spread->waiting),
-		"old_answers", spread_old_answers(answers, versions), "silent",
-		spread_names(spread->silent), "unreadable_lines", (int)spread->unreadable);
+	report = json_pack("{s:o, s:o, s:o, s:o, s:o, s:o, s:i}", "versions", list, "behind",
+			   versions->len > 0
+				   ? spread_hosts_behind(confs, versions->pdata[versions->len - 1])
+				   : json_array(),
+			   "settings", spread_settings_json(settings), "waiting",
+			   spread_string_array(spread->restart_pending), "old_answers",
+			   spread_outdated_decisions(decisions, versions), "silent",
+			   spread_string_array(spread->unreachable), "unreadable_lines",
+			   (int)spread->non_json_lines);
 	g_ptr_array_unref(versions);
 	g_ptr_array_unref(confs);
 	g_ptr_array_unref(settings);
-	g_ptr_array_unref(answers);
+	g_ptr_array_unref(decisions);
 	return report;
 }
 
@@ -342,49 +350,50 @@
 	       "last +ms", "last host");
 	json_array_foreach(versions, i, row)
 	{
-		printf("%-10lld %6lld ", spread_number(row, "version"),
-		       spread_number(row, "hosts"));
-		spread_print_time(spread_number(row, "first_ms"));
-		printf(" %11lld %10lld  %s%s\n", spread_number(row, "middle_after_ms"),
-		       spread_number(row, "last_after_ms"), spread_text(row, "last"),
-		       spread_number(row, "digests") > 1 ? "  DIGESTS DIFFER" : "");
+		printf("%-10lld %6lld ", spread_member_int(row, "version"),
+		       spread_member_int(row, "hosts"));
+		spread_print_time(spread_member_int(row, "first_ms"));
+		printf(" %11lld %10lld  %s%s\n", spread_member_int(row, "middle_after_ms"),
+		       spread_member_int(row, "last_after_ms"), spread_member_text(row, "last"),
+		       spread_member_int(row, "digests") > 1 ? "  DIGESTS DIFFER" : "");
 	}
 }
 
-/* A list of hosts, so many of them; --json has all. */
+/* Prints the first SPREAD_MAX_PRINTED items of a list; --json prints all. */
 static void spread_print_list(const char *title, const json_t *list,
 			      void (*print)(const json_t *item))
 {
 	size_t n = json_array_size(list);
 
-	for (size_t i = 0; i < MIN(n, SPREAD_SHOWN); i++) {
+	for (size_t i = 0; i < MIN(n, SPREAD_MAX_PRINTED); i++) {
 		printf("%-16s ", title);
 		print(json_array_get(list, i));
 		putchar('\n');
 	}
-	if (n > SPREAD_SHOWN)
-		printf("%-16s and %zu more\n", title, n - SPREAD_SHOWN);
+	if (n > SPREAD_MAX_PRINTED)
+		printf("%-16s and %zu more\n", title, n - SPREAD_MAX_PRINTED);
 }
 
 static void spread_print_behind(const json_t *item)
 {
-	printf("%s has %lld, since ", spread_text(item, "host"), spread_number(item, "version"));
-	spread_print_time(spread_number(item, "since_ms"));
+	printf("%s has %lld, since ", spread_member_text(item, "host"),
+	       spread_member_int(item, "version"));
+	spread_print_time(spread_member_int(item, "since_ms"));
 }
 
 static void spread_print_settings(const json_t *item)
 {
-	printf("%s runs %s (%s)", spread_text(item, "host"), spread_text(item, "digest"),
-	       spread_text(item, "by"));
+	printf("%s runs %s (%s)", spread_member_text(item, "host"),
+	       spread_member_text(item, "digest"), spread_member_text(item, "by"));
 }
 
-static void spread_print_old(const json_t *item)
+static void spread_print_outdated(const json_t *item)
 {
-	printf("%s: %lld requests, the latest after %lld ms", spread_text(item, "host"),
-	       spread_number(item, "requests"), spread_number(item, "latest_after_ms"));
+	printf("%s: %lld requests, the latest after %lld ms", spread_member_text(item, "host"),
+	       spread_member_int(item, "requests"), spread_member_int(item, "latest_after_ms"));
 }
 
-static void spread_print_name(const json_t *item)
+static void spread_print_string(const json_t *item)
 {
 	fputs(json_string_value(item), stdout);
 }
@@ -395,18 +404,20 @@
 
 	spread_print_versions(json_object_get(report, "versions"));
 	spread_print_list("behind", json_object_get(report, "behind"), spread_print_behind);
-	printf("%-16s %s\n", "settings", spread_text(settings, "usual"));
+	printf("%-16s %s\n", "settings", spread_member_text(settings, "usual"));
 	spread_print_list("other settings", json_object_get(settings, "others"),
 			  spread_print_settings);
-	spread_print_list("needs a restart", json_object_get(report, "waiting"), spread_print_name);
-	spread_print_list("old answers", json_object_get(report, "old_answers"), spread_print_old);
-	spread_print_list("no answer", json_object_get(report, "silent"), spread_print_name);
-	if (spread_number(report, "unreadable_lines") > 0)
-		printf("%-16s %lld lines\n", "not readable",
-		       spread_number(report, "unreadable_lines"));
+	spread_print_list("needs a restart", json_object_get(report, "waiting"),
+			  spread_print_string);
+	spread_print_list("old answers", json_object_get(report, "old_answers"),
+			  spread_print_outdated);
+	spread_print_list("no answer", json_object_get(report, "silent"), spread_print_string);
+	if (spread_member_int(report, "unreadable_lines") > 0)
+		printf("%-16s %lld lines\n", "not JSON",
+		       spread_member_int(report, "unreadable_lines"));
 }
 
-/* Whether the word is a log rather than an address. */
+/* Returns whether an argument is the path of a log rather than an address. */
 static bool spread_is_file(const char *word)
 {
 	return strchr(word, ':') == NULL || g_file_test(word, G_FILE_TEST_EXISTS);
@@ -422,12 +433,12 @@
 	spread_init(&spread);
 	for (int i = 0; err == 0 && i < argc; i++) {
 		if (spread_is_file(argv[i]))
-			err = gather_log(&spread, argv[i]);
+			err = gather_from_log(&spread, argv[i]);
 		else
 			g_ptr_array_add(addrs, argv[i]);
 	}
 	if (err == 0) {
-		gather_hosts(&spread, (int)addrs->len, (char **)addrs->pdata);
+		gather_from_hosts(&spread, (int)addrs->len, (char **)addrs->pdata);
 		report = spread_report(&spread);
 		if (ctl->json)
 			json_dumpf(report, stdout, JSON_INDENT(2));
--- a/prog/ctl_state.c
+++ b/prog/ctl_state.c
@@ -4,37 +4,37 @@
 #include <string.h>
 
 /*
- * What 'bgctl state' prints: what one bgrouterd believes, from the port of its metrics. A list is
- * printed as a table of the members named here.
+ * "bgctl state": the state of one bgrouterd, from its metrics address. An array in the response is
+ * printed as a table with the columns listed here.
  */
 enum {
-	CTL_STATUS_OK = 200,
-	CTL_STATUS_NOT_FOUND = 404
+	CTL_HTTP_OK = 200,
+	CTL_HTTP_NOT_FOUND = 404
 };
 
 struct ctl_column {
-	const char *member;
-	int width;
+	const char *member; /* JSON member, which is the title of the column, too */
+	int width;	    /* width in characters */
 };
 
-/* Whether a row of the list is printed. */
-typedef gboolean (*ctl_shows_fn)(const json_t *row);
+/* Returns whether a row is printed. */
+typedef gboolean (*ctl_row_filter_fn)(const json_t *row);
 
 struct ctl_table {
-	const char *name;
+	const char *name;	       /* argument of "bgctl state" */
 	struct ctl_column columns[10]; /* ends with a NULL member */
-	const char *list;	       /* of the answer; NULL: the one of that name */
-	ctl_shows_fn shows;	       /* NULL: all rows are printed */
+	const char *list;	       /* array in the response; NULL: the one called name */
+	ctl_row_filter_fn filter;      /* selects the rows to print; NULL: all rows */
 };
 
-/* Tables that show some of the endpoints only: rows that say nothing would hide those that do. */
+/* Filters for tables of endpoints: without them, rows without information would hide the others. */
 static gboolean ctl_has_permits(const json_t *row)
 {
 	return json_integer_value(json_object_get(row, "permits")) > 0 ||
 	       json_integer_value(json_object_get(row, "permits_used")) > 0;
 }
 
-static gboolean ctl_is_fault(const json_t *row)
+static gboolean ctl_has_fault(const json_t *row)
 {
 	return json_integer_value(json_object_get(row, "doubted_ms")) > 0 ||
 	       json_integer_value(json_object_get(row, "suspected_ms")) > 0 ||
@@ -57,7 +57,7 @@
 	 .columns =
 		 {{"id", 14}, {"addr", 22}, {"doubted_ms", 11}, {"suspected_ms", 13}, {"pace", 6}},
 	 .list = "endpoints",
-	 .shows = ctl_is_fault},
+	 .filter = ctl_has_fault},
 	{.name = "accounts", .columns = {{"name", 24}, {"tokens", 12}}},
 	{.name = "quarantine",
 	 .columns = {{"content", 32},
@@ -85,7 +85,7 @@
 	{.name = "permits",
 	 .columns = {{"id", 24}, {"addr", 22}, {"permits", 8}, {"permits_used", 13}},
 	 .list = "endpoints",
-	 .shows = ctl_has_permits},
+	 .filter = ctl_has_permits},
 	{.name = "budgets", .columns = {{"service", 24}, {"left", 10}, {"requests_per_s", 15}}},
 };
 
@@ -104,7 +104,8 @@
 					      : "-");
 }
 
-static void ctl_print_table(const struct ctl_table *table, const json_t *rows, ctl_shows_fn shows)
+static void ctl_print_table(const struct ctl_table *table, const json_t *rows,
+			    ctl_row_filter_fn filter)
 {
 	size_t i;
 	json_t *row;
@@ -114,7 +115,7 @@
 	putchar('\n');
 	json_array_foreach(rows, i, row)
 	{
-		if (shows && !shows(row))
+		if (filter && !filter(row))
 			continue;
 		for (const struct ctl_column *c = table->columns; c->member; c++)
 			ctl_print_value(json_object_get(row, c->member), c->width);
@@ -122,8 +123,8 @@
 	}
 }
 
-/* The single values of the answer. */
-static void ctl_print_summary(json_t *body)
+/* Prints all members of the response that are not arrays. */
+static void ctl_print_scalars(json_t *body)
 {
 	const char *member;
 	json_t *value;
@@ -138,7 +139,7 @@
 	}
 }
 
-static const struct ctl_table *ctl_table_of(const char *name)
+static const struct ctl_table *ctl_find_table(const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(ctl_tables); i++) {
 		if (strcmp(ctl_tables[i].name, name) == 0)
@@ -147,14 +148,14 @@
 	return NULL;
 }
 
-int ctl_state(const struct ctl *ctl, const char *what)
+int ctl_state(const struct ctl *ctl, const char *table_name)
 {
-	const struct ctl_table *table = what ? ctl_table_of(what) : NULL;
+	const struct ctl_table *table = table_name ? ctl_find_table(table_name) : NULL;
 	json_t *body;
 	long status;
 
-	if (what && !table) {
-		fprintf(stderr, "bgctl: state: '%s' is none of", what);
+	if (table_name && !table) {
+		fprintf(stderr, "bgctl: state: unknown table '%s', expected one of:", table_name);
 		for (size_t i = 0; i < G_N_ELEMENTS(ctl_tables); i++)
 			fprintf(stderr, " %s", ctl_tables[i].name);
 		fputc('\n', stderr);
@@ -162,14 +163,15 @@
 	}
 	status = ctl_call(ctl, ctl->control, "GET", "/state", NULL, &body);
 	if (status != 200)
-		return ctl_fail("state", status, body);
+		return ctl_report_failure("state", status, body);
 	if (ctl->json)
 		json_dumpf(body, stdout, JSON_INDENT(2));
 	else if (table)
-		ctl_print_table(table, json_object_get(body, table->list ? table->list : what),
-				table->shows);
+		ctl_print_table(table,
+				json_object_get(body, table->list ? table->list : table_name),
+				table->filter);
 	else
-		ctl_print_summary(body);
+		ctl_print_scalars(body);
 	json_decref(body);
 	return CTL_OK;
 }
@@ -181,16 +183,16 @@
 	long status = ctl_call(ctl, ctl->control, "POST", path, NULL, &body);
 
 	g_free(path);
-	if (status == CTL_STATUS_NOT_FOUND) {
+	if (status == CTL_HTTP_NOT_FOUND) {
 		fprintf(stderr,
-			"bgctl: clear: '%s' is not in quarantine there; see "
+			"bgctl: clear: '%s' is not in quarantine on that host; see "
 			"'bgctl state quarantine'\n",
 			content);
 		json_decref(body);
 		return CTL_FAILED;
 	}
-	if (status != CTL_STATUS_OK)
-		return ctl_fail("clear", status, body);
+	if (status != CTL_HTTP_OK)
+		return ctl_report_failure("clear", status, body);
 	printf("cleared %s on all hosts\n", content);
 	json_decref(body);
 	return CTL_OK;
