--- a/prog/ctl.h
+++ b/prog/ctl.h
@@ -17,13 +17,14 @@
 
 /* Options of the command line. */
 struct ctl {
-	char *control; /* IP:PORT of a control daemon's operators' port, or of bgrouterd metrics */
+	char *control; /* operators' address (IP:PORT) of a control daemon, or a bgrouterd's metrics
+			  address */
 	char *token;   /* operator's bearer token; NULL: none */
 	gboolean json; /* print JSON instead of a table */
 	gboolean wait; /* after a change, wait until it is in force on every live host */
 	gint64 expect; /* revision that a change requires to be in force; -1: any */
 	gint wait_ms;  /* longest wait for a revision, in milliseconds */
-	char *file;    /* path of a file with the statements of "do"; NULL: none */
+	char *file;    /* path of a file with the statements of "do"; NULL: not given */
 };
 
 /* Appends a part of a response body to the GString ctx; for CURLOPT_WRITEFUNCTION. */
--- a/prog/load.c
+++ b/prog/load.c
@@ -10,7 +10,7 @@
 enum {
 	LOAD_CONNECT_TIMEOUT_MS = 1000,
 	LOAD_PROGRESS_INTERVAL_US = USEC_PER_SEC,
-	LOAD_RETRY_DELAY_US = 1000000
+	LOAD_RETRY_DELAY_US = 1000000 /* pause before a retry */
 };
 
 static void load_on_arrival(void *ctx, int64_t now_us);
@@ -154,6 +154,7 @@
 	return route;
 }
 
+/* Returns the JSON body of a request. Sets *address to that of the engine if the call is direct. */
 static char *load_request_body(struct load *load, const struct load_call *call,
 			       const char **address)
 {
@@ -352,7 +353,7 @@
 		loop_stop(&load->loop);
 }
 
-static void load_on_drained(void *ctx, int64_t now_us)
+static void load_on_drain_timeout(void *ctx, int64_t now_us)
 {
 	struct load *load = ctx;
 
@@ -369,7 +370,7 @@
 	if (load->open_calls == 0)
 		loop_stop(&load->loop);
 	loop_after(&load->loop, &load->end_timer, load->settings.drain_ms * USEC_PER_MSEC,
-		   load_on_drained, load);
+		   load_on_drain_timeout, load);
 }
 
 static void load_on_progress(void *ctx, int64_t now_us)
--- a/prog/load.h
+++ b/prog/load.h
@@ -12,12 +12,14 @@
 	USEC_PER_SEC = 1000000
 };
 
-/* Section "load" of the settings file. Comma-separated lists have one item for each account; an
- * account without an item of its own has the last one. */
+/*
+ * Section "load" of the settings file. The lists rates and tokens have one item for each account;
+ * an account without an item of its own uses the last one.
+ */
 struct load_settings {
 	char *entries;	    /* comma-separated addresses (IP:PORT) of entry hosts */
 	char *accounts;	    /* comma-separated client accounts, each NAME=TOKEN */
-	char *rates;	    /* comma-separated requests per second; clients if closed */
+	char *rates;	    /* comma-separated rates, as in struct load_account */
 	char *tokens;	    /* comma-separated ranges of the answer length in tokens, MIN-MAX */
 	char *model;	    /* name of the model that is requested */
 	char *declarations; /* path of a file that declares the endpoints of direct calls */
@@ -42,6 +44,7 @@
 	LOAD_PATH_COUNT
 };
 
+/* Result of one attempt at a request. */
 enum load_result {
 	LOAD_OK,      /* complete answer */
 	LOAD_REFUSED, /* status 429 or 503: the request was not run and may be retried */
@@ -66,10 +69,10 @@
 struct load_total {
 	uint64_t results[LOAD_RESULT_COUNT]; /* number of attempts with each result */
 	uint64_t tokens;		     /* number of tokens received */
-	uint64_t order_errors;		     /* tokens out of order, duplicated or missing */
-	GArray *first_token_us;		     /* int64_t, times to first token, in microseconds */
-	GArray *token_gap_us; /* int64_t, times between consecutive tokens, in microseconds */
-	GArray *duration_us;  /* int64_t, durations of successful attempts, in microseconds */
+	uint64_t order_errors;	/* number of tokens that were not the expected next one */
+	GArray *first_token_us; /* int64_t, times to first token, in microseconds */
+	GArray *token_gap_us;	/* int64_t, times between consecutive tokens, in microseconds */
+	GArray *duration_us;	/* int64_t, durations of successful attempts, in microseconds */
 };
 
 /* One request, with all its retries. Counts and times are those of the current attempt. */
@@ -88,9 +91,8 @@
 	int64_t first_token_us;	  /* time from sending to the first token; 0: none yet */
 	bool done;		  /* the end mark of the stream was received */
 	bool error;		  /* an error event was received */
-	GString *sse_buffer;	  /* received bytes of an incomplete server-sent event, or a service
-				     answer */
-	struct hc_call *hc;	  /* the HTTP call */
+	GString *sse_buffer;	  /* received bytes that are not processed yet */
+	struct hc_call *hc;	  /* HTTP call of the current attempt */
 	struct tmr retry_timer;	  /* starts the next retry */
 };
 
@@ -104,14 +106,14 @@
 	GPtrArray *accounts;	     /* struct load_account */
 	GPtrArray *direct_endpoints; /* names in pairs: endpoints of first and second stage */
 	GRand *rand;
-	GString *csv;		   /* one line for each attempt, with a header line */
-	struct load_total *totals; /* for each account, one for each path */
-	GHashTable *error_counts;  /* "STATUS CODE" of failed attempts -> number */
-	uint64_t last_id;	   /* id of the latest request, which is the number started */
+	GString *csv;		   /* text of the CSV result file, one line for each attempt */
+	struct load_total *totals; /* totals by account and path; see load_get_total() */
+	GHashTable *error_counts;  /* number of failed attempts by "STATUS CODE" */
+	uint64_t last_id;	   /* number of requests started; id of the latest one */
 	uint64_t open_calls;	   /* number of requests without a final result */
 	int64_t start_us;	   /* start of the run, monotonic clock, in microseconds */
 	bool stopping;		   /* no new requests are started */
-	struct tmr end_timer;	   /* end of duration_ms, then of drain_ms */
+	struct tmr end_timer;	   /* expires after duration_ms, and again after drain_ms */
 	struct tmr progress_timer; /* prints the next progress line */
 };
 
