--- a/prog/control.c
+++ b/prog/control.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 enum {
-	CONTROL_BODY_MAX = 8 << 20,
-	CONTROL_TICK_US = 50000
+	CONTROL_BODY_MAX = 8 << 20, /* Limit of an operator's HTTP body, in bytes. */
+	CONTROL_TICK_US = 50000	    /* Interval of the periodic work, in microseconds. */
 };
 
 typedef int (*control_msg_fn)(struct control *c, struct frm_conn *conn, const uint8_t *body,
@@ -18,36 +18,37 @@
 			  size_t len);
 static void control_on_close(void *ctx, struct frm_conn *conn, int err);
 
-#define CONTROL_OFF(field) offsetof(struct control_settings, field)
-
-static const struct set_item control_items[] = {
-	{"host", "name", SET_TEXT, CONTROL_OFF(name), NULL, 1, 0},
-	{"host", "zone", SET_TEXT, CONTROL_OFF(zone), NULL, 1, 0},
-	{"host", "entry_peer", SET_ADDR, CONTROL_OFF(peer_addr), NULL, 0, 0},
-	{"control", "listen", SET_ADDR, CONTROL_OFF(listen), NULL, 0, 0},
-	{"control", "operators", SET_ADDR, CONTROL_OFF(operator_addr), NULL, 0, 0},
-	{"control", "bootstrap", SET_TEXT, CONTROL_OFF(bootstrap), "", 0, 0},
-	{"control", "policy", SET_TEXT, CONTROL_OFF(policy), "flow", 1, 0},
-	{"control", "seed", SET_INT, CONTROL_OFF(seed), "1", 0, INT32_MAX},
-	{"control", "drain_ms", SET_INT, CONTROL_OFF(drain_ms), "1500", 0, 600000},
-	{"platform", "address", SET_ADDR, CONTROL_OFF(platform), NULL, 0, 0},
-	{"platform", "retention_s", SET_INT, CONTROL_OFF(retention_s), "3600", 1, 1000000},
-	{"platform", "hosts_ms", SET_INT, CONTROL_OFF(hosts_ms), "1000", 10, 600000},
-	{"platform", "append_ms", SET_INT, CONTROL_OFF(append_ms), "1000", 10, 600000},
-	{"peers", "heartbeat_ms", SET_INT, CONTROL_OFF(heartbeat_ms), "300", 10, 600000},
-	{"peers", "silent_ms", SET_INT, CONTROL_OFF(silent_ms), "900", 10, 600000},
-	{"peers", "idle_ms", SET_INT, CONTROL_OFF(idle_ms), "5000", 10, 600000},
-	{"peers", "suspect_ms", SET_INT, CONTROL_OFF(suspect_ms), "2000", 10, 600000},
-	{"peers", "gossip_ms", SET_INT, CONTROL_OFF(gossip_ms), "1000", 10, 600000},
-	{"endpoints", "overlap_percent", SET_INT, CONTROL_OFF(overlap_percent), "150", 1, 1000},
-	{"endpoints", "load_ms", SET_INT, CONTROL_OFF(load_ms), "1000", 10, 600000},
-	{"endpoints", "load_timeout_ms", SET_INT, CONTROL_OFF(load_timeout_ms), "400", 10, 600000},
-	{"endpoints", "lease_ms", SET_INT, CONTROL_OFF(lease_ms), "5000", 100, 600000},
-	{"claims", "partitions", SET_INT, CONTROL_OFF(claim_partitions), "64", 1, 4096},
-	{"claims", "life_s", SET_INT, CONTROL_OFF(claim_life_s), "1800", 1, 1000000},
+#define CONTROL_FIELD(field) offsetof(struct control_settings, field)
+
+static const struct set_item control_setting_items[] = {
+	{"host", "name", SET_TEXT, CONTROL_FIELD(name), NULL, 1, 0},
+	{"host", "zone", SET_TEXT, CONTROL_FIELD(zone), NULL, 1, 0},
+	{"host", "entry_peer", SET_ADDR, CONTROL_FIELD(peer_addr), NULL, 0, 0},
+	{"control", "listen", SET_ADDR, CONTROL_FIELD(listen), NULL, 0, 0},
+	{"control", "operators", SET_ADDR, CONTROL_FIELD(operator_addr), NULL, 0, 0},
+	{"control", "bootstrap", SET_TEXT, CONTROL_FIELD(bootstrap), "", 0, 0},
+	{"control", "policy", SET_TEXT, CONTROL_FIELD(policy), "flow", 1, 0},
+	{"control", "seed", SET_INT, CONTROL_FIELD(seed), "1", 0, INT32_MAX},
+	{"control", "drain_ms", SET_INT, CONTROL_FIELD(drain_ms), "1500", 0, 600000},
+	{"platform", "address", SET_ADDR, CONTROL_FIELD(platform), NULL, 0, 0},
+	{"platform", "retention_s", SET_INT, CONTROL_FIELD(retention_s), "3600", 1, 1000000},
+	{"platform", "hosts_ms", SET_INT, CONTROL_FIELD(hosts_ms), "1000", 10, 600000},
+	{"platform", "append_ms", SET_INT, CONTROL_FIELD(append_ms), "1000", 10, 600000},
+	{"peers", "heartbeat_ms", SET_INT, CONTROL_FIELD(heartbeat_ms), "300", 10, 600000},
+	{"peers", "silent_ms", SET_INT, CONTROL_FIELD(silent_ms), "900", 10, 600000},
+	{"peers", "idle_ms", SET_INT, CONTROL_FIELD(idle_ms), "5000", 10, 600000},
+	{"peers", "suspect_ms", SET_INT, CONTROL_FIELD(suspect_ms), "2000", 10, 600000},
+	{"peers", "gossip_ms", SET_INT, CONTROL_FIELD(gossip_ms), "1000", 10, 600000},
+	{"endpoints", "overlap_percent", SET_INT, CONTROL_FIELD(overlap_percent), "150", 1, 1000},
+	{"endpoints", "load_ms", SET_INT, CONTROL_FIELD(load_ms), "1000", 10, 600000},
+	{"endpoints", "load_timeout_ms", SET_INT, CONTROL_FIELD(load_timeout_ms), "400", 10,
+	 600000},
+	{"endpoints", "lease_ms", SET_INT, CONTROL_FIELD(lease_ms), "5000", 100, 600000},
+	{"claims", "partitions", SET_INT, CONTROL_FIELD(claim_partitions), "64", 1, 4096},
+	{"claims", "life_s", SET_INT, CONTROL_FIELD(claim_life_s), "1800", 1, 1000000},
 };
 
-static const control_msg_fn control_msgs[MSG_KIND_COUNT] = {
+static const control_msg_fn control_msg_handlers[MSG_KIND_COUNT] = {
 	[MSG_POOL_ASK] = control_on_ask,	   [MSG_POOL_WITHDRAW] = control_on_withdraw,
 	[MSG_POOL_DONE] = control_on_done,	   [MSG_POOL_HOLDING] = control_on_holding,
 	[MSG_ONCE_CLAIM] = control_on_claim,	   [MSG_ONCE_RELEASE] = control_on_release,
@@ -58,18 +59,19 @@
 
 const struct frm_ops control_frm_ops = {control_on_msg, control_on_close};
 
-static struct control_conn *control_conn(struct control *c, struct frm_conn *conn)
+/* Returns the state of a connection; creates it at the connection's first message. */
+static struct control_conn *control_conn_get(struct control *c, struct frm_conn *conn)
 {
-	struct control_conn *own = frm_data(conn);
-
-	if (own)
-		return own;
-	own = g_new0(struct control_conn, 1);
-	own->conn = conn;
-	own->id = ++c->last_id;
-	frm_set_data(conn, own);
-	g_hash_table_insert(c->conns, &own->id, own);
-	return own;
+	struct control_conn *peer = frm_data(conn);
+
+	if (peer)
+		return peer;
+	peer = g_new0(struct control_conn, 1);
+	peer->conn = conn;
+	peer->id = ++c->last_conn_id;
+	frm_set_data(conn, peer);
+	g_hash_table_insert(c->conns, &peer->id, peer);
+	return peer;
 }
 
 static int control_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -77,30 +79,30 @@
 {
 	struct control *c = ctx;
 
-	if (kind >= MSG_KIND_COUNT || !control_msgs[kind])
+	if (kind >= MSG_KIND_COUNT || !control_msg_handlers[kind])
 		return BASE_EFRAME;
-	control_conn(c, conn);
-	return control_msgs[kind](c, conn, body, len);
+	control_conn_get(c, conn);
+	return control_msg_handlers[kind](c, conn, body, len);
 }
 
 static void control_on_close(void *ctx, struct frm_conn *conn, int err)
 {
 	log_msg(LOG_DEBUG, "connection_closed reason=\"%s\"", base_strerror(err));
-	control_conn_forget(ctx, conn);
+	control_conn_remove(ctx, conn);
 }
 
-void control_conn_forget(struct control *c, struct frm_conn *conn)
+void control_conn_remove(struct control *c, struct frm_conn *conn)
 {
-	struct control_conn *own = frm_data(conn);
+	struct control_conn *peer = frm_data(conn);
 
-	control_partner_gone(c, conn);
-	if (!own)
+	control_gossip_peer_closed(c, conn);
+	if (!peer)
 		return;
-	g_hash_table_remove(c->conns, &own->id);
-	control_pools_conn_gone(c, own->id);
-	control_once_conn_gone(c, own->id);
+	g_hash_table_remove(c->conns, &peer->id);
+	control_pools_conn_closed(c, peer->id);
+	control_once_conn_closed(c, peer->id);
 	frm_set_data(conn, NULL);
-	g_free(own);
+	g_free(peer);
 }
 
 static void control_on_tick(void *ctx, int64_t now_us)
@@ -111,7 +113,7 @@
 	control_pools_tick(c, now_us);
 	control_once_tick(c, now_us);
 	control_log_tick(c, now_us);
-	loop_after(&c->loop, &c->tick, CONTROL_TICK_US, control_on_tick, c);
+	loop_after(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
 }
 
 static void control_on_stop_timer(void *ctx, int64_t now_us)
@@ -126,8 +128,9 @@
 }
 
 /*
- * Graceful shutdown: the host list is told, and so is every connected daemon at once, since the
- * list lags. Homes move to other hosts meanwhile; whoever still asks is served until the end.
+ * Starts the graceful shutdown: marks this host as leaving in the host list and, as the list lags,
+ * also notifies every connected daemon directly. Homes move to other hosts meanwhile; requests that
+ * still arrive are served until the process exits.
  */
 static void control_stop(void *ctx)
 {
@@ -138,12 +141,12 @@
 	c->stopping = true;
 	log_msg(LOG_NOTICE, "stopping drain_ms=%d", (int)c->settings.drain_ms);
 	control_hosts_register(c);
-	control_push_all(c);
+	control_push_updates_to_all(c);
 	loop_after(&c->loop, &c->stop_timer, c->settings.drain_ms * USEC_PER_MSEC,
 		   control_on_stop_timer, c);
 }
 
-struct frm_limits control_limits_of(const struct control *c)
+struct frm_limits control_frm_limits(const struct control *c)
 {
 	struct frm_limits limits = {c->settings.heartbeat_ms * USEC_PER_MSEC,
 				    c->settings.silent_ms * USEC_PER_MSEC,
@@ -154,7 +157,7 @@
 
 static int control_listen(struct control *c)
 {
-	struct frm_limits limits = control_limits_of(c);
+	struct frm_limits limits = control_frm_limits(c);
 	struct hd_config config = {
 		.addr = c->settings.operator_addr,
 		.threads = 1,
@@ -183,8 +186,8 @@
 {
 	struct control *c = g_new0(struct control, 1);
 
-	prog_start(&argc, &argv, "Control daemon of a bronzegauge host.", control_items,
-		   G_N_ELEMENTS(control_items), &c->settings);
+	prog_start(&argc, &argv, "Control daemon of a bronzegauge host.", control_setting_items,
+		   G_N_ELEMENTS(control_setting_items), &c->settings);
 	if (loop_init(&c->loop) < 0)
 		return PROG_EXIT_FAILED;
 	prog_on_stop(&c->loop, control_stop, c);
@@ -192,7 +195,7 @@
 	c->hc = hc_new(&c->loop);
 	c->conns = g_hash_table_new(g_int64_hash, g_int64_equal);
 	c->pools = g_hash_table_new(g_str_hash, g_str_equal);
-	c->parts = g_hash_table_new(NULL, NULL);
+	c->claim_partitions = g_hash_table_new(NULL, NULL);
 	c->commands = g_ptr_array_new();
 	c->rand = g_rand_new_with_seed(
 		(guint32)(c->settings.seed ^
@@ -204,7 +207,7 @@
 	control_log_start(c);
 	control_hosts_start(c);
 	control_order_start(c);
-	loop_after(&c->loop, &c->tick, CONTROL_TICK_US, control_on_tick, c);
+	loop_after(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
 	log_msg(LOG_INFO, "started host=%s listen=%s operators=%s", c->settings.name,
 		c->settings.listen, c->settings.operator_addr);
 	loop_run(&c->loop);
--- a/prog/control_hosts.c
+++ b/prog/control_hosts.c
@@ -9,25 +9,27 @@
 #include <string.h>
 
 /*
- * The platform's list of hosts: this host's own entry in it, and what it says of the others. Gossip
- * of revisions with other control daemons. What entry daemons are told.
+ * Registers this host in the platform's host list and reads the list, exchanges configuration
+ * revisions with other control daemons (gossip), and sends updates to entry daemons.
  */
 enum {
-	CONTROL_HOSTS_MAX = 4096,
-	CONTROL_REGISTER_ROUNDS = 2, /* looks at the list for each word of its own */
-	CONTROL_GOSSIP_ROUNDS = 10,  /* before new partners are drawn */
-	CONTROL_HIGHER_US = USEC_PER_SEC
+	CONTROL_HOSTS_MAX = 4096,	 /* Limit of hosts taken from the list. */
+	CONTROL_POLLS_PER_REGISTER = 2,	 /* Reads of the list per registration of this host. */
+	CONTROL_GOSSIP_PEER_ROUNDS = 10, /* Gossip rounds before new peers are chosen. */
+
+	/* Time for which the log may lag behind a peer before the peer's state is fetched. */
+	CONTROL_PEER_FETCH_DELAY_US = USEC_PER_SEC
 };
 
 static void control_poll_hosts(void *ctx, int64_t now_us);
 static void control_gossip(void *ctx, int64_t now_us);
-static void control_fetch(struct control *c, struct frm_conn *conn);
-static void control_on_hosts(void *ctx, int status, int err, bool sent, const char *body,
-			     size_t len);
+static void control_send_fetch(struct control *c, struct frm_conn *conn);
+static void control_on_host_list(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len);
 static void control_on_registered(void *ctx, int status, int err, bool sent, const char *body,
 				  size_t len);
 
-static const struct hc_ops control_hosts_ops = {.on_done = control_on_hosts};
+static const struct hc_ops control_hosts_ops = {.on_done = control_on_host_list};
 static const struct hc_ops control_register_ops = {.on_done = control_on_registered};
 
 void control_hosts_start(struct control *c)
@@ -91,7 +93,7 @@
 	};
 
 	(void)now_us;
-	if (c->hosts_round++ % CONTROL_REGISTER_ROUNDS == 0)
+	if (c->hosts_poll_count++ % CONTROL_POLLS_PER_REGISTER == 0)
 		control_hosts_register(c);
 	hc_start(c->hc, &request, &control_hosts_ops, c);
 	g_free(url);
@@ -99,35 +101,35 @@
 		   control_poll_hosts, c);
 }
 
-static void control_copy(char *to, size_t size, const json_t *json, const char *key)
+static void control_copy_member(char *to, size_t size, const json_t *json, const char *key)
 {
 	const char *text = json_string_value(json_object_get(json, key));
 
 	g_strlcpy(to, text ? text : "", size);
 }
 
-static void control_host_of(const struct control *c, const json_t *json, struct host *host)
+static void control_parse_host(const struct control *c, const json_t *json, struct host *host)
 {
 	char state[16];
 
 	memset(host, 0, sizeof(*host));
-	control_copy(host->name, sizeof(host->name), json, "name");
-	control_copy(host->zone, sizeof(host->zone), json, "zone");
-	control_copy(host->control_addr, sizeof(host->control_addr), json, "control");
-	control_copy(host->operator_addr, sizeof(host->operator_addr), json, "operators");
-	control_copy(host->peer_addr, sizeof(host->peer_addr), json, "peer");
-	control_copy(state, sizeof(state), json, "state");
+	control_copy_member(host->name, sizeof(host->name), json, "name");
+	control_copy_member(host->zone, sizeof(host->zone), json, "zone");
+	control_copy_member(host->control_addr, sizeof(host->control_addr), json, "control");
+	control_copy_member(host->operator_addr, sizeof(host->operator_addr), json, "operators");
+	control_copy_member(host->peer_addr, sizeof(host->peer_addr), json, "peer");
+	control_copy_member(state, sizeof(state), json, "state");
 	host->listed_leaving = strcmp(state, "leaving") == 0;
 	host->leaving = host->listed_leaving || control_is_draining(c, host->name);
 }
 
 /*
- * When the platform does not answer, or the list is still the same, the last list stays in use. It
- * is asked for by its version: sent whole to every host each second it would be far more than all
- * other control traffic.
+ * If the platform does not answer, or the list has not changed, the last list stays in use. The
+ * request names the version in use, so that the platform sends the list only after a change: the
+ * whole list, sent to every host each second, would be far more than all other control traffic.
  */
-static void control_on_hosts(void *ctx, int status, int err, bool sent, const char *body,
-			     size_t len)
+static void control_on_host_list(void *ctx, int status, int err, bool sent, const char *body,
+				 size_t len)
 {
 	struct control *c = ctx;
 	json_t *json = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
@@ -148,12 +150,12 @@
 	}
 	items = g_new(struct host, n + 1);
 	for (size_t i = 0; i < n; i++)
-		control_host_of(c, json_array_get(list, i), &items[i]);
+		control_parse_host(c, json_array_get(list, i), &items[i]);
 	if (n > 0)
 		host_on_list(&c->hosts, items, n);
 	g_free(items);
 	json_decref(json);
-	control_push_all(c);
+	control_push_updates_to_all(c);
 }
 
 static void control_send_hosts(struct control *c, struct frm_conn *conn, bool only_self)
@@ -194,8 +196,11 @@
 	free(msg.snapshot);
 }
 
-/* What has changed for a subscriber. Others are told only that this host is leaving. */
-void control_push(struct control *c, struct control_conn *conn)
+/*
+ * Sends a newer configuration and the host list to a subscriber. Other connections receive only
+ * this host's entry, and only while it is leaving.
+ */
+void control_push_updates(struct control *c, struct control_conn *conn)
 {
 	if (!conn->subscriber) {
 		if (c->stopping)
@@ -208,8 +213,8 @@
 }
 
 /*
- * Whether a host is draining is part of the configuration, so a change of that can change the hosts
- * too, though the platform's list is the same.
+ * Recomputes which hosts are leaving: a host can be drained by the configuration while its entry in
+ * the platform's list stays the same.
  */
 void control_hosts_on_conf(struct control *c)
 {
@@ -220,59 +225,62 @@
 	}
 }
 
-void control_push_all(struct control *c)
+void control_push_updates_to_all(struct control *c)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, c->conns);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		control_push(c, value);
+		control_push_updates(c, value);
 }
 
-/* Draws two other hosts now and then, and tells those of the moment the revision. */
+/*
+ * Sends this daemon's configuration revision to its gossip peers. New peers are chosen at random
+ * every CONTROL_GOSSIP_PEER_ROUNDS rounds.
+ */
 static void control_gossip(void *ctx, int64_t now_us)
 {
 	struct control *c = ctx;
-	struct frm_limits limits = control_limits_of(c);
+	struct frm_limits limits = control_frm_limits(c);
 	Conf__Revision msg = CONF__REVISION__INIT;
 
 	(void)now_us;
 	msg.revision = c->clog.ready ? c->clog.revision : -1;
 	msg.host = c->settings.name;
-	for (size_t i = 0; i < G_N_ELEMENTS(c->partners); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(c->gossip_peers); i++) {
 		guint n = c->hosts.hosts->len;
 		const struct host *host;
 
-		if (c->partners[i] && c->gossip_round % CONTROL_GOSSIP_ROUNDS == 0) {
-			struct frm_conn *old = c->partners[i];
+		if (c->gossip_peers[i] && c->gossip_round % CONTROL_GOSSIP_PEER_ROUNDS == 0) {
+			struct frm_conn *old = c->gossip_peers[i];
 
-			control_conn_forget(c, old);
+			control_conn_remove(c, old);
 			frm_close(old);
 		}
-		if (!c->partners[i] && n > 0) {
+		if (!c->gossip_peers[i] && n > 0) {
 			host = c->hosts.hosts->pdata[g_rand_int_range(c->rand, 0, (gint32)n)];
 			if (strcmp(host->name, c->settings.name) != 0)
-				c->partners[i] = frm_connect(&c->loop, host->control_addr,
-							     &control_frm_ops, &limits, c);
+				c->gossip_peers[i] = frm_connect(&c->loop, host->control_addr,
+								 &control_frm_ops, &limits, c);
 		}
-		if (c->partners[i])
-			frm_send(c->partners[i], MSG_CONF_REVISION, &msg.base);
+		if (c->gossip_peers[i])
+			frm_send(c->gossip_peers[i], MSG_CONF_REVISION, &msg.base);
 	}
 	c->gossip_round++;
 	loop_after(&c->loop, &c->gossip_timer, c->settings.gossip_ms * USEC_PER_MSEC,
 		   control_gossip, c);
 }
 
-void control_partner_gone(struct control *c, const struct frm_conn *conn)
+void control_gossip_peer_closed(struct control *c, const struct frm_conn *conn)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(c->partners); i++) {
-		if (c->partners[i] == conn)
-			c->partners[i] = NULL;
+	for (size_t i = 0; i < G_N_ELEMENTS(c->gossip_peers); i++) {
+		if (c->gossip_peers[i] == conn)
+			c->gossip_peers[i] = NULL;
 	}
 }
 
-static void control_fetch(struct control *c, struct frm_conn *conn)
+static void control_send_fetch(struct control *c, struct frm_conn *conn)
 {
 	Conf__Fetch msg = CONF__FETCH__INIT;
 
@@ -281,32 +289,32 @@
 }
 
 /*
- * A healthy log brings the same revision within moments, so a higher one is fetched from the peer
- * only when the log has not brought it for a second.
+ * A working log delivers the same revision soon, so a higher revision is fetched from the peer only
+ * if the log is unavailable or has not delivered it within a second.
  */
 int control_on_revision(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Conf__Revision *msg = conf__revision__unpack(NULL, len, body);
 	int64_t now = tmr_now();
-	bool partner = conn == c->partners[0] || conn == c->partners[1];
+	bool gossip_peer = conn == c->gossip_peers[0] || conn == c->gossip_peers[1];
 
 	if (!msg)
 		return BASE_EFRAME;
 	if (!c->clog.ready || msg->revision > c->clog.revision) {
-		if (c->heard_higher_us == 0)
-			c->heard_higher_us = now;
+		if (c->higher_revision_us == 0)
+			c->higher_revision_us = now;
 		if (msg->revision >= 0 &&
-		    (!c->log_ok || now - c->heard_higher_us > CONTROL_HIGHER_US))
-			control_fetch(c, conn);
+		    (!c->log_ok || now - c->higher_revision_us > CONTROL_PEER_FETCH_DELAY_US))
+			control_send_fetch(c, conn);
 	} else {
-		c->heard_higher_us = 0;
+		c->higher_revision_us = 0;
 	}
-	if (!partner && msg->revision != c->clog.revision && c->clog.ready) {
-		Conf__Revision own = CONF__REVISION__INIT;
+	if (!gossip_peer && msg->revision != c->clog.revision && c->clog.ready) {
+		Conf__Revision reply = CONF__REVISION__INIT;
 
-		own.revision = c->clog.revision;
-		own.host = c->settings.name;
-		frm_send(conn, MSG_CONF_REVISION, &own.base);
+		reply.revision = c->clog.revision;
+		reply.host = c->settings.name;
+		frm_send(conn, MSG_CONF_REVISION, &reply.base);
 	}
 	conf__revision__free_unpacked(msg, NULL);
 	return 0;
@@ -327,21 +335,21 @@
 int control_on_state(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Conf__State *msg = conf__state__unpack(NULL, len, body);
-	int taken;
+	int applied;
 
 	(void)conn;
 	if (!msg)
 		return BASE_EFRAME;
-	taken = clog_on_peer_state(&c->clog, str_of(msg->snapshot));
+	applied = clog_on_peer_state(&c->clog, str_of(msg->snapshot));
 	conf__state__free_unpacked(msg, NULL);
-	if (taken < 0)
+	if (applied < 0)
 		return BASE_EFRAME;
-	if (taken > 0) {
+	if (applied > 0) {
 		log_msg(LOG_NOTICE, "config_from_peer revision=%" G_GINT64_FORMAT,
 			c->clog.revision);
 		met_add(met_counter("bg_config_from_peer_total", ""), 1);
-		c->heard_higher_us = 0;
-		control_state_changed(c);
+		c->higher_revision_us = 0;
+		control_conf_changed(c);
 	}
 	return 0;
 }
@@ -349,22 +357,22 @@
 int control_on_in_force(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Conf__InForce *msg = conf__in_force__unpack(NULL, len, body);
-	struct control_conn *own = frm_data(conn);
-	bool fresh;
+	struct control_conn *peer = frm_data(conn);
+	bool new_subscriber;
 
 	if (!msg)
 		return BASE_EFRAME;
-	fresh = !own->subscriber;
-	own->subscriber = true;
-	own->in_force = msg->revision;
-	g_strlcpy(own->host, msg->host, sizeof(own->host));
+	new_subscriber = !peer->subscriber;
+	peer->subscriber = true;
+	peer->in_force = msg->revision;
+	g_strlcpy(peer->host, msg->host, sizeof(peer->host));
 	conf__in_force__free_unpacked(msg, NULL);
-	if (fresh)
-		control_push(c, own);
+	if (new_subscriber)
+		control_push_updates(c, peer);
 	return 0;
 }
 
-/* Another control daemon says that it is leaving; the list will say so later. */
+/* Another control daemon announces that it is leaving, before the platform's list shows it. */
 int control_on_hosts_msg(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Conf__Hosts *msg = conf__hosts__unpack(NULL, len, body);
--- a/prog/control_http.c
+++ b/prog/control_http.c
@@ -5,29 +5,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The operators' side: what they ask, and the changes that they make. */
-typedef void (*control_http_fn)(struct control *c, struct hd_call *call, const char *who);
+/* The operators' HTTP interface: reports of this daemon's state, and configuration changes. */
+typedef void (*control_http_fn)(struct control *c, struct hd_call *call, const char *operator_name);
 
 struct control_http_route {
 	const char *method;
 	const char *path;
-	bool open; /* no operator's token is asked for */
+	bool no_auth; /* The call needs no operator's token. */
 	control_http_fn fn;
 };
 
-struct control_http_mail {
+/* An operator's call on its way from the HTTP library's thread to the event loop. */
+struct control_http_task {
 	struct control *c;
 	struct hd_call *call;
 };
 
-static void control_http_health(struct control *c, struct hd_call *call, const char *who);
-static void control_http_metrics(struct control *c, struct hd_call *call, const char *who);
-static void control_http_change(struct control *c, struct hd_call *call, const char *who);
-static void control_http_config(struct control *c, struct hd_call *call, const char *who);
-static void control_http_status(struct control *c, struct hd_call *call, const char *who);
-static void control_http_hosts(struct control *c, struct hd_call *call, const char *who);
-static void control_http_pools(struct control *c, struct hd_call *call, const char *who);
-static void control_http_cost(struct control *c, struct hd_call *call, const char *who);
+static void control_http_health(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_metrics(struct control *c, struct hd_call *call,
+				 const char *operator_name);
+static void control_http_change(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_config(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_status(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_hosts(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_pools(struct control *c, struct hd_call *call, const char *operator_name);
+static void control_http_cost(struct control *c, struct hd_call *call, const char *operator_name);
 
 static const struct control_http_route control_http_routes[] = {
 	{"GET", "/healthz", true, control_http_health},
@@ -45,19 +47,19 @@
 	prog_reply_json(call, status, json_pack("{s:s, s:s}", "error", code, "reason", text));
 }
 
-static void control_http_health(struct control *c, struct hd_call *call, const char *who)
+static void control_http_health(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	(void)c;
-	(void)who;
+	(void)operator_name;
 	hd_reply(call, 200, "text/plain", "ok\n", 3);
 	hd_unref(call);
 }
 
-static void control_http_metrics(struct control *c, struct hd_call *call, const char *who)
+static void control_http_metrics(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	GString *out = g_string_new(NULL);
 
-	(void)who;
+	(void)operator_name;
 	g_string_append_printf(out, "bg_config_revision{} %" G_GINT64_FORMAT "\n",
 			       c->clog.revision);
 	g_string_append_printf(out, "bg_control_cpu_us_total{} %" G_GINT64_FORMAT "\n", c->cpu_us);
@@ -67,8 +69,11 @@
 	g_string_free(out, TRUE);
 }
 
-/* The revision in force on this host: the lowest of this daemon's and its entry daemons'. */
-static int64_t control_in_force(const struct control *c, int *entries)
+/*
+ * Returns the configuration revision in force on this host: the lowest of this daemon's and its
+ * entry daemons'. Stores the number of entry daemons in entries.
+ */
+static int64_t control_lowest_revision(const struct control *c, int *entries)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -87,12 +92,12 @@
 	return lowest;
 }
 
-static void control_http_status(struct control *c, struct hd_call *call, const char *who)
+static void control_http_status(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	int entries;
-	int64_t in_force = control_in_force(c, &entries);
+	int64_t in_force = control_lowest_revision(c, &entries);
 
-	(void)who;
+	(void)operator_name;
 	prog_reply_json(call, 200,
 			json_pack("{s:s, s:b, s:b, s:I, s:I, s:i, s:I, s:b}", "host",
 				  c->settings.name, "ready", c->clog.ready, "log_ok", c->log_ok,
@@ -101,7 +106,7 @@
 				  (json_int_t)c->clog.divergences, "stopping", c->stopping));
 }
 
-static void control_http_change(struct control *c, struct hd_call *call, const char *who)
+static void control_http_change(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	size_t len;
 	const char *body = hd_body(call, &len);
@@ -117,19 +122,20 @@
 	} else if (!c->clog.ready) {
 		control_http_error(call, 503, "not_ready", "this host has no configuration yet");
 	} else {
-		log_msg(LOG_INFO, "command id=%s by=%s", id, who);
-		control_command(
-			c, call, id, who, json_is_integer(expect) ? json_integer_value(expect) : -1,
+		log_msg(LOG_INFO, "command id=%s by=%s", id, operator_name);
+		control_command_start(
+			c, call, id, operator_name,
+			json_is_integer(expect) ? json_integer_value(expect) : -1,
 			str_make(json_string_value(statements), json_string_length(statements)));
 	}
 	json_decref(json);
 }
 
-static void control_http_config(struct control *c, struct hd_call *call, const char *who)
+static void control_http_config(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	GString *text = g_string_new(NULL);
 
-	(void)who;
+	(void)operator_name;
 	conf_export(c->clog.state, text);
 	prog_reply_json(call, 200,
 			json_pack("{s:I, s:s%}", "revision", (json_int_t)c->clog.revision, "text",
@@ -137,12 +143,12 @@
 	g_string_free(text, TRUE);
 }
 
-static void control_http_hosts(struct control *c, struct hd_call *call, const char *who)
+static void control_http_hosts(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	json_t *list = json_array();
 	int64_t now = tmr_now();
 
-	(void)who;
+	(void)operator_name;
 	for (guint i = 0; i < c->hosts.hosts->len; i++) {
 		const struct host *host = c->hosts.hosts->pdata[i];
 
@@ -192,13 +198,13 @@
 	return list;
 }
 
-static void control_http_pools(struct control *c, struct hd_call *call, const char *who)
+static void control_http_pools(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer value;
 
-	(void)who;
+	(void)operator_name;
 	g_hash_table_iter_init(&iter, c->pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct pool *pool = &((struct control_pool *)value)->pool;
@@ -214,7 +220,7 @@
 	prog_reply_json(call, 200, json_pack("{s:o}", "pools", list));
 }
 
-static json_t *control_counter(const char *name)
+static json_t *control_counter_json(const char *name)
 {
 	return json_integer((json_int_t)met_get(met_counter(name, "")));
 }
@@ -234,8 +240,8 @@
 	return kb;
 }
 
-/* Counters of what this daemon has cost so far; tools/slopes takes differences of them. */
-static void control_http_cost(struct control *c, struct hd_call *call, const char *who)
+/* Reports the resources used since the start; tools/slopes computes differences of them. */
+static void control_http_cost(struct control *c, struct hd_call *call, const char *operator_name)
 {
 	static const char *const counters[] = {
 		"bg_frames_sent_total",		"bg_frames_received_total",
@@ -248,17 +254,18 @@
 				 (json_int_t)(tmr_now() - c->started_us), "cpu_us",
 				 (json_int_t)c->cpu_us, "resident_kb", (int)control_resident_kb());
 
-	(void)who;
+	(void)operator_name;
 	for (size_t i = 0; i < G_N_ELEMENTS(counters); i++)
-		json_object_set_new(json, counters[i], control_counter(counters[i]));
+		json_object_set_new(json, counters[i], control_counter_json(counters[i]));
 	prog_reply_json(call, 200, json);
 }
 
 /*
- * Bearer tokens are NAME.SECRET. Before any operator is declared, the token of the settings file is
- * the only one that counts. Returns the operator's name or NULL.
+ * Checks the bearer token of a call, which has the form NAME.SECRET. As long as no operator is
+ * declared, only the bootstrap token of the settings file is valid. Returns the operator's name, to
+ * be freed with g_free(), or NULL.
  */
-static char *control_http_who(const struct control *c, struct hd_call *call)
+static char *control_http_authenticate(const struct control *c, struct hd_call *call)
 {
 	const char *header = hd_header(call, "Authorization");
 	const char *token = header ? prog_path_below(header, "Bearer ") : NULL;
@@ -286,20 +293,20 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(control_http_routes); i++) {
 		const struct control_http_route *route = &control_http_routes[i];
-		char *who;
+		char *operator_name;
 
 		if (strcmp(hd_path(call), route->path) != 0)
 			continue;
 		known = true;
 		if (strcmp(hd_method(call), route->method) != 0)
 			continue;
-		who = route->open ? g_strdup("") : control_http_who(c, call);
-		if (who)
-			route->fn(c, call, who);
+		operator_name = route->no_auth ? g_strdup("") : control_http_authenticate(c, call);
+		if (operator_name)
+			route->fn(c, call, operator_name);
 		else
 			control_http_error(call, 401, "unauthorized",
-					   "an operator's token is needed");
-		g_free(who);
+					   "a valid operator token is required");
+		g_free(operator_name);
 		return;
 	}
 	control_http_error(call, known ? 405 : 404, known ? "bad_method" : "not_found",
@@ -308,17 +315,17 @@
 
 static void control_http_on_call(void *ctx)
 {
-	struct control_http_mail *mail = ctx;
+	struct control_http_task *task = ctx;
 
-	control_http_dispatch(mail->c, mail->call);
-	g_free(mail);
+	control_http_dispatch(task->c, task->call);
+	g_free(task);
 }
 
 void control_http_handler(void *ctx, struct hd_call *call)
 {
-	struct control_http_mail *mail = g_new(struct control_http_mail, 1);
+	struct control_http_task *task = g_new(struct control_http_task, 1);
 
-	mail->c = ctx;
-	mail->call = call;
-	loop_post(&mail->c->loop, control_http_on_call, mail);
+	task->c = ctx;
+	task->call = call;
+	loop_post(&task->c->loop, control_http_on_call, task);
 }
--- a/prog/control_log.c
+++ b/prog/control_log.c
@@ -7,36 +7,45 @@
 #include <string.h>
 
 /*
- * Follows the configuration's stream of the platform's log, appends operators' commands and answers
- * them only after their record was read back, and writes snapshots.
+ * Follows the configuration's stream in the platform's log, appends operators' commands, answers
+ * each command only after its record was read back, and appends snapshots.
  */
 enum {
-	CONTROL_POLL_WAIT_MS = 5000,
+	/* Time for which a read waits at the platform for a new record, in milliseconds. */
+	CONTROL_READ_WAIT_MS = 5000,
+
+	/* Delay before a failed call, or the check of a command, is repeated, in microseconds. */
 	CONTROL_RETRY_US = 200000,
-	CONTROL_COMMAND_US = 8 * USEC_PER_SEC,
-	CONTROL_SNAPSHOT_PART = 4,
-	CONTROL_RANK_US = 500000
+
+	/* Time after which a command without a result is answered with 504, in microseconds. */
+	CONTROL_COMMAND_TIMEOUT_US = 8 * USEC_PER_SEC,
+
+	/* Snapshots that are written within the retention time of the log. */
+	CONTROL_SNAPSHOTS_PER_RETENTION = 4,
+
+	/* Additional delay of a snapshot for each preceding host, in microseconds. */
+	CONTROL_SNAPSHOT_RANK_DELAY_US = 500000
 };
 
-static void control_follow(void *ctx, int64_t now_us);
-static void control_on_read(void *ctx, int status, int err, bool sent, const char *body,
-			    size_t len);
-static void control_append_command(struct control_command *cmd);
-static void control_on_appended(void *ctx, int status, int err, bool sent, const char *body,
-				size_t len);
-static void control_on_retry(void *ctx, int64_t now_us);
-static void control_check_command(struct control_command *cmd);
-static void control_on_checked(void *ctx, int status, int err, bool sent, const char *body,
-			       size_t len);
-static void control_answer(struct control_command *cmd, const struct clog_verdict *verdict);
+static void control_log_follow(void *ctx, int64_t now_us);
+static void control_on_config_read(void *ctx, int status, int err, bool sent, const char *body,
+				   size_t len);
+static void control_command_append(struct control_command *cmd);
+static void control_on_command_appended(void *ctx, int status, int err, bool sent, const char *body,
+					size_t len);
+static void control_on_command_retry(void *ctx, int64_t now_us);
+static void control_command_check_log(struct control_command *cmd);
+static void control_on_command_checked(void *ctx, int status, int err, bool sent, const char *body,
+				       size_t len);
+static void control_command_reply(struct control_command *cmd, const struct clog_verdict *verdict);
 static void control_command_free(struct control_command *cmd);
 
-static const struct hc_ops control_read_ops = {.on_done = control_on_read};
-static const struct hc_ops control_append_ops = {.on_done = control_on_appended};
-static const struct hc_ops control_check_ops = {.on_done = control_on_checked};
+static const struct hc_ops control_config_read_ops = {.on_done = control_on_config_read};
+static const struct hc_ops control_command_append_ops = {.on_done = control_on_command_appended};
+static const struct hc_ops control_command_check_ops = {.on_done = control_on_command_checked};
 
-void control_append(struct control *c, const char *stream, const char *record,
-		    const struct hc_ops *ops, void *ctx)
+void control_log_append(struct control *c, const char *stream, const char *record,
+			const struct hc_ops *ops, void *ctx)
 {
 	char *url = g_strdup_printf("http://%s/log/%s", c->settings.platform, stream);
 	struct hc_request request = {
@@ -53,8 +62,8 @@
 	g_free(url);
 }
 
-void control_read(struct control *c, const char *stream, int64_t from, int64_t wait_ms,
-		  const struct hc_ops *ops, void *ctx)
+void control_log_read(struct control *c, const char *stream, int64_t from, int64_t wait_ms,
+		      const struct hc_ops *ops, void *ctx)
 {
 	char *url = g_strdup_printf("http://%s/log/%s?from=%" G_GINT64_FORMAT
 				    "&wait_ms=%" G_GINT64_FORMAT,
@@ -72,30 +81,33 @@
 
 void control_log_start(struct control *c)
 {
-	control_follow(c, tmr_now());
+	control_log_follow(c, tmr_now());
 }
 
-/* Until the node is ready it must not wait for new records: it has to learn where the log ends. */
-static void control_follow(void *ctx, int64_t now_us)
+/*
+ * Reads the next records. Until this daemon is ready, the read must not wait for new records,
+ * because it has to find the end of the log.
+ */
+static void control_log_follow(void *ctx, int64_t now_us)
 {
 	struct control *c = ctx;
 
 	(void)now_us;
-	control_read(c, "config", c->clog.next, c->clog.ready ? CONTROL_POLL_WAIT_MS : 0,
-		     &control_read_ops, c);
+	control_log_read(c, "config", c->clog.next, c->clog.ready ? CONTROL_READ_WAIT_MS : 0,
+			 &control_config_read_ops, c);
 }
 
-static void control_tell_commands(struct control *c, const struct clog_verdict *verdict)
+static void control_reply_to_commands(struct control *c, const struct clog_verdict *verdict)
 {
 	for (guint i = c->commands->len; i-- > 0;) {
 		struct control_command *cmd = c->commands->pdata[i];
 
 		if (strcmp(cmd->id, verdict->id) == 0)
-			control_answer(cmd, verdict);
+			control_command_reply(cmd, verdict);
 	}
 }
 
-static void control_take_record(struct control *c, const json_t *record)
+static void control_apply_record(struct control *c, const json_t *record)
 {
 	json_t *data = json_object_get(record, "data");
 	struct clog_verdict verdict;
@@ -111,22 +123,25 @@
 		return;
 	log_msg(LOG_INFO, "config_change id=%s outcome=%s revision=%" G_GINT64_FORMAT, verdict.id,
 		verdict.outcome == CLOG_ACCEPTED ? "accepted" : "rejected", verdict.revision);
-	control_tell_commands(c, &verdict);
+	control_reply_to_commands(c, &verdict);
 }
 
-/* Commands whose records were read while the node was not ready got no verdict then. */
-static void control_tell_known(struct control *c)
+/*
+ * Answers commands whose records were read before this daemon was ready: no verdict was known at
+ * that time.
+ */
+static void control_reply_to_decided_commands(struct control *c)
 {
 	for (guint i = c->commands->len; i-- > 0;) {
 		struct control_command *cmd = c->commands->pdata[i];
 		const struct clog_verdict *verdict = clog_find(&c->clog, cmd->id);
 
 		if (verdict)
-			control_answer(cmd, verdict);
+			control_command_reply(cmd, verdict);
 	}
 }
 
-static void control_take_read(struct control *c, const json_t *json)
+static void control_apply_read(struct control *c, const json_t *json)
 {
 	json_t *records = json_object_get(json, "records");
 	int64_t end = json_integer_value(json_object_get(json, "end"));
@@ -140,7 +155,7 @@
 		log_msg(LOG_WARNING, "config_gap next=%" G_GINT64_FORMAT, c->clog.next);
 	json_array_foreach(records, i, record)
 	{
-		control_take_record(c, record);
+		control_apply_record(c, record);
 	}
 	if (c->clog.next >= end && clog_on_end(&c->clog) < 0)
 		log_msg(LOG_WARNING, "config_without_snapshot next=%" G_GINT64_FORMAT,
@@ -148,12 +163,13 @@
 	if (c->clog.snapshot_at != snapshot)
 		c->snapshot_seen_us = tmr_now();
 	if (c->clog.revision != revision || c->clog.ready != ready) {
-		control_state_changed(c);
-		control_tell_known(c);
+		control_conf_changed(c);
+		control_reply_to_decided_commands(c);
 	}
 }
 
-static void control_on_read(void *ctx, int status, int err, bool sent, const char *body, size_t len)
+static void control_on_config_read(void *ctx, int status, int err, bool sent, const char *body,
+				   size_t len)
 {
 	struct control *c = ctx;
 	json_t *json = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
@@ -165,31 +181,31 @@
 				base_strerror(err));
 		c->log_ok = false;
 		met_add(met_counter("bg_log_read_failures_total", ""), 1);
-		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_follow, c);
+		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow, c);
 		return;
 	}
 	if (!c->log_ok)
 		log_msg(LOG_NOTICE, "log_ok next=%" G_GINT64_FORMAT, c->clog.next);
 	c->log_ok = true;
 	c->log_ok_us = tmr_now();
-	control_take_read(c, json);
+	control_apply_read(c, json);
 	json_decref(json);
 	if (c->clog.ready)
-		control_follow(c, tmr_now());
+		control_log_follow(c, tmr_now());
 	else
-		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_follow, c);
+		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow, c);
 }
 
-void control_state_changed(struct control *c)
+void control_conf_changed(struct control *c)
 {
 	met_add(met_counter("bg_config_changes_total", ""), 1);
 	control_hosts_on_conf(c);
 	control_pools_on_conf(c);
-	control_push_all(c);
+	control_push_updates_to_all(c);
 }
 
-void control_command(struct control *c, struct hd_call *call, const char *id, const char *by,
-		     int64_t expected, struct str statements)
+void control_command_start(struct control *c, struct hd_call *call, const char *id, const char *by,
+			   int64_t expected, struct str statements)
 {
 	struct control_command *cmd = g_new0(struct control_command, 1);
 
@@ -197,24 +213,24 @@
 	cmd->call = call;
 	cmd->id = g_strdup(id);
 	cmd->record = clog_change_record(id, expected, by, statements);
-	cmd->until_us = tmr_now() + CONTROL_COMMAND_US;
+	cmd->deadline_us = tmr_now() + CONTROL_COMMAND_TIMEOUT_US;
 	g_ptr_array_add(c->commands, cmd);
-	control_append_command(cmd);
+	control_command_append(cmd);
 }
 
-static void control_append_command(struct control_command *cmd)
+static void control_command_append(struct control_command *cmd)
 {
-	cmd->busy = true;
-	control_append(cmd->c, "config", cmd->record, &control_append_ops, cmd);
+	cmd->platform_call_pending = true;
+	control_log_append(cmd->c, "config", cmd->record, &control_command_append_ops, cmd);
 }
 
 /*
- * Only a record that was read back counts. An append that was refused outright is reported at once;
- * one whose answer was lost is looked for in the log, and appended again only when the log, read
- * after the loss, does not show it.
+ * A command takes effect only with a record that is read back. An append that was refused is
+ * reported to the operator immediately. If the answer to an append was lost, the log is read first
+ * and the record is appended again only if it is not there.
  */
-static void control_on_appended(void *ctx, int status, int err, bool sent, const char *body,
-				size_t len)
+static void control_on_command_appended(void *ctx, int status, int err, bool sent, const char *body,
+					size_t len)
 {
 	struct control_command *cmd = ctx;
 	struct control *c = cmd->c;
@@ -222,55 +238,57 @@
 
 	(void)body;
 	(void)len;
-	cmd->busy = false;
+	cmd->platform_call_pending = false;
 	if (!cmd->call) {
 		control_command_free(cmd);
 		return;
 	}
 	if (status != 200 && !refused)
-		cmd->uncertain = true;
-	if (refused && !cmd->uncertain) {
+		cmd->append_uncertain = true;
+	if (refused && !cmd->append_uncertain) {
 		hd_set_header(cmd->call, "Retry-After", "2");
-		prog_reply_json(cmd->call, 503,
-				json_pack("{s:s, s:s}", "outcome", "not_accepted", "reason",
-					  "the platform's log is out; nothing was changed"));
+		prog_reply_json(
+			cmd->call, 503,
+			json_pack("{s:s, s:s}", "outcome", "not_accepted", "reason",
+				  "the platform's log is unavailable; nothing was changed"));
 		cmd->call = NULL;
 		control_command_free(cmd);
 		return;
 	}
-	loop_after(&c->loop, &cmd->retry, CONTROL_RETRY_US, control_on_retry, cmd);
+	loop_after(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US, control_on_command_retry, cmd);
 }
 
-static void control_on_retry(void *ctx, int64_t now_us)
+static void control_on_command_retry(void *ctx, int64_t now_us)
 {
 	struct control_command *cmd = ctx;
 	struct control *c = cmd->c;
 
-	if (now_us > cmd->until_us) {
-		prog_reply_json(cmd->call, 504,
-				json_pack("{s:s, s:s, s:s}", "outcome", "unknown", "id", cmd->id,
-					  "reason",
-					  "the log did not show the change in time; ask again with "
-					  "the same id"));
+	if (now_us > cmd->deadline_us) {
+		prog_reply_json(
+			cmd->call, 504,
+			json_pack("{s:s, s:s, s:s}", "outcome", "unknown", "id", cmd->id, "reason",
+				  "the change was not read back from the log in time; retry "
+				  "with the same id"));
 		cmd->call = NULL;
 		control_command_free(cmd);
 		return;
 	}
-	if (cmd->uncertain)
-		control_check_command(cmd);
+	if (cmd->append_uncertain)
+		control_command_check_log(cmd);
 	else
-		loop_after(&c->loop, &cmd->retry, CONTROL_RETRY_US, control_on_retry, cmd);
+		loop_after(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US, control_on_command_retry,
+			   cmd);
 }
 
-/* Reads the log to its end to learn whether the uncertain append took effect. */
-static void control_check_command(struct control_command *cmd)
+/* Reads the log to its end to find out whether an append without an answer took effect. */
+static void control_command_check_log(struct control_command *cmd)
 {
-	cmd->busy = true;
-	control_read(cmd->c, "config", cmd->c->clog.next, 0, &control_check_ops, cmd);
+	cmd->platform_call_pending = true;
+	control_log_read(cmd->c, "config", cmd->c->clog.next, 0, &control_command_check_ops, cmd);
 }
 
-static void control_on_checked(void *ctx, int status, int err, bool sent, const char *body,
-			       size_t len)
+static void control_on_command_checked(void *ctx, int status, int err, bool sent, const char *body,
+				       size_t len)
 {
 	struct control_command *cmd = ctx;
 	json_t *json = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
@@ -278,30 +296,31 @@
 	(void)err;
 	(void)sent;
 	if (json)
-		control_take_read(cmd->c, json);
-	cmd->busy = false;
+		control_apply_read(cmd->c, json);
+	cmd->platform_call_pending = false;
 	if (!cmd->call)
 		control_command_free(cmd);
 	else if (json)
-		control_append_command(cmd);
+		control_command_append(cmd);
 	else
-		loop_after(&cmd->c->loop, &cmd->retry, CONTROL_RETRY_US, control_on_retry, cmd);
+		loop_after(&cmd->c->loop, &cmd->retry_timer, CONTROL_RETRY_US,
+			   control_on_command_retry, cmd);
 	json_decref(json);
 }
 
-/* A command with a call to the platform under way is freed when that ends. */
+/* Frees a command; if a call to the platform is in progress, the callback of that call frees it. */
 static void control_command_free(struct control_command *cmd)
 {
-	tmr_cancel(&cmd->c->loop.tmr, &cmd->retry);
+	tmr_cancel(&cmd->c->loop.tmr, &cmd->retry_timer);
 	g_ptr_array_remove_fast(cmd->c->commands, cmd);
-	if (cmd->busy)
+	if (cmd->platform_call_pending)
 		return;
 	g_free(cmd->id);
 	g_free(cmd->record);
 	g_free(cmd);
 }
 
-static void control_answer(struct control_command *cmd, const struct clog_verdict *verdict)
+static void control_command_reply(struct control_command *cmd, const struct clog_verdict *verdict)
 {
 	bool accepted = verdict->outcome == CLOG_ACCEPTED;
 
@@ -337,11 +356,11 @@
 	char *record = clog_snapshot_record(&c->clog);
 
 	c->snapshot_appending = true;
-	control_append(c, "config", record, &control_snapshot_ops, c);
+	control_log_append(c, "config", record, &control_snapshot_ops, c);
 	free(record);
 }
 
-/* How many hosts come before this one as the writer of the next snapshot. */
+/* Returns how many hosts precede this one in the order of writers of the next snapshot. */
 static int64_t control_snapshot_rank(const struct control *c, int64_t now_us)
 {
 	unsigned int rank;
@@ -356,19 +375,20 @@
 }
 
 /*
- * Records expire, so a snapshot must come well before the oldest record that it replaces is gone.
- * The host that hashing names writes first; the others wait a little longer each, in case it is
- * dead. Two snapshots do no harm.
+ * Appends a snapshot when one is due. Records expire, so a snapshot must be written well before the
+ * oldest record that it replaces expires. The first host by rendezvous hashing writes it; each
+ * further host waits longer and writes it if the hosts before it have failed. Two snapshots do
+ * no harm.
  */
 void control_log_tick(struct control *c, int64_t now_us)
 {
-	int64_t every = c->settings.retention_s * USEC_PER_SEC / CONTROL_SNAPSHOT_PART;
+	int64_t every = c->settings.retention_s * USEC_PER_SEC / CONTROL_SNAPSHOTS_PER_RETENTION;
 	int64_t since = now_us - MAX(c->snapshot_seen_us, c->started_us);
 
 	if (!c->clog.ready || !c->log_ok || c->snapshot_appending || c->clog.next == 0)
 		return;
 	if (since < every)
 		return;
-	if (since >= every + control_snapshot_rank(c, now_us) * CONTROL_RANK_US)
+	if (since >= every + control_snapshot_rank(c, now_us) * CONTROL_SNAPSHOT_RANK_DELAY_US)
 		control_write_snapshot(c);
 }
--- a/prog/control_pool.c
+++ b/prog/control_pool.c
@@ -7,32 +7,38 @@
 
 #include <string.h>
 
-/* Pools that this daemon is home of: their queues, and the load of their endpoints. */
+/* Pools of which this daemon is the home: their queues, and load polls of their endpoints. */
 enum {
+	/* Time without messages after which an unused pool is freed, in microseconds. */
 	CONTROL_POOL_UNUSED_US = 60 * USEC_PER_SEC,
-	CONTROL_NO_PATH_US = 2 * USEC_PER_SEC, /* how long asks wait for a pipeline to appear */
-	CONTROL_POLL_FAILURES = 2	       /* timeouts in a row that count as down */
+
+	/* Time for which requests wait while the pool has no pipeline, in microseconds. */
+	CONTROL_NO_PIPELINE_WAIT_US = 2 * USEC_PER_SEC,
+
+	/* Consecutive failed polls after which an endpoint counts as down. */
+	CONTROL_POLL_FAILURES_DOWN = 2
 };
 
-/* Asks one endpoint for its load, again and again. */
+/* Periodic requests for the load report of one endpoint. */
 struct control_poll {
 	struct control_pool *cp;
 	char *endpoint;
-	struct hc_call *call;
-	struct tmr timer;
-	int failures;
+	struct hc_call *call; /* Request in progress, or NULL. */
+	struct tmr timer;     /* Timer of the next request. */
+	int failures;	      /* Consecutive failed requests. */
 };
 
-static void control_poll_now(void *ctx, int64_t now_us);
+static void control_poll_send(void *ctx, int64_t now_us);
 static void control_on_load(void *ctx, int status, int err, bool sent, const char *body,
 			    size_t len);
-static void control_grant(void *ctx, const struct pool_grant *grant, int64_t wait_us);
-static void control_refuse(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
-			   int64_t retry_us);
+static void control_send_grant(void *ctx, const struct pool_grant *grant, int64_t wait_us);
+static void control_send_refusal(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
+				 int64_t retry_us);
 static void control_probe(void *ctx, const struct pool_endpoint *endpoint);
 
 static const struct hc_ops control_load_ops = {.on_done = control_on_load};
-static const struct pool_ops control_pool_ops = {control_grant, control_refuse, control_probe};
+static const struct pool_ops control_pool_ops = {control_send_grant, control_send_refusal,
+						 control_probe};
 
 static void control_poll_free(gpointer data)
 {
@@ -45,7 +51,7 @@
 	g_free(poll);
 }
 
-static enum pool_policy control_policy(const struct control *c)
+static enum pool_policy control_parse_policy(const struct control *c)
 {
 	for (int i = 0; i < POOL_POLICY_COUNT; i++) {
 		if (strcmp(c->settings.policy, pool_policy_name((enum pool_policy)i)) == 0)
@@ -54,8 +60,8 @@
 	return POOL_POLICY_FLOW;
 }
 
-/* Starts to poll endpoints that are new in the pool, and stops for those that are not in it. */
-static void control_pool_polls(struct control_pool *cp)
+/* Starts polls of endpoints added to the pool, and stops polls of removed ones. */
+static void control_sync_polls(struct control_pool *cp)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -70,7 +76,7 @@
 		poll->cp = cp;
 		poll->endpoint = g_strdup(e->name);
 		g_hash_table_insert(cp->polls, poll->endpoint, poll);
-		control_poll_now(poll, tmr_now());
+		control_poll_send(poll, tmr_now());
 	}
 	g_hash_table_iter_init(&iter, cp->polls);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
@@ -79,11 +85,12 @@
 	}
 }
 
-static struct control_pool *control_pool(struct control *c, const char *name)
+/* Returns a pool by name; creates it at first use. */
+static struct control_pool *control_pool_get(struct control *c, const char *name)
 {
 	struct control_pool *cp = g_hash_table_lookup(c->pools, name);
-	struct pool_settings settings = {control_policy(c), (int)c->settings.overlap_percent, 1,
-					 CONTROL_NO_PATH_US};
+	struct pool_settings settings = {control_parse_policy(c), (int)c->settings.overlap_percent,
+					 1, CONTROL_NO_PIPELINE_WAIT_US};
 
 	if (!cp) {
 		cp = g_new0(struct control_pool, 1);
@@ -93,9 +100,9 @@
 		g_hash_table_insert(c->pools, cp->pool.name, cp);
 		log_msg(LOG_INFO, "pool_home pool=%s", name);
 		pool_on_conf(&cp->pool, c->clog.state, tmr_now());
-		control_pool_polls(cp);
+		control_sync_polls(cp);
 	}
-	cp->used_us = tmr_now();
+	cp->last_used_us = tmr_now();
 	return cp;
 }
 
@@ -109,7 +116,7 @@
 		struct control_pool *cp = value;
 
 		pool_on_conf(&cp->pool, c->clog.state, tmr_now());
-		control_pool_polls(cp);
+		control_sync_polls(cp);
 	}
 }
 
@@ -123,7 +130,7 @@
 		struct control_pool *cp = value;
 
 		pool_on_tick(&cp->pool, now_us);
-		if (now_us - cp->used_us < CONTROL_POOL_UNUSED_US ||
+		if (now_us - cp->last_used_us < CONTROL_POOL_UNUSED_US ||
 		    g_hash_table_size(cp->pool.grants) > 0)
 			continue;
 		log_msg(LOG_INFO, "pool_left pool=%s", cp->pool.name);
@@ -134,7 +141,7 @@
 	}
 }
 
-void control_pools_conn_gone(struct control *c, uint64_t conn)
+void control_pools_conn_closed(struct control *c, uint64_t conn)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -144,7 +151,7 @@
 		pool_on_entry_gone(&((struct control_pool *)value)->pool, conn, tmr_now());
 }
 
-static void control_poll_now(void *ctx, int64_t now_us)
+static void control_poll_send(void *ctx, int64_t now_us)
 {
 	struct control_poll *poll = ctx;
 	struct control *c = poll->cp->c;
@@ -172,8 +179,8 @@
 	bool down;
 
 	poll->failures++;
-	down = err == BASE_EREFUSED || poll->failures >= CONTROL_POLL_FAILURES;
-	if (down && poll->failures <= CONTROL_POLL_FAILURES) {
+	down = err == BASE_EREFUSED || poll->failures >= CONTROL_POLL_FAILURES_DOWN;
+	if (down && poll->failures <= CONTROL_POLL_FAILURES_DOWN) {
 		log_msg(LOG_WARNING, "endpoint_down endpoint=%s reason=\"%s\"", poll->endpoint,
 			base_strerror(err));
 		met_add(met_counter("bg_endpoint_down_total", ""), 1);
@@ -183,10 +190,11 @@
 }
 
 /*
- * Whether the endpoint reports the version and layers that are declared. Until it does (an order is
- * under way, or a wrong one arrived late) requests that are sent there come back as not run.
+ * Returns whether the endpoint reports the declared version and layers. Until it does, because an
+ * order is being executed or an outdated one arrived late, the endpoint rejects requests as not
+ * run.
  */
-static bool control_holds(const struct control_poll *poll, const json_t *report)
+static bool control_load_matches_conf(const struct control_poll *poll, const json_t *report)
 {
 	const struct pool_endpoint *e = pool_find(&poll->cp->pool, poll->endpoint);
 	const char *version = json_string_value(json_object_get(report, "version"));
@@ -206,21 +214,21 @@
 	(void)sent;
 	poll->call = NULL;
 	if (json) {
-		if (poll->failures >= CONTROL_POLL_FAILURES)
+		if (poll->failures >= CONTROL_POLL_FAILURES_DOWN)
 			log_msg(LOG_NOTICE, "endpoint_up endpoint=%s", poll->endpoint);
 		poll->failures = 0;
 		pool_on_load(&poll->cp->pool, poll->endpoint,
 			     (int)json_integer_value(json_object_get(json, "running")),
 			     json_is_true(json_object_get(json, "leaving")) ||
-				     !control_holds(poll, json),
+				     !control_load_matches_conf(poll, json),
 			     tmr_now());
 	} else {
 		control_poll_failed(poll, err < 0 ? err : BASE_EHTTP);
-		if (poll->failures < CONTROL_POLL_FAILURES)
+		if (poll->failures < CONTROL_POLL_FAILURES_DOWN)
 			delay = 0;
 	}
 	json_decref(json);
-	loop_after(&c->loop, &poll->timer, delay, control_poll_now, poll);
+	loop_after(&c->loop, &poll->timer, delay, control_poll_send, poll);
 }
 
 static void control_probe(void *ctx, const struct pool_endpoint *endpoint)
@@ -229,18 +237,18 @@
 	struct control_poll *poll = g_hash_table_lookup(cp->polls, endpoint->name);
 
 	if (poll && !poll->call)
-		loop_after(&cp->c->loop, &poll->timer, 0, control_poll_now, poll);
+		loop_after(&cp->c->loop, &poll->timer, 0, control_poll_send, poll);
 }
 
-static struct control_conn *control_conn_of(struct control *c, uint64_t id)
+static struct control_conn *control_conn_find(struct control *c, uint64_t id)
 {
 	return g_hash_table_lookup(c->conns, &id);
 }
 
-static void control_grant(void *ctx, const struct pool_grant *grant, int64_t wait_us)
+static void control_send_grant(void *ctx, const struct pool_grant *grant, int64_t wait_us)
 {
 	struct control_pool *cp = ctx;
-	struct control_conn *conn = control_conn_of(cp->c, grant->entry);
+	struct control_conn *conn = control_conn_find(cp->c, grant->entry);
 	Pool__Grant msg = POOL__GRANT__INIT;
 	char *stages[FLOW_STAGES_MAX];
 	char *labels;
@@ -259,11 +267,11 @@
 	g_free(labels);
 }
 
-static void control_refuse(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
-			   int64_t retry_us)
+static void control_send_refusal(void *ctx, uint64_t entry, uint64_t ask_id, enum pool_refusal why,
+				 int64_t retry_us)
 {
 	struct control_pool *cp = ctx;
-	struct control_conn *conn = control_conn_of(cp->c, entry);
+	struct control_conn *conn = control_conn_find(cp->c, entry);
 	Pool__Refuse msg = POOL__REFUSE__INIT;
 	char *labels = g_strdup_printf("why=\"%s\"", pool_refusal_name(why));
 
@@ -276,8 +284,8 @@
 		frm_send(conn->conn, MSG_POOL_REFUSE, &msg.base);
 }
 
-/* The limits of the account as declared; one that is not declared any more gets the least. */
-static struct fair_limits control_limits(const struct control *c, const char *account)
+/* Returns the declared limits of an account; the lowest ones if it is not declared any more. */
+static struct fair_limits control_account_limits(const struct control *c, const char *account)
 {
 	const struct conf_obj *obj = conf_get(c->clog.state, CONF_ACCOUNT, account);
 	struct fair_limits limits = {1, 1, 1};
@@ -290,8 +298,8 @@
 	return limits;
 }
 
-/* A NULL-terminated copy of a message's list; the texts stay the message's. */
-static char **control_names(char **names, size_t n)
+/* Returns a NULL-terminated copy of a message's list; the strings still belong to the message. */
+static char **control_string_list(char **names, size_t n)
 {
 	char **list = g_new0(char *, n + 1);
 
@@ -303,19 +311,19 @@
 int control_on_ask(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Ask *msg = pool__ask__unpack(NULL, len, body);
-	struct control_conn *own = frm_data(conn);
+	struct control_conn *peer = frm_data(conn);
 	int64_t now = tmr_now();
 	struct pool_ask ask;
 	char **exclude;
 
 	if (!msg)
 		return BASE_EFRAME;
-	exclude = control_names(msg->exclude, msg->n_exclude);
+	exclude = control_string_list(msg->exclude, msg->n_exclude);
 	ask = (struct pool_ask){
-		.entry = own->id,
+		.entry = peer->id,
 		.ask_id = msg->ask_id,
 		.account = msg->account,
-		.limits = control_limits(c, msg->account),
+		.limits = control_account_limits(c, msg->account),
 		.version = msg->version,
 		.tokens = msg->tokens,
 		.deadline_us = now + (int64_t)msg->wait_us,
@@ -323,7 +331,7 @@
 		.exclude = (const char *const *)exclude,
 	};
 	met_add(met_counter("bg_grants_asked_total", ""), 1);
-	pool_on_ask(&control_pool(c, msg->pool)->pool, &ask, now);
+	pool_on_ask(&control_pool_get(c, msg->pool)->pool, &ask, now);
 	g_free(exclude);
 	pool__ask__free_unpacked(msg, NULL);
 	return 0;
@@ -332,11 +340,11 @@
 int control_on_withdraw(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Withdraw *msg = pool__withdraw__unpack(NULL, len, body);
-	struct control_conn *own = frm_data(conn);
+	struct control_conn *peer = frm_data(conn);
 
 	if (!msg)
 		return BASE_EFRAME;
-	pool_on_withdraw(&control_pool(c, msg->pool)->pool, own->id, msg->ask_id, tmr_now());
+	pool_on_withdraw(&control_pool_get(c, msg->pool)->pool, peer->id, msg->ask_id, tmr_now());
 	pool__withdraw__free_unpacked(msg, NULL);
 	return 0;
 }
@@ -351,7 +359,7 @@
 			pool__done__free_unpacked(msg, NULL);
 		return BASE_EFRAME;
 	}
-	pool_on_done(&control_pool(c, msg->pool)->pool, msg->grant_id, msg->tokens,
+	pool_on_done(&control_pool_get(c, msg->pool)->pool, msg->grant_id, msg->tokens,
 		     (enum pool_outcome)msg->outcome, msg->bad[0] ? msg->bad : NULL, tmr_now());
 	pool__done__free_unpacked(msg, NULL);
 	return 0;
@@ -360,23 +368,23 @@
 int control_on_holding(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Holding *msg = pool__holding__unpack(NULL, len, body);
-	struct control_conn *own = frm_data(conn);
+	struct control_conn *peer = frm_data(conn);
 	Pool__Held answer = POOL__HELD__INIT;
 	struct pool_ask ask;
 	char **stages;
 
 	if (!msg)
 		return BASE_EFRAME;
-	stages = control_names(msg->stages, msg->n_stages);
+	stages = control_string_list(msg->stages, msg->n_stages);
 	ask = (struct pool_ask){
-		.entry = own->id,
+		.entry = peer->id,
 		.ask_id = msg->ask_id,
 		.account = msg->account,
-		.limits = control_limits(c, msg->account),
+		.limits = control_account_limits(c, msg->account),
 		.tokens = msg->tokens,
 	};
 	answer.ask_id = msg->ask_id;
-	answer.grant_id = pool_on_holding(&control_pool(c, msg->pool)->pool, &ask,
+	answer.grant_id = pool_on_holding(&control_pool_get(c, msg->pool)->pool, &ask,
 					  (const char *const *)stages);
 	frm_send(conn, MSG_POOL_HELD, &answer.base);
 	g_free(stages);
