--- a/prog/router.c
+++ b/prog/router.c
@@ -11,19 +11,29 @@
 
 enum {
 	/*
-	 * After the host has become unready the balancer still sends new connections for two looks,
-	 * a second apart; it serves them until then.
+	 * Time for which a stopping host serves new connections, in milliseconds. The balancer
+	 * stops sending them only after two readiness checks, a second apart.
 	 */
-	ROUTER_LINGER_MS = 3000,
-	ROUTER_POLL_MS = 100,
-	ROUTER_QUIET_POLLS = 4,	   /* looks without a request before the end */
-	ROUTER_END_MS = 400,	   /* of the grace time, left for the end itself */
-	ROUTER_SETTINGS_MS = 2000, /* between looks whether the settings file has changed */
-	ROUTER_PENDING_MAX = 4 << 20,
-	ROUTER_BODY_MAX = 4 << 20,
-	ROUTER_THREADS = 1
+	ROUTER_STOP_SERVE_MS = 3000,
+
+	/* Interval of checks whether a stopping host can exit, in milliseconds. */
+	ROUTER_STOP_POLL_MS = 100,
+
+	/* Consecutive checks without open requests before the exit. */
+	ROUTER_STOP_IDLE_POLLS = 4,
+
+	/* Part of the grace time reserved for the exit itself, in milliseconds. */
+	ROUTER_EXIT_RESERVE_MS = 400,
+
+	/* Interval of checks whether the settings file has changed, in milliseconds. */
+	ROUTER_SETTINGS_POLL_MS = 2000,
+
+	ROUTER_PENDING_MAX = 4 << 20, /* Limit of unsent bytes of a response. */
+	ROUTER_BODY_MAX = 4 << 20,    /* Limit of a request's body, in bytes. */
+	ROUTER_THREADS = 1	      /* Threads of each HTTP server. */
 };
 
+/* A row of the table of settings: section and key of the file, type, field, default and range. */
 #define ITEM(section, key, type, field, initial, min, max)                                         \
 	{                                                                                          \
 		section, key, type, offsetof(struct router_settings, field), initial, min, max     \
@@ -53,29 +63,31 @@
 };
 const size_t router_items_n = G_N_ELEMENTS(router_items);
 
-/* Sections in which hosts should agree; the others say who and where a host is. */
-static const char *const router_shared[] = {"store", "endpoints", "repeats", "stop", "log", NULL};
+/* Sections whose settings should be the same on all hosts; the others identify a host. */
+static const char *const router_shared_sections[] = {"store", "endpoints", "repeats",
+						     "stop",  "log",	   NULL};
 
 #define ROUTER_STATE_PATH "/state"
 #define ROUTER_CLEAR_PATH "/quarantine/clear"
 
 /*
- * By this a change of the settings file is seen. Seconds alone are not enough: of two changes
- * within one, the second would not be in force until a third.
+ * Identifies a state of the settings file, to detect changes. The modification time includes
+ * nanoseconds: with seconds alone, the second of two changes within one second would not be
+ * detected until a third change.
  */
-struct router_file {
-	struct timespec time;
-	ino_t inode; /* another file may be put in its place with an older time */
-	off_t size;
+struct router_file_stamp {
+	struct timespec time; /* Time of the last modification. */
+	ino_t inode;	      /* Detects a replacement by a file with an older time. */
+	off_t size;	      /* Size in bytes. */
 };
 
 struct router_main {
 	struct router router;
 	struct loop loop;
-	struct tmr stop_timer;
-	struct tmr settings_timer;
-	int quiet;
-	struct router_file settings_file;
+	struct tmr stop_timer;	   /* Timer of the next check whether the host can exit. */
+	struct tmr settings_timer; /* Timer of the next check for a changed settings file. */
+	int idle_polls;		   /* Consecutive checks without open requests. */
+	struct router_file_stamp settings_file; /* The settings file when it was last checked. */
 };
 
 static struct router_main router_main;
@@ -132,7 +144,8 @@
 	exit(PROG_EXIT_FAILED);
 }
 
-static void router_log(const char *event, const char *detail)
+/* Logs an event of the process together with its main settings. */
+static void router_log_event(const char *event, const char *detail)
 {
 	const struct router *router = &router_main.router;
 	const struct router_settings *s = &router->settings;
@@ -149,20 +162,22 @@
 	jl_end();
 }
 
-/* Notes which settings are in force, and how that came about. */
-static void router_note_settings(struct router *router, const char *by)
+/* Records the digest of the settings in force and the cause of the last change. */
+static void router_set_origin(struct router *router, const char *cause)
 {
 	router_origin_set(
 		&router->settings_origin,
-		set_digest(router_items, router_items_n, &router->settings, router_shared), by);
+		set_digest(router_items, router_items_n, &router->settings, router_shared_sections),
+		cause);
 }
 
 /*
- * Takes the settings that can change while the program runs. The others stay as they are until a
- * restart, and are named: a host of which nobody knows that it waits runs other settings than its
- * file says. Returns whether anything has changed.
+ * Applies the settings that can change while the program runs. Other changes take effect at the
+ * next restart; their keys are reported as waiting, so that operators know that the host runs with
+ * other settings than its file contains. Returns whether anything has changed.
  */
-static bool router_adopt(struct router *router, struct router_settings *fresh, const char *by)
+static bool router_apply_settings(struct router *router, struct router_settings *fresh,
+				  const char *cause)
 {
 	GString *waiting = g_string_new(NULL);
 	char *before = router->settings_waiting;
@@ -175,16 +190,18 @@
 	jl_set_rate(fresh->log_lines);
 	set_differing(router_items, router_items_n, &router->settings, fresh, waiting);
 	router->settings_waiting = g_string_free(waiting, FALSE);
-	router_note_settings(router, by);
+	router_set_origin(router, cause);
 	changed = digest != router->settings_origin.digest ||
 		  strcmp(before ? before : "", router->settings_waiting) != 0;
 	g_free(before);
 	return changed;
 }
 
-/* A file that was changed back, or read at the start already, is no news unless one was asked for.
+/*
+ * Reads the settings file again. A file without effective changes, such as one that was changed
+ * back or was read at the start already, is logged only if the reload was requested.
  */
-static void router_reload(struct router_main *m, const char *by, bool asked)
+static void router_reload(struct router_main *m, const char *cause, bool requested)
 {
 	struct router_origin before = m->router.settings_origin;
 	struct router_settings fresh;
@@ -193,9 +210,9 @@
 	memset(&fresh, 0, sizeof(fresh));
 	if (set_load(prog_config_path(), router_items, router_items_n, &fresh, errors) < 0) {
 		g_strdelimit(errors->str, "\n", ' ');
-		router_log("reload_failed", errors->str);
-	} else if (router_adopt(&m->router, &fresh, by) || asked) {
-		router_log("reload", NULL);
+		router_log_event("reload_failed", errors->str);
+	} else if (router_apply_settings(&m->router, &fresh, cause) || requested) {
+		router_log_event("reload", NULL);
 	} else {
 		m->router.settings_origin = before;
 	}
@@ -208,10 +225,13 @@
 	router_reload(ctx, "signal", true);
 }
 
-/* A file that is gone for a moment, while it is replaced, is no change. */
-static bool router_file_changed(struct router_file *file)
+/*
+ * Returns whether the settings file has changed. A missing file is no change: it may be about to be
+ * replaced.
+ */
+static bool router_file_changed(struct router_file_stamp *file)
 {
-	struct router_file now;
+	struct router_file_stamp now;
 	struct stat st;
 
 	if (stat(prog_config_path(), &st) < 0)
@@ -226,34 +246,35 @@
 	return true;
 }
 
-static void router_on_settings_time(void *ctx, int64_t now_us)
+static void router_on_settings_timer(void *ctx, int64_t now_us)
 {
 	struct router_main *m = ctx;
 
 	(void)now_us;
 	if (router_file_changed(&m->settings_file))
 		router_reload(m, "file", false);
-	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_MS),
-		   router_on_settings_time, m);
+	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_POLL_MS),
+		   router_on_settings_timer, m);
 }
 
 /*
- * The process ends when no request has been open for a few looks in a row and the balancer has had
- * its time, or just before it would be killed.
+ * Ends the process when no request has been open for several consecutive checks and the balancer
+ * has had time to stop sending connections, or shortly before the grace time ends and the process
+ * would be killed.
  */
-static void router_on_stop_time(void *ctx, int64_t now_us)
+static void router_on_stop_timer(void *ctx, int64_t now_us)
 {
 	struct router_main *m = ctx;
 	int64_t since_ms = (now_us - m->router.stop_us) / TMR_US_PER_MS;
 	bool open = tf_open(m->router.tf) > 0 || hd_open(m->router.front) > 0;
 
-	m->quiet = open ? 0 : m->quiet + 1;
-	if ((since_ms >= ROUTER_LINGER_MS && m->quiet >= ROUTER_QUIET_POLLS) ||
-	    since_ms >= m->router.settings.grace_s * 1000 - ROUTER_END_MS) {
+	m->idle_polls = open ? 0 : m->idle_polls + 1;
+	if ((since_ms >= ROUTER_STOP_SERVE_MS && m->idle_polls >= ROUTER_STOP_IDLE_POLLS) ||
+	    since_ms >= m->router.settings.grace_s * 1000 - ROUTER_EXIT_RESERVE_MS) {
 		loop_stop(&m->loop);
 		return;
 	}
-	loop_after(&m->loop, &m->stop_timer, tmr_ms(ROUTER_POLL_MS), router_on_stop_time, m);
+	loop_after(&m->loop, &m->stop_timer, tmr_ms(ROUTER_STOP_POLL_MS), router_on_stop_timer, m);
 }
 
 static void router_on_stop(void *ctx)
@@ -263,11 +284,11 @@
 	if (m->router.stop_us > 0)
 		return;
 	m->router.stop_us = tmr_now();
-	router_log("stopping", NULL);
+	router_log_event("stopping", NULL);
 	g_atomic_int_set(&m->router.stopping, 1);
 	hd_set_closing(m->router.front);
 	rc_stop(m->router.rc);
-	loop_after(&m->loop, &m->stop_timer, 0, router_on_stop_time, m);
+	loop_after(&m->loop, &m->stop_timer, 0, router_on_stop_timer, m);
 }
 
 int main(int argc, char **argv)
@@ -289,11 +310,11 @@
 	router->metrics_hd =
 		router_listen(router->settings.metrics, router_on_metrics_call, router);
 	router->rc = rc_start(router, &m->loop);
-	router_note_settings(router, "start");
-	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_MS),
-		   router_on_settings_time, m);
-	router_log("start", PROG_VERSION);
+	router_set_origin(router, "start");
+	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_POLL_MS),
+		   router_on_settings_timer, m);
+	router_log_event("start", PROG_VERSION);
 	loop_run(&m->loop);
-	router_log("stop", NULL);
+	router_log_event("stop", NULL);
 	_Exit(PROG_EXIT_OK);
 }
