--- a/fake/engine.c
+++ b/fake/engine.c
@@ -9,19 +9,20 @@
 #include <unistd.h>
 
 /*
- * Stand-in for model engines and plain services: plays every endpoint and service of a file of
- * declarations, each on its own port, and keeps a ledger of what truly ran.
+ * Simulates model engines and plain services: serves every endpoint and service of a declarations
+ * file, each on its own port, and keeps a ledger of all work that was executed.
  */
 enum {
-	ENGINE_BODY_MAX = 8 << 20,
-	ENGINE_PENDING_MAX = 64 << 20,
-	ENGINE_TICK_US = 10000,
-	ENGINE_SWEEP_US = 100000,
+	ENGINE_BODY_MAX = 8 << 20,     /* largest request body, in bytes */
+	ENGINE_PENDING_MAX = 64 << 20, /* most unsent data of a response, in bytes */
+	ENGINE_TICK_US = 10000,	       /* interval of the periodic timer, in microseconds */
+	ENGINE_SWEEP_US = 100000,      /* interval between sweeps of the runs, in microseconds */
 	USEC_PER_MSEC = 1000,
 	USEC_PER_SEC = 1000000
 };
 
-struct engine_mail {
+/* Request that an HTTP thread posts to the event loop. */
+struct engine_posted_call {
 	struct engine *engine;
 	struct hd_call *call;
 };
@@ -38,9 +39,9 @@
 	{"engine", "service_ms", SET_INT, ENGINE_OFF(service_ms), "20", 0, 100000},
 };
 
-static const struct sim_ops engine_sim_ops = {engine_on_changed};
+static const struct sim_ops engine_sim_ops = {engine_on_run_changed};
 
-void engine_unlisten(struct engine_port *port)
+void engine_stop_listening(struct engine_port *port)
 {
 	if (!port->listening)
 		return;
@@ -66,14 +67,14 @@
 static void engine_handle(struct engine *engine, struct engine_port *port, struct hd_call *call)
 {
 	if (port->endpoint)
-		engine_model_call(engine, port, call);
+		engine_handle_model_call(engine, port, call);
 	else
-		engine_service_call(engine, port, call);
+		engine_handle_service_call(engine, port, call);
 }
 
 static void engine_on_call(void *ctx)
 {
-	struct engine_mail *mail = ctx;
+	struct engine_posted_call *mail = ctx;
 	struct engine *engine = mail->engine;
 	struct hd_call *call = mail->call;
 	struct engine_port *port =
@@ -81,7 +82,7 @@
 
 	g_free(mail);
 	if (!port) {
-		engine_admin_call(engine, call);
+		engine_handle_admin_call(engine, call);
 	} else if (port->endpoint && port->endpoint->dead) {
 		hd_abort(call);
 		hd_unref(call);
@@ -94,7 +95,7 @@
 
 static void engine_handler(void *ctx, struct hd_call *call)
 {
-	struct engine_mail *mail = g_new(struct engine_mail, 1);
+	struct engine_posted_call *mail = g_new(struct engine_posted_call, 1);
 
 	mail->engine = ctx;
 	mail->call = call;
@@ -153,7 +154,7 @@
 	g_strfreev(addresses);
 }
 
-static void engine_sample(struct engine *engine)
+static void engine_sample_load(struct engine *engine)
 {
 	for (guint i = 0; i < engine->ports->len; i++) {
 		struct engine_port *port = engine->ports->pdata[i];
@@ -165,7 +166,7 @@
 	}
 }
 
-static void engine_release_held(struct engine *engine)
+static void engine_handle_held_calls(struct engine *engine)
 {
 	for (guint i = 0; i < engine->ports->len; i++) {
 		struct engine_port *port = engine->ports->pdata[i];
@@ -183,12 +184,12 @@
 	struct engine *engine = ctx;
 
 	if (now_us - engine->swept_us >= ENGINE_SWEEP_US)
-		engine_sweep(engine, now_us);
-	engine_answer_late(engine, now_us);
-	engine_release_held(engine);
+		engine_sweep_runs(engine, now_us);
+	engine_send_due_replies(engine, now_us);
+	engine_handle_held_calls(engine);
 	if (now_us - engine->sampled_us >= engine->settings.load_lag_ms * USEC_PER_MSEC) {
 		engine->sampled_us = now_us;
-		engine_sample(engine);
+		engine_sample_load(engine);
 	}
 	loop_after(&engine->loop, &engine->tick, ENGINE_TICK_US, engine_on_tick, engine);
 }
@@ -200,7 +201,7 @@
 	loop_stop(&engine->loop);
 }
 
-static struct conf_state *engine_declarations(const char *path)
+static struct conf_state *engine_read_declarations(const char *path)
 {
 	struct conf_state *empty = conf_state_new();
 	struct conf_problem problem;
@@ -226,8 +227,7 @@
 
 int main(int argc, char **argv)
 {
-	/* Not on the stack: the HTTP library's threads may still post a call while main() returns.
-	 */
+	/* Static, because the HTTP library's threads may still post a call while main() returns. */
 	static struct engine engine;
 	struct hd_config config = {
 		.threads = 4,
@@ -247,8 +247,8 @@
 	engine.sim.prefill_divisor = engine.settings.prefill_divisor;
 	engine.ports = g_ptr_array_new();
 	engine.by_port = g_hash_table_new(NULL, NULL);
-	engine.conf = engine_declarations(engine.settings.declarations);
-	sim_load(&engine.sim, engine.conf);
+	engine.conf = engine_read_declarations(engine.settings.declarations);
+	sim_add_declarations(&engine.sim, engine.conf);
 	engine.hd = hd_start(&config);
 	config.addr = engine.settings.admin;
 	config.threads = 1;
--- a/fake/engine_admin.c
+++ b/fake/engine_admin.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* The stand-in's own side: the ledger of what truly ran, and faults. */
+/* Admin interface: ledger of the executed work, statistics and fault injection. */
 static void engine_ledger(struct engine *engine, struct engine_port *port, struct hd_call *call,
 			  const char *rest);
 static void engine_fault(struct engine *engine, struct engine_port *port, struct hd_call *call,
@@ -54,7 +54,7 @@
 	prog_reply_json(call, 200, json_pack("{s:o}", "endpoints", list));
 }
 
-static struct engine_port *engine_port_named(struct engine *engine, const char *name)
+static struct engine_port *engine_find_port(struct engine *engine, const char *name)
 {
 	for (guint i = 0; i < engine->ports->len; i++) {
 		struct engine_port *port = engine->ports->pdata[i];
@@ -66,20 +66,21 @@
 	return NULL;
 }
 
-/* {"endpoint": NAME, "fault": "die|revive|silent|wake|leave|mute|drop|slow", "factor": N} */
+/* Body of POST /fault: {"endpoint": NAME, "fault": "die|revive|silent|wake|leave|mute|drop|slow",
+ * "factor": N} */
 static void engine_apply_fault(struct engine *engine, struct engine_port *port, const char *fault,
 			       double factor)
 {
 	struct sim_endpoint *e = port->endpoint;
 
 	if (strcmp(fault, "die") == 0) {
-		engine_unlisten(port);
+		engine_stop_listening(port);
 		if (e)
-			sim_kill(&engine->sim, e);
+			sim_kill_endpoint(&engine->sim, e);
 	} else if (strcmp(fault, "revive") == 0) {
 		engine_listen(port);
 		if (e)
-			sim_revive(e);
+			sim_revive_endpoint(e);
 	} else if (e && strcmp(fault, "silent") == 0) {
 		sim_set_silent(&engine->sim, e, true);
 	} else if (e && strcmp(fault, "wake") == 0) {
@@ -89,7 +90,7 @@
 	} else if (strcmp(fault, "drop") == 0) {
 		port->drop = true;
 	} else if (strcmp(fault, "mute") == 0) {
-		engine_mute(engine, port);
+		engine_mute_streams(engine, port);
 	} else if (e && strcmp(fault, "slow") == 0) {
 		e->slow = factor;
 	}
@@ -105,7 +106,7 @@
 	const char *fault = json_string_value(json_object_get(json, "fault"));
 
 	(void)rest;
-	port = name ? engine_port_named(engine, name) : NULL;
+	port = name ? engine_find_port(engine, name) : NULL;
 	if (!port || !fault) {
 		prog_reply_json(call, 400,
 				json_pack("{s:s}", "error", "unknown endpoint or fault"));
@@ -118,9 +119,9 @@
 	json_decref(json);
 }
 
-void engine_admin_call(struct engine *engine, struct hd_call *call)
+void engine_handle_admin_call(struct engine *engine, struct hd_call *call)
 {
 	if (!engine_dispatch(engine, NULL, call, engine_admin_routes,
 			     G_N_ELEMENTS(engine_admin_routes)))
-		engine_error(call, 404, "no_such_path");
+		engine_reply_error(call, 404, "no_such_path");
 }
--- a/fake/engine_model.c
+++ b/fake/engine_model.c
@@ -3,18 +3,18 @@
 
 #include <string.h>
 
-/* What a model engine's port serves: runs and their streams, load reports, orders. */
+/* HTTP interface of a model endpoint: runs and their streams, load reports, orders. */
 enum {
-	ENGINE_PROMPT_CHARS = 4, /* of a prompt, that count as one token */
+	ENGINE_PROMPT_CHARS = 4, /* characters of a prompt that count as one token */
 	USEC_PER_SEC = 1000000
 };
 
-/* A caller that listens to a run. */
+/* Event stream that sends the tokens of a run to one caller. */
 struct engine_stream {
 	struct hd_call *call;
 	struct engine_port *port;
 	uint64_t next; /* index of the next token to send */
-	bool mute;     /* the connection has gone silent: nothing is sent on it any more */
+	bool mute;     /* nothing more is sent, but the connection stays open */
 };
 
 static void engine_complete(struct engine *engine, struct engine_port *port, struct hd_call *call,
@@ -36,13 +36,13 @@
 	{"POST", "/orders", engine_order},
 };
 
-void engine_error(struct hd_call *call, int status, const char *code)
+void engine_reply_error(struct hd_call *call, int status, const char *code)
 {
 	prog_reply_json(call, status, json_pack("{s:s, s:s}", "ran", "no", "code", code));
 }
 
-/* Sends what the run has beyond what this caller has got. */
-static void engine_push(struct engine_stream *stream, const struct sim_run *run)
+/* Sends the tokens of the run that the stream has not sent yet. */
+static void engine_send_tokens(struct engine_stream *stream, const struct sim_run *run)
 {
 	while (!stream->mute && stream->next < run->next) {
 		uint64_t i = stream->next++ - run->first_index;
@@ -65,8 +65,9 @@
 	g_free(stream);
 }
 
-/* The last frame, or what went wrong. A dead first stage takes its connections with it. */
-static void engine_close(struct engine_stream *stream, const struct sim_run *run)
+/* Sends the final or error event and ends the stream. If the first stage has died, the connection
+ * is aborted instead, since that endpoint serves it. */
+static void engine_close_stream(struct engine_stream *stream, const struct sim_run *run)
 {
 	char *line;
 
@@ -90,22 +91,22 @@
 	g_free(line);
 }
 
-void engine_on_changed(void *ctx, struct sim_run *run)
+void engine_on_run_changed(void *ctx, struct sim_run *run)
 {
 	GPtrArray *streams = run->data;
 
 	(void)ctx;
 	for (guint i = 0; streams && i < streams->len; i++) {
-		engine_push(streams->pdata[i], run);
+		engine_send_tokens(streams->pdata[i], run);
 		if (run->state != SIM_RUNNING)
-			engine_close(streams->pdata[i], run);
+			engine_close_stream(streams->pdata[i], run);
 	}
 	if (streams && run->state != SIM_RUNNING)
 		g_ptr_array_set_size(streams, 0);
 }
 
-static void engine_attach(struct engine_port *port, struct sim_run *run, struct hd_call *call,
-			  uint64_t from)
+static void engine_attach_stream(struct engine_port *port, struct sim_run *run,
+				 struct hd_call *call, uint64_t from)
 {
 	struct engine_stream *stream = g_new0(struct engine_stream, 1);
 
@@ -116,17 +117,17 @@
 	stream->next = MAX(from, run->first_index);
 	hd_begin(call, 200, "text/event-stream");
 	g_ptr_array_add(run->data, stream);
-	engine_push(stream, run);
+	engine_send_tokens(stream, run);
 	if (run->state != SIM_RUNNING) {
-		engine_close(stream, run);
+		engine_close_stream(stream, run);
 		g_ptr_array_set_size(run->data, 0);
 	}
 }
 
-static void engine_begin(struct engine_port *port, struct sim_run *run, struct hd_call *call)
+static void engine_begin_reply(struct engine_port *port, struct sim_run *run, struct hd_call *call)
 {
 	if (!port->drop) {
-		engine_attach(port, run, call, run->first_index);
+		engine_attach_stream(port, run, call, run->first_index);
 		return;
 	}
 	port->drop = false;
@@ -134,9 +135,10 @@
 	hd_unref(call);
 }
 
-/* Reads the route; every stage must hold what it is asked to run. Returns NULL or a refusal. */
-static const char *engine_route_of(struct engine *engine, const json_t *json,
-				   struct sim_stage *stages, int *count, const char **at)
+/* Parses the route and checks that each endpoint holds the layers of its stage. Returns NULL, or
+ * an error code. */
+static const char *engine_parse_route(struct engine *engine, const json_t *json,
+				      struct sim_stage *stages, int *count, const char **at)
 {
 	const json_t *route = json_object_get(json, "route");
 	const char *model = json_string_value(json_object_get(json, "model"));
@@ -151,7 +153,7 @@
 	json_array_foreach(route, i, item)
 	{
 		const char *name = json_string_value(json_object_get(item, "endpoint"));
-		struct sim_endpoint *e = name ? sim_find(&engine->sim, name) : NULL;
+		struct sim_endpoint *e = name ? sim_find_endpoint(&engine->sim, name) : NULL;
 
 		*at = name;
 		stages[i].endpoint = e;
@@ -170,37 +172,37 @@
 	return NULL;
 }
 
-static const char *engine_text(const json_t *json, const char *key)
+static const char *engine_json_text(const json_t *json, const char *key)
 {
 	const char *text = json_string_value(json_object_get(json, key));
 
 	return text ? text : "";
 }
 
-static uint64_t engine_number(const json_t *json, const char *key)
+static uint64_t engine_json_number(const json_t *json, const char *key)
 {
 	return (uint64_t)json_integer_value(json_object_get(json, key));
 }
 
-static void engine_run(struct engine *engine, struct engine_port *port, struct hd_call *call,
-		       const json_t *json, const struct sim_stage *stages, int count)
+static void engine_start_run(struct engine *engine, struct engine_port *port, struct hd_call *call,
+			     const json_t *json, const struct sim_stage *stages, int count)
 {
 	const struct conf_obj *model =
-		conf_get(engine->conf, CONF_MODEL, engine_text(json, "model"));
-	const char *prompt = engine_text(json, "prompt");
+		conf_get(engine->conf, CONF_MODEL, engine_json_text(json, "model"));
+	const char *prompt = engine_json_text(json, "prompt");
 	struct sim_run_params params = {
-		.request = engine_text(json, "request_id"),
-		.key = engine_text(json, "key"),
-		.attempt = (unsigned int)engine_number(json, "attempt"),
+		.request = engine_json_text(json, "request_id"),
+		.key = engine_json_text(json, "key"),
+		.attempt = (unsigned int)engine_json_number(json, "attempt"),
 		.detached = json_is_true(json_object_get(json, "detached")),
 		.prompt_hash = str_hash(prompt, strlen(prompt), 0),
 		.prompt_tokens = (int64_t)strlen(prompt) / ENGINE_PROMPT_CHARS,
-		.first_index = engine_number(json, "resume"),
-		.max_tokens = engine_number(json, "max_tokens"),
+		.first_index = engine_json_number(json, "resume"),
+		.max_tokens = engine_json_number(json, "max_tokens"),
 		.layer_total = model ? (int)model->value[MODEL_LAYERS] : 0,
 	};
 
-	engine_begin(port, sim_start(&engine->sim, &params, stages, count), call);
+	engine_begin_reply(port, sim_start_run(&engine->sim, &params, stages, count), call);
 }
 
 static void engine_complete(struct engine *engine, struct engine_port *port, struct hd_call *call,
@@ -213,11 +215,11 @@
 	int count = 0;
 	const char *at = NULL;
 	const char *refusal =
-		json ? engine_route_of(engine, json, stages, &count, &at) : "bad_body";
+		json ? engine_parse_route(engine, json, stages, &count, &at) : "bad_body";
 
 	(void)rest;
 	if (!refusal && (!json_is_string(json_object_get(json, "prompt")) ||
-			 !engine_text(json, "request_id")[0]))
+			 !engine_json_text(json, "request_id")[0]))
 		refusal = "bad_body";
 	if (!refusal && stages[0].endpoint != port->endpoint)
 		refusal = "bad_route";
@@ -226,7 +228,7 @@
 				json_pack("{s:s, s:s, s:s}", "ran", "no", "code", refusal,
 					  "endpoint", at ? at : ""));
 	else
-		engine_run(engine, port, call, json, stages, count);
+		engine_start_run(engine, port, call, json, stages, count);
 	json_decref(json);
 }
 
@@ -237,10 +239,10 @@
 	const char *from = hd_query(call, "from");
 
 	if (!run || run->stages[0].endpoint != port->endpoint) {
-		engine_error(call, 404, "unknown_request");
+		engine_reply_error(call, 404, "unknown_request");
 		return;
 	}
-	engine_attach(port, run, call, from ? g_ascii_strtoull(from, NULL, 10) : 0);
+	engine_attach_stream(port, run, call, from ? g_ascii_strtoull(from, NULL, 10) : 0);
 }
 
 static void engine_cancel(struct engine *engine, struct engine_port *port, struct hd_call *call,
@@ -249,7 +251,7 @@
 	struct sim_run *run = g_hash_table_lookup(engine->sim.runs, rest);
 
 	if (run && run->stages[0].endpoint == port->endpoint)
-		sim_cancel(run);
+		sim_cancel_run(run);
 	prog_reply_json(call, 200, json_object());
 }
 
@@ -267,7 +269,7 @@
 				  "last", e->last, "fence", (json_int_t)e->fence));
 }
 
-/* Takes effect at once; a deployment's engine that ignores fencing takes any order. */
+/* Applies an order at once. An endpoint without fencing accepts any order. */
 static void engine_order(struct engine *engine, struct engine_port *port, struct hd_call *call,
 			 const char *rest)
 {
@@ -284,7 +286,7 @@
 	(void)rest;
 	if (e->fencing && fence < e->fence) {
 		json_decref(json);
-		engine_error(call, 409, "old_fence");
+		engine_reply_error(call, 409, "old_fence");
 		return;
 	}
 	e->fence = MAX(e->fence, fence);
@@ -300,7 +302,7 @@
 	prog_reply_json(call, 200, json_object());
 }
 
-void engine_mute(struct engine *engine, const struct engine_port *port)
+void engine_mute_streams(struct engine *engine, const struct engine_port *port)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -318,7 +320,7 @@
 	}
 }
 
-/* A run whose callers have all gone is ended, unless it was asked to go on without them. */
+/* Cancels a run that has lost all callers, unless it is detached; frees an expired run. */
 static void engine_sweep_run(struct engine *engine, struct sim_run *run, int64_t now_us)
 {
 	GPtrArray *streams = run->data;
@@ -330,17 +332,17 @@
 			g_ptr_array_remove_index(streams, i);
 	}
 	if (run->state == SIM_RUNNING && !run->detached && streams && streams->len == 0)
-		sim_cancel(run);
+		sim_cancel_run(run);
 	if (run->state != SIM_RUNNING &&
 	    now_us - run->ended_us > engine->settings.keep_s * USEC_PER_SEC) {
 		if (streams)
 			g_ptr_array_free(streams, TRUE);
 		run->data = NULL;
-		sim_forget(run);
+		sim_remove_run(run);
 	}
 }
 
-void engine_sweep(struct engine *engine, int64_t now_us)
+void engine_sweep_runs(struct engine *engine, int64_t now_us)
 {
 	GList *runs = g_hash_table_get_values(engine->sim.runs);
 
@@ -350,8 +352,8 @@
 	engine->swept_us = now_us;
 }
 
-void engine_model_call(struct engine *engine, struct engine_port *port, struct hd_call *call)
+void engine_handle_model_call(struct engine *engine, struct engine_port *port, struct hd_call *call)
 {
 	if (!engine_dispatch(engine, port, call, engine_routes, G_N_ELEMENTS(engine_routes)))
-		engine_error(call, 404, "no_such_path");
+		engine_reply_error(call, 404, "no_such_path");
 }
--- a/fake/engine_service.c
+++ b/fake/engine_service.c
@@ -1,33 +1,35 @@
 #include "fake/engine.h"
 
-/* Plain services: each call is work that was done, noted in the ledger. */
+/* Simulated plain services; every request is recorded in the ledger. */
 enum {
 	USEC_PER_MSEC = 1000
 };
 
-struct engine_late {
+/* Reply that is sent when the response time of the service has passed. */
+struct engine_delayed_reply {
 	struct hd_call *call;
 	struct engine_port *port;
 	char *key;
 	char *request;
-	int64_t due_us;
+	int64_t due_us; /* time at which the reply is sent, in microseconds */
 };
 
-static void engine_late_free(gpointer data)
+static void engine_delayed_reply_free(gpointer data)
 {
-	struct engine_late *late = data;
+	struct engine_delayed_reply *late = data;
 
 	g_free(late->key);
 	g_free(late->request);
 	g_free(late);
 }
 
-/* A plain service does its work when the call comes in and answers after a while. */
-void engine_service_call(struct engine *engine, struct engine_port *port, struct hd_call *call)
+/* Records the request in the ledger at once; the reply follows after service_ms. */
+void engine_handle_service_call(struct engine *engine, struct engine_port *port,
+				struct hd_call *call)
 {
 	const char *key = hd_header(call, "Idempotency-Key");
 	const char *request = hd_header(call, "Bg-Request");
-	struct engine_late *late = g_new0(struct engine_late, 1);
+	struct engine_delayed_reply *late = g_new0(struct engine_delayed_reply, 1);
 
 	late->call = call;
 	late->port = port;
@@ -37,26 +39,26 @@
 	sim_ledger_entry(&engine->sim, late->key, late->request)->attempts++;
 	if (port->drop) {
 		port->drop = false;
-		engine_late_free(late);
+		engine_delayed_reply_free(late);
 		hd_abort(call);
 		hd_unref(call);
 		return;
 	}
-	if (!engine->late)
-		engine->late = g_ptr_array_new_with_free_func(engine_late_free);
-	g_ptr_array_add(engine->late, late);
+	if (!engine->delayed_replies)
+		engine->delayed_replies = g_ptr_array_new_with_free_func(engine_delayed_reply_free);
+	g_ptr_array_add(engine->delayed_replies, late);
 }
 
-void engine_answer_late(struct engine *engine, int64_t now_us)
+void engine_send_due_replies(struct engine *engine, int64_t now_us)
 {
-	for (guint i = engine->late ? engine->late->len : 0; i-- > 0;) {
-		struct engine_late *late = engine->late->pdata[i];
+	for (guint i = engine->delayed_replies ? engine->delayed_replies->len : 0; i-- > 0;) {
+		struct engine_delayed_reply *late = engine->delayed_replies->pdata[i];
 
 		if (late->due_us > now_us)
 			continue;
 		prog_reply_json(late->call, 200,
 				json_pack("{s:s, s:s, s:s}", "service", late->port->service, "key",
 					  late->key, "request", late->request));
-		g_ptr_array_remove_index(engine->late, i);
+		g_ptr_array_remove_index(engine->delayed_replies, i);
 	}
 }
--- a/fake/platform.c
+++ b/fake/platform.c
@@ -5,57 +5,58 @@
 #include <string.h>
 
 /*
- * Stand-in for the platform: an append-only log with streams and offsets, the list of hosts, and
- * the weight store. It can be told to fail. Everything runs in one thread.
+ * Simulates the platform: an append-only log with streams and offsets, the list of hosts, and the
+ * weight store. POST /fault injects failures. All requests are handled in one thread.
  */
 enum {
-	PLATFORM_READ_MAX = 1000, /* records in one answer */
-	PLATFORM_BODY_MAX = 8 << 20,
-	PLATFORM_TICK_US = 20000,
-	PLATFORM_WAIT_MAX_MS = 30000,
+	PLATFORM_READ_MAX = 1000,     /* most records in one reply */
+	PLATFORM_BODY_MAX = 8 << 20,  /* largest request body, in bytes */
+	PLATFORM_TICK_US = 20000,     /* interval of the periodic timer, in microseconds */
+	PLATFORM_WAIT_MAX_MS = 30000, /* longest wait of a reader, in milliseconds */
 	USEC_PER_MSEC = 1000,
 	USEC_PER_SEC = 1000000
 };
 
 enum platform_log_fault {
 	PLATFORM_LOG_OK,
-	PLATFORM_LOG_OUT,    /* answers 503 */
-	PLATFORM_LOG_SILENT, /* does not answer */
-	PLATFORM_LOG_SLOW,   /* answers late */
-	PLATFORM_LOG_LOSE,   /* appends take effect, their answers are lost */
+	PLATFORM_LOG_OUT,    /* requests are answered with status 503 */
+	PLATFORM_LOG_SILENT, /* requests are not answered until the fault ends */
+	PLATFORM_LOG_SLOW,   /* requests are delayed by fault_ms */
+	PLATFORM_LOG_LOSE,   /* appends take effect, but the connection is closed without a reply */
 	PLATFORM_LOG_FAULT_COUNT
 };
 
 struct platform_settings {
-	char *listen;
-	int64_t retention_s;
-	int64_t host_ttl_ms;
-	int64_t host_lag_ms;
-	int64_t weight_bytes_per_s;
+	char *listen;		    /* listening address */
+	int64_t retention_s;	    /* age at which log records expire, in seconds */
+	int64_t host_ttl_ms;	    /* age at which host registrations expire, in milliseconds */
+	int64_t host_lag_ms;	    /* minimum age at which the host list is refreshed, in ms */
+	int64_t weight_bytes_per_s; /* transfer rate of the weight store, in bytes per second */
 };
 
+/* Record of a log stream. */
 struct platform_record {
-	int64_t at_us;
+	int64_t at_us; /* time of the append, in microseconds */
 	char *data;
 	size_t len;
 };
 
 struct platform_stream {
-	GQueue *records;
-	int64_t first;
+	GQueue *records; /* struct platform_record, oldest first */
+	int64_t first;	 /* offset of the oldest record kept */
 };
 
 struct platform_host {
-	json_t *info;
-	int64_t seen_us;
+	json_t *info;	 /* registration as sent by the host, with its name */
+	int64_t seen_us; /* time of the last registration, in microseconds */
 };
 
-/* A reader that waits for the next record, or a call whose answer is delayed. */
+/* Request of a reader that waits for the next record, or request with a delayed reply. */
 struct platform_wait {
 	struct hd_call *call;
-	char *stream;
-	int64_t from;
-	int64_t until_us;
+	char *stream;	  /* name of the stream or weights; NULL if a fault delays the request */
+	int64_t from;	  /* offset of the first record requested */
+	int64_t until_us; /* end of the wait, in microseconds; INT64_MAX: end of the fault */
 };
 
 struct platform {
@@ -63,18 +64,18 @@
 	struct loop loop;
 	struct hd *hd;
 	struct tmr tick;
-	GHashTable *streams;
-	GHashTable *hosts;
-	GPtrArray *waits;
-	GPtrArray *delayed;
-	json_t *host_list;    /* as served: lags */
-	int64_t host_version; /* of the list as served */
-	int64_t host_list_us;
-	int64_t weights_free_us;
+	GHashTable *streams;	 /* name -> struct platform_stream */
+	GHashTable *hosts;	 /* name -> struct platform_host */
+	GPtrArray *waits;	 /* struct platform_wait of readers */
+	GPtrArray *delayed;	 /* struct platform_wait of delayed replies */
+	json_t *host_list;	 /* host list as of the last refresh */
+	int64_t host_version;	 /* version of host_list */
+	int64_t host_list_us;	 /* time of the last refresh of host_list, in microseconds */
+	int64_t weights_free_us; /* end of the last weight transfer, in microseconds */
 	enum platform_log_fault fault;
-	int64_t fault_ms;
-	bool hosts_frozen;
-	uint64_t appends;
+	int64_t fault_ms;  /* delay of PLATFORM_LOG_SLOW, in milliseconds */
+	bool hosts_frozen; /* host_list is not refreshed */
+	uint64_t appends;  /* number of records appended since the start */
 };
 
 typedef void (*platform_fn)(struct platform *p, struct hd_call *call, const char *rest);
@@ -85,7 +86,8 @@
 	platform_fn fn;
 };
 
-struct platform_mail {
+/* Request that an HTTP thread posts to the event loop. */
+struct platform_posted_call {
 	struct platform *p;
 	struct hd_call *call;
 };
@@ -143,7 +145,7 @@
 	return stream;
 }
 
-static int64_t platform_end(const struct platform_stream *stream)
+static int64_t platform_end_offset(const struct platform_stream *stream)
 {
 	return stream->first + g_queue_get_length(stream->records);
 }
@@ -162,11 +164,11 @@
 						record->data, record->len));
 	}
 	return json_pack("{s:I, s:I, s:o}", "first", (json_int_t)stream->first, "end",
-			 (json_int_t)platform_end(stream), "records", records);
+			 (json_int_t)platform_end_offset(stream), "records", records);
 }
 
-static void platform_answer(struct platform *p, struct hd_call *call, const char *stream,
-			    int64_t from)
+static void platform_reply_records(struct platform *p, struct hd_call *call, const char *stream,
+				   int64_t from)
 {
 	prog_reply_json(call, 200, platform_read_json(platform_stream(p, stream), from));
 }
@@ -179,8 +181,8 @@
 	g_free(wait);
 }
 
-static void platform_hold(GPtrArray *list, struct hd_call *call, const char *stream, int64_t from,
-			  int64_t until_us)
+static void platform_delay_reply(GPtrArray *list, struct hd_call *call, const char *stream,
+				 int64_t from, int64_t until_us)
 {
 	struct platform_wait *wait = g_new0(struct platform_wait, 1);
 
@@ -191,8 +193,8 @@
 	g_ptr_array_add(list, wait);
 }
 
-/* Answers readers of a stream whose record has come, or whose time is up. */
-static void platform_wake(struct platform *p)
+/* Answers readers for which a record has been appended or whose wait has ended. */
+static void platform_answer_waits(struct platform *p)
 {
 	int64_t now = tmr_now();
 
@@ -200,9 +202,9 @@
 		struct platform_wait *wait = p->waits->pdata[i];
 		const struct platform_stream *stream = platform_stream(p, wait->stream);
 
-		if (platform_end(stream) <= wait->from && now < wait->until_us)
+		if (platform_end_offset(stream) <= wait->from && now < wait->until_us)
 			continue;
-		platform_answer(p, wait->call, wait->stream, wait->from);
+		platform_reply_records(p, wait->call, wait->stream, wait->from);
 		g_ptr_array_remove_index_fast(p->waits, i);
 	}
 }
@@ -217,17 +219,17 @@
 	record->at_us = tmr_now();
 	g_queue_push_tail(stream->records, record);
 	p->appends++;
-	platform_wake(p);
+	platform_answer_waits(p);
 	if (p->fault == PLATFORM_LOG_LOSE) {
 		hd_abort(call);
 		hd_unref(call);
 		return;
 	}
 	prog_reply_json(call, 200,
-			json_pack("{s:I}", "offset", (json_int_t)platform_end(stream) - 1));
+			json_pack("{s:I}", "offset", (json_int_t)platform_end_offset(stream) - 1));
 }
 
-static int64_t platform_query(struct hd_call *call, const char *name)
+static int64_t platform_query_number(struct hd_call *call, const char *name)
 {
 	const char *text = hd_query(call, name);
 
@@ -236,13 +238,14 @@
 
 static void platform_read(struct platform *p, struct hd_call *call, const char *rest)
 {
-	int64_t from = platform_query(call, "from");
-	int64_t wait_ms = MIN(platform_query(call, "wait_ms"), PLATFORM_WAIT_MAX_MS);
+	int64_t from = platform_query_number(call, "from");
+	int64_t wait_ms = MIN(platform_query_number(call, "wait_ms"), PLATFORM_WAIT_MAX_MS);
 
-	if (wait_ms > 0 && platform_end(platform_stream(p, rest)) <= from)
-		platform_hold(p->waits, call, rest, from, tmr_now() + wait_ms * USEC_PER_MSEC);
+	if (wait_ms > 0 && platform_end_offset(platform_stream(p, rest)) <= from)
+		platform_delay_reply(p->waits, call, rest, from,
+				     tmr_now() + wait_ms * USEC_PER_MSEC);
 	else
-		platform_answer(p, call, rest, from);
+		platform_reply_records(p, call, rest, from);
 }
 
 static void platform_host_free(gpointer data)
@@ -274,14 +277,14 @@
 	json_decref(old);
 }
 
-/* Whoever names the version that he has gets the list only if it has changed. */
+/* Omits the list if the version in the query is the current one. */
 static void platform_hosts(struct platform *p, struct hd_call *call, const char *rest)
 {
 	(void)rest;
 	if (!p->hosts_frozen &&
 	    tmr_now() - p->host_list_us >= p->settings.host_lag_ms * USEC_PER_MSEC)
 		platform_refresh_hosts(p);
-	if (platform_query(call, "version") == p->host_version && p->host_version > 0)
+	if (platform_query_number(call, "version") == p->host_version && p->host_version > 0)
 		prog_reply_json(call, 200,
 				json_pack("{s:I}", "version", (json_int_t)p->host_version));
 	else
@@ -316,14 +319,14 @@
 	prog_reply_json(call, 200, json_object());
 }
 
-/* The store serves one transfer after the other at its rate; the answer comes when it is over. */
+/* Queues a transfer from the weight store, which performs one at a time; replies at its end. */
 static void platform_weights(struct platform *p, struct hd_call *call, const char *rest)
 {
-	int64_t bytes = MAX(platform_query(call, "bytes"), 1);
+	int64_t bytes = MAX(platform_query_number(call, "bytes"), 1);
 	int64_t start = MAX(p->weights_free_us, tmr_now());
 
 	p->weights_free_us = start + bytes * USEC_PER_SEC / p->settings.weight_bytes_per_s;
-	platform_hold(p->delayed, call, rest, 0, p->weights_free_us);
+	platform_delay_reply(p->delayed, call, rest, 0, p->weights_free_us);
 }
 
 static void platform_set_fault(struct platform *p, struct hd_call *call, const char *rest)
@@ -370,7 +373,7 @@
 
 static void platform_on_call(void *ctx)
 {
-	struct platform_mail *mail = ctx;
+	struct platform_posted_call *mail = ctx;
 	struct platform *p = mail->p;
 	struct hd_call *call = mail->call;
 	bool is_log = g_str_has_prefix(hd_path(call), "/log/");
@@ -379,9 +382,10 @@
 	if (is_log && p->fault == PLATFORM_LOG_OUT) {
 		prog_reply_json(call, 503, json_pack("{s:s}", "error", "out"));
 	} else if (is_log && p->fault == PLATFORM_LOG_SILENT) {
-		platform_hold(p->delayed, call, NULL, 0, INT64_MAX);
+		platform_delay_reply(p->delayed, call, NULL, 0, INT64_MAX);
 	} else if (is_log && p->fault == PLATFORM_LOG_SLOW) {
-		platform_hold(p->delayed, call, NULL, 0, tmr_now() + p->fault_ms * USEC_PER_MSEC);
+		platform_delay_reply(p->delayed, call, NULL, 0,
+				     tmr_now() + p->fault_ms * USEC_PER_MSEC);
 	} else {
 		platform_dispatch(p, call);
 	}
@@ -389,7 +393,7 @@
 
 static void platform_handler(void *ctx, struct hd_call *call)
 {
-	struct platform_mail *mail = g_new(struct platform_mail, 1);
+	struct platform_posted_call *mail = g_new(struct platform_posted_call, 1);
 
 	mail->p = ctx;
 	mail->call = call;
@@ -414,7 +418,7 @@
 	}
 }
 
-static void platform_expire(struct platform *p, int64_t now_us)
+static void platform_expire_records(struct platform *p, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -436,9 +440,9 @@
 {
 	struct platform *p = ctx;
 
-	platform_wake(p);
+	platform_answer_waits(p);
 	platform_release_delayed(p, now_us);
-	platform_expire(p, now_us);
+	platform_expire_records(p, now_us);
 	loop_after(&p->loop, &p->tick, PLATFORM_TICK_US, platform_on_tick, p);
 }
 
@@ -451,8 +455,7 @@
 
 int main(int argc, char **argv)
 {
-	/* Not on the stack: the HTTP library's threads may still post a call while main() returns.
-	 */
+	/* Static, because the HTTP library's threads may still post a call while main() returns. */
 	static struct platform p;
 	struct hd_config config = {
 		.threads = 2,
--- a/fake/sim.c
+++ b/fake/sim.c
@@ -7,15 +7,15 @@
 	SIM_BITS_PER_BYTE = 8
 };
 
-/* Part of a full step that a step with a single request takes. */
+/* Fixed fraction of the duration of a full step, whatever the size of the batch. */
 static const double sim_step_base = 0.3;
 
 static void sim_enqueue(struct sim_run *run);
 static void sim_begin_step(struct sim_endpoint *endpoint, struct sim *sim);
 static void sim_on_step(void *ctx, int64_t now_us);
 static void sim_on_hop(void *ctx, int64_t now_us);
-static void sim_pass(struct sim_run *run);
-static void sim_token(struct sim_run *run);
+static void sim_finish_stage(struct sim_run *run);
+static void sim_finish_token(struct sim_run *run);
 static void sim_end(struct sim_run *run, enum sim_run_state state);
 
 struct sim_step_ctx {
@@ -66,19 +66,19 @@
 	g_hash_table_replace(sim->links, key, link);
 }
 
-static void sim_take_model(void *ctx, const struct conf_obj *obj)
+static void sim_set_activation(void *ctx, const struct conf_obj *obj)
 {
 	((struct sim *)ctx)->activation = obj->value[MODEL_ACTIVATION];
 }
 
-void sim_load(struct sim *sim, const struct conf_state *conf)
+void sim_add_declarations(struct sim *sim, const struct conf_state *conf)
 {
-	conf_each(conf, CONF_MODEL, sim_take_model, sim);
+	conf_each(conf, CONF_MODEL, sim_set_activation, sim);
 	conf_each(conf, CONF_ENDPOINT, sim_add_endpoint, sim);
 	conf_each(conf, CONF_LINK, sim_add_link, sim);
 }
 
-struct sim_endpoint *sim_find(const struct sim *sim, const char *name)
+struct sim_endpoint *sim_find_endpoint(const struct sim *sim, const char *name)
 {
 	for (guint i = 0; i < sim->endpoints->len; i++) {
 		struct sim_endpoint *e = sim->endpoints->pdata[i];
@@ -116,14 +116,14 @@
 	g_free(run);
 }
 
-struct sim_run *sim_start(struct sim *sim, const struct sim_run_params *params,
-			  const struct sim_stage *stages, int count)
+struct sim_run *sim_start_run(struct sim *sim, const struct sim_run_params *params,
+			      const struct sim_stage *stages, int count)
 {
 	char *id = g_strdup_printf("%s-%u", params->request, params->attempt);
 	struct sim_run *run = g_hash_table_lookup(sim->runs, id);
 
 	if (run)
-		sim_forget(run);
+		sim_remove_run(run);
 	run = g_new0(struct sim_run, 1);
 	run->sim = sim;
 	run->id = id;
@@ -159,8 +159,8 @@
 	sim_begin_step(endpoint, run->sim);
 }
 
-/* Weight of a request in a step: a first token also computes the prompt. */
-static double sim_weight(const struct sim *sim, const struct sim_run *run)
+/* Cost of a run in a step, in generated tokens; its first token includes the prompt. */
+static double sim_step_weight(const struct sim *sim, const struct sim_run *run)
 {
 	if (run->next > run->first_index)
 		return 1;
@@ -183,7 +183,7 @@
 		if (!run)
 			break;
 		g_ptr_array_add(endpoint->batch, run);
-		load += sim_weight(sim, run);
+		load += sim_step_weight(sim, run);
 	}
 	if (endpoint->batch->len == 0)
 		return;
@@ -209,13 +209,13 @@
 	endpoint->batch = g_ptr_array_new();
 	for (guint i = 0; i < batch->len; i++) {
 		endpoint->passes++;
-		sim_pass(batch->pdata[i]);
+		sim_finish_stage(batch->pdata[i]);
 	}
 	g_ptr_array_free(batch, TRUE);
 	sim_begin_step(endpoint, sim);
 }
 
-/* How long the next token given to the link takes to arrive at its end. */
+/* Queues a token on the link and returns the time until its arrival, in microseconds. */
 static int64_t sim_link_delay(struct sim *sim, const struct sim_endpoint *from,
 			      const struct sim_endpoint *to)
 {
@@ -229,8 +229,8 @@
 	return link->free_us - sim->loop->now_us;
 }
 
-/* The stage has run its layers on the token; the ledger notes any layer out of order. */
-static void sim_pass(struct sim_run *run)
+/* Completes a stage for the current token, counts layers out of order, and sends the token on. */
+static void sim_finish_stage(struct sim_run *run)
 {
 	const struct sim_stage *stage = &run->stages[run->stage];
 	struct sim_ledger *entry = sim_ledger_entry(run->sim, run->key, run->request);
@@ -255,10 +255,10 @@
 	if (run->stage < run->stage_count)
 		sim_enqueue(run);
 	else
-		sim_token(run);
+		sim_finish_token(run);
 }
 
-static void sim_token(struct sim_run *run)
+static void sim_finish_token(struct sim_run *run)
 {
 	struct sim_ledger *entry = sim_ledger_entry(run->sim, run->key, run->request);
 	uint64_t hash = str_hash(&run->next, sizeof(run->next), run->prompt_hash);
@@ -279,8 +279,8 @@
 	run->sim->ops->changed(run->sim->ctx, run);
 }
 
-/* Takes the run off the endpoints. */
-static void sim_detach(struct sim_run *run)
+/* Removes the run from the endpoints on its route. */
+static void sim_leave_endpoints(struct sim_run *run)
 {
 	tmr_cancel(&run->sim->loop->tmr, &run->hop);
 	for (int s = 0; s < run->stage_count; s++) {
@@ -296,25 +296,25 @@
 {
 	if (run->state != SIM_RUNNING)
 		return;
-	sim_detach(run);
+	sim_leave_endpoints(run);
 	run->state = state;
 	run->ended_us = run->sim->loop->now_us;
 	run->sim->ops->changed(run->sim->ctx, run);
 }
 
-void sim_cancel(struct sim_run *run)
+void sim_cancel_run(struct sim_run *run)
 {
 	sim_end(run, SIM_CANCELED);
 }
 
-void sim_forget(struct sim_run *run)
+void sim_remove_run(struct sim_run *run)
 {
 	sim_end(run, SIM_CANCELED);
 	g_hash_table_remove(run->sim->runs, run->id);
 	sim_run_free(run);
 }
 
-static bool sim_uses(const struct sim_run *run, const struct sim_endpoint *endpoint)
+static bool sim_run_uses(const struct sim_run *run, const struct sim_endpoint *endpoint)
 {
 	for (int s = 0; s < run->stage_count; s++) {
 		if (run->stages[s].endpoint == endpoint)
@@ -323,7 +323,7 @@
 	return false;
 }
 
-void sim_kill(struct sim *sim, struct sim_endpoint *endpoint)
+void sim_kill_endpoint(struct sim *sim, struct sim_endpoint *endpoint)
 {
 	GList *runs = g_hash_table_get_values(sim->runs);
 
@@ -332,7 +332,7 @@
 	for (GList *l = runs; l; l = l->next) {
 		struct sim_run *run = l->data;
 
-		if (run->state != SIM_RUNNING || !sim_uses(run, endpoint))
+		if (run->state != SIM_RUNNING || !sim_run_uses(run, endpoint))
 			continue;
 		run->failed_at = g_strdup(endpoint->name);
 		sim_end(run, SIM_FAILED);
@@ -342,7 +342,7 @@
 	g_queue_clear(endpoint->waiting);
 }
 
-void sim_revive(struct sim_endpoint *endpoint)
+void sim_revive_endpoint(struct sim_endpoint *endpoint)
 {
 	endpoint->dead = false;
 	endpoint->leaving = false;
