--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Builds with plain make. "make run" and "make check" do everything on a fresh machine.
+# "make" installs missing packages and builds. "make run" and "make check" need no other preparation.
 BUILD ?= build
 CFLAGS ?= -O2 -g
 PKGS = glib-2.0 zlib libprotobuf-c libmicrohttpd libcurl jansson libxxhash inih
@@ -55,7 +55,7 @@
 $(BUILD)/bgctl: $(patsubst %.c,$(BUILD)/%.o,$(wildcard prog/ctl*.c))
 $(BUILD)/bgload: $(patsubst %.c,$(BUILD)/%.o,$(wildcard prog/load*.c))
 $(BUILD)/bgscript: $(patsubst %.c,$(BUILD)/%.o,$(wildcard prog/script*.c))
-# Stand-ins for the users' platform; they know its names, so they stand in its folder.
+# Simulators of the users' platform; in platform/, because they use its names and formats.
 $(BUILD)/bgstand-store: $(BUILD)/platform/stand_store.o
 $(BUILD)/bgstand-engine: $(patsubst %.c,$(BUILD)/%.o,$(wildcard platform/stand_engine*.c))
 
@@ -71,7 +71,8 @@
 unit: $(BUILD)/unit-tests
 	$(BUILD)/unit-tests --gtest_brief=1
 
-# Fuzzing of what comes from outside: statements, frames, log records. Bounded and repeatable.
+# Fuzzes the parsers of external input: statements, frames, log records and HTTP heads. The number of
+# inputs is bounded and the seed is fixed.
 FUZZ_RUNS ?= 100000
 FUZZ_BUILD = build-fuzz
 FUZZ_FLAGS = -O1 -g -fsanitize=fuzzer-no-link,address
@@ -87,7 +88,7 @@
 		echo "ok   fuzz $$f: $(FUZZ_RUNS) inputs" || exit 1; \
 	done
 
-# Rendezvous hashing against what was weighed, for docs/DESIGN.md.
+# Compares rendezvous hashing with its alternatives, for docs/DESIGN.md.
 bench-hash: $(LIB)
 	$(CC) $(CFLAGS) $(CPPFLAGS) -std=gnu11 -o $(BUILD)/bench-hash regress/bench/hash.c $(LIB) $(LIBS)
 	$(BUILD)/bench-hash
@@ -104,11 +105,11 @@
 	$(MAKE) fuzz
 	regress/run
 
-# Switches guards off one by one in a scratch copy; the tests must fail without them.
+# Disables guards in the code one by one in a scratch copy; the named tests must fail without them.
 guards: $(BUILD)/unit-tests
 	regress/guards
 
-# The fault matrix as a table, for docs/PROOF.md.
+# Prints the fault matrix as a table, for docs/PROOF.md.
 matrix: $(BUILD)/unit-tests
 	@BG_MATRIX=1 $(BUILD)/unit-tests --gtest_brief=1 --gtest_filter='MatrixTable*'
 
