--- a/fake/engine.c
+++ b/fake/engine.c
@@ -74,13 +74,13 @@
 
 static void engine_on_call(void *ctx)
 {
-	struct engine_posted_call *mail = ctx;
-	struct engine *engine = mail->engine;
-	struct hd_call *call = mail->call;
+	struct engine_posted_call *posted = ctx;
+	struct engine *engine = posted->engine;
+	struct hd_call *call = posted->call;
 	struct engine_port *port =
 		g_hash_table_lookup(engine->by_port, GINT_TO_POINTER(hd_local_port(call)));
 
-	g_free(mail);
+	g_free(posted);
 	if (!port) {
 		engine_handle_admin_call(engine, call);
 	} else if (port->endpoint && port->endpoint->dead) {
@@ -95,11 +95,11 @@
 
 static void engine_handler(void *ctx, struct hd_call *call)
 {
-	struct engine_posted_call *mail = g_new(struct engine_posted_call, 1);
+	struct engine_posted_call *posted = g_new(struct engine_posted_call, 1);
 
-	mail->engine = ctx;
-	mail->call = call;
-	loop_post(&mail->engine->loop, engine_on_call, mail);
+	posted->engine = ctx;
+	posted->call = call;
+	loop_post(&posted->engine->loop, engine_on_call, posted);
 }
 
 static void engine_on_accept(void *ctx, uint32_t events)
--- a/fake/engine.h
+++ b/fake/engine.h
@@ -26,7 +26,8 @@
 	uint16_t port;	       /* TCP port number in host byte order */
 	int reported_running;  /* number of runs at the last load sample */
 	bool reported_leaving; /* whether the endpoint was leaving at the last load sample */
-	bool drop; /* the next request runs, but its connection is closed before any response */
+	bool drop_next;	  /* the next request runs, but its connection is closed before any response
+			   */
 	GPtrArray *calls; /* struct hd_call received while the endpoint is silent */
 };
 
--- a/fake/engine_admin.c
+++ b/fake/engine_admin.c
@@ -88,11 +88,11 @@
 	} else if (e && strcmp(fault, "leave") == 0) {
 		e->leaving = true;
 	} else if (strcmp(fault, "drop") == 0) {
-		port->drop = true;
+		port->drop_next = true;
 	} else if (strcmp(fault, "mute") == 0) {
 		engine_mute_streams(engine, port);
 	} else if (e && strcmp(fault, "slow") == 0) {
-		e->slow = factor;
+		e->slowdown = factor;
 	}
 }
 
--- a/fake/engine_model.c
+++ b/fake/engine_model.c
@@ -14,7 +14,7 @@
 	struct hd_call *call;
 	struct engine_port *port;
 	uint64_t next; /* index of the next token to send */
-	bool mute;     /* nothing more is sent, but the connection stays open */
+	bool muted;    /* nothing more is sent, but the connection stays open */
 };
 
 static void engine_complete(struct engine *engine, struct engine_port *port, struct hd_call *call,
@@ -44,7 +44,7 @@
 /* Sends the tokens of the run that the stream has not sent yet. */
 static void engine_send_tokens(struct engine_stream *stream, const struct sim_run *run)
 {
-	while (!stream->mute && stream->next < run->next) {
+	while (!stream->muted && stream->next < run->next) {
 		uint64_t i = stream->next++ - run->first_index;
 		char *line = g_strdup_printf("data: {\"attempt\":%u,\"index\":%" G_GUINT64_FORMAT
 					     ",\"text\":\"%s\"}\n\n",
@@ -52,7 +52,7 @@
 					     (char *)run->texts->pdata[i]);
 
 		if (!hd_write(stream->call, line, strlen(line)))
-			stream->mute = true;
+			stream->muted = true;
 		g_free(line);
 	}
 }
@@ -71,7 +71,7 @@
 {
 	char *line;
 
-	if (stream->mute)
+	if (stream->muted)
 		return;
 	if (run->state == SIM_FAILED && strcmp(run->failed_at, stream->port->endpoint->name) == 0) {
 		hd_abort(stream->call);
@@ -126,11 +126,11 @@
 
 static void engine_begin_reply(struct engine_port *port, struct sim_run *run, struct hd_call *call)
 {
-	if (!port->drop) {
+	if (!port->drop_next) {
 		engine_attach_stream(port, run, call, run->first_index);
 		return;
 	}
-	port->drop = false;
+	port->drop_next = false;
 	hd_abort(call);
 	hd_unref(call);
 }
@@ -315,7 +315,7 @@
 			struct engine_stream *stream = streams->pdata[i];
 
 			if (stream->port == port)
-				stream->mute = true;
+				stream->muted = true;
 		}
 	}
 }
--- a/fake/platform.c
+++ b/fake/platform.c
@@ -181,6 +181,7 @@
 	g_free(wait);
 }
 
+/* Adds the request to the list; it is answered when its wait ends. */
 static void platform_delay_reply(GPtrArray *list, struct hd_call *call, const char *stream,
 				 int64_t from, int64_t until_us)
 {
@@ -373,12 +374,12 @@
 
 static void platform_on_call(void *ctx)
 {
-	struct platform_posted_call *mail = ctx;
-	struct platform *p = mail->p;
-	struct hd_call *call = mail->call;
+	struct platform_posted_call *posted = ctx;
+	struct platform *p = posted->p;
+	struct hd_call *call = posted->call;
 	bool is_log = g_str_has_prefix(hd_path(call), "/log/");
 
-	g_free(mail);
+	g_free(posted);
 	if (is_log && p->fault == PLATFORM_LOG_OUT) {
 		prog_reply_json(call, 503, json_pack("{s:s}", "error", "out"));
 	} else if (is_log && p->fault == PLATFORM_LOG_SILENT) {
@@ -393,11 +394,11 @@
 
 static void platform_handler(void *ctx, struct hd_call *call)
 {
-	struct platform_posted_call *mail = g_new(struct platform_posted_call, 1);
+	struct platform_posted_call *posted = g_new(struct platform_posted_call, 1);
 
-	mail->p = ctx;
-	mail->call = call;
-	loop_post(&mail->p->loop, platform_on_call, mail);
+	posted->p = ctx;
+	posted->call = call;
+	loop_post(&posted->p->loop, platform_on_call, posted);
 }
 
 static void platform_release_delayed(struct platform *p, int64_t now_us)
--- a/fake/sim.c
+++ b/fake/sim.c
@@ -50,7 +50,7 @@
 	e->rate = obj->value[ENDPOINT_RATE];
 	e->slots = (int)obj->value[ENDPOINT_SLOTS];
 	e->fencing = obj->value[ENDPOINT_FENCING] != 0;
-	e->slow = 1;
+	e->slowdown = 1;
 	e->waiting = g_queue_new();
 	e->batch = g_ptr_array_new();
 	g_ptr_array_add(sim->endpoints, e);
@@ -187,7 +187,7 @@
 	}
 	if (endpoint->batch->len == 0)
 		return;
-	time = (int64_t)(full * endpoint->slow *
+	time = (int64_t)(full * endpoint->slowdown *
 			 (sim_step_base + (1 - sim_step_base) * load / endpoint->slots));
 	endpoint->busy_us += time;
 	step = g_new(struct sim_step_ctx, 1);
--- a/fake/sim.h
+++ b/fake/sim.h
@@ -38,10 +38,10 @@
 	bool fencing;  /* orders with a fencing number below the highest are refused */
 	int64_t fence; /* highest fencing number received in an order */
 
-	bool dead;    /* process has ended: connections are refused */
-	bool silent;  /* process hangs: no step starts, and requests stay unanswered */
-	bool leaving; /* endpoint is being drained and refuses new runs */
-	double slow;  /* factor by which steps are lengthened; 1 is normal speed */
+	bool dead;	 /* process has ended: connections are refused */
+	bool silent;	 /* process hangs: no step starts, and requests stay unanswered */
+	bool leaving;	 /* endpoint is being drained and refuses new runs */
+	double slowdown; /* factor by which steps are lengthened; 1 is normal speed */
 
 	GQueue *waiting;  /* struct sim_run whose current token waits for this endpoint */
 	GPtrArray *batch; /* struct sim_run in the current step */
