--- a/fwd/fwd.c
+++ b/fwd/fwd.c
@@ -198,11 +198,13 @@
 {
 	switch (err) {
 	case FWD_ENOPERMIT:
-		return fwd->rules.limit_us;
+		return fwd->rules.limit_wait_until_us;
 	case FWD_EPERMITQUEUE:
 		return 0;
 	case FWD_ERESTING:
-		return fwd->rules.rest_us < fwd->rules.limit_us ? fwd->rules.limit_us : 0;
+		return fwd->rules.rest_end_us < fwd->rules.limit_wait_until_us
+			       ? fwd->rules.limit_wait_until_us
+			       : 0;
 	default:
 		return fwd->rules.list_wait_until_us;
 	}
@@ -232,7 +234,7 @@
 	fwd->state = FWD_WAITING;
 	fwd->resend_us = now_us + FWD_LOOKUP_INTERVAL_US;
 	if (err == FWD_ERESTING)
-		fwd->resend_us = MAX(fwd->resend_us, fwd->rules.rest_us);
+		fwd->resend_us = MAX(fwd->resend_us, fwd->rules.rest_end_us);
 	fwd->resend_us = MIN(fwd->resend_us, until_us);
 	fwd_set_timer(fwd);
 }
--- a/fwd/fwd.h
+++ b/fwd/fwd.h
@@ -93,9 +93,9 @@
 	/* Time until which the request waits if no endpoint for it is listed. */
 	int64_t list_wait_until_us;
 	/* Time until which the request waits if limits or rests exclude all endpoints. */
-	int64_t limit_us;
+	int64_t limit_wait_until_us;
 	/* Time at which the first endpoint may be used again; valid after FWD_ERESTING. */
-	int64_t rest_us;
+	int64_t rest_end_us;
 };
 
 /* Properties of the status line and the headers of an endpoint's answer. */
--- a/fwd/fwd_test.cc
+++ b/fwd/fwd_test.cc
@@ -27,8 +27,8 @@
 		rules.first_us = 300 * MS;
 		rules.gap_us = 100 * MS;
 		rules.list_wait_until_us = listing_us_;
-		rules.limit_us = limit_us_;
-		rules.rest_us = rest_us_;
+		rules.limit_wait_until_us = limit_us_;
+		rules.rest_end_us = rest_us_;
 		fwd_init(&fwd_, &rules, &ops_, this);
 		started_ = true;
 		fwd_start(&fwd_, now_);
--- a/router/crash.c
+++ b/router/crash.c
@@ -36,15 +36,15 @@
 };
 
 enum crash_finding {
-	CRASH_ALIVE,	/* the endpoint answers or sends data */
-	CRASH_LIVES,	/* confirmed: the same incarnation is still running */
+	CRASH_RESPONDING,	/* the endpoint answers or sends data */
+	CRASH_SAME_INCARNATION, /* confirmed: the same incarnation is still running */
 	CRASH_ENDED,	/* connections are refused, or another incarnation has the address */
 	CRASH_VANISHED, /* no connection succeeds; a very busy endpoint may cause that, too */
 	CRASH_UNCLEAR	/* this host may be disconnected, or the endpoint is busy */
 };
 
 static const char *const crash_findings[] = {
-	[CRASH_ALIVE] = "alive",       [CRASH_LIVES] = "lives",	    [CRASH_ENDED] = "ended",
+	[CRASH_RESPONDING] = "alive",  [CRASH_SAME_INCARNATION] = "lives", [CRASH_ENDED] = "ended",
 	[CRASH_VANISHED] = "vanished", [CRASH_UNCLEAR] = "unclear",
 };
 
@@ -176,18 +176,18 @@
 					 struct str body)
 {
 	if (crash_is_same_incarnation(check, status, body))
-		return CRASH_LIVES;
+		return CRASH_SAME_INCARNATION;
 	if (check->ep->last_data_us > check->began_us)
-		return CRASH_ALIVE;
+		return CRASH_RESPONDING;
 	if (crash_is_replaced(check->traf, check->ep))
 		return CRASH_ENDED;
 	if (status == HTTP_OK && crash_has_restarted(check, body))
 		return CRASH_ENDED;
 	if (status > 0)
-		return CRASH_ALIVE;
+		return CRASH_RESPONDING;
 	if (err == BASE_EREFUSED)
 		return CRASH_ENDED;
-	if (err == BASE_ETIMEOUT && check->traf->heard_us > check->began_us)
+	if (err == BASE_ETIMEOUT && check->traf->any_data_us > check->began_us)
 		return CRASH_VANISHED;
 	if (err == BASE_ECLOSED && check->tries == CRASH_TRIES)
 		return CRASH_VANISHED;
@@ -288,7 +288,7 @@
 		crash_mark_unconfirmed(check);
 	met_add(met_counter("bg_endpoints_ended_total", ""), 1);
 	crash_log_suspects(check);
-	traf_quar_crashed(check->traf, check->ep, check->cuts);
+	traf_quar_on_crash(check->traf, check->ep, check->cuts);
 	check->counted = true;
 	check->n_counted = check->cuts->len;
 }
@@ -312,7 +312,7 @@
 	}
 	check->n_counted = check->cuts->len;
 	if (confirmed->len > 0)
-		traf_quar_crashed(check->traf, check->ep, confirmed);
+		traf_quar_on_crash(check->traf, check->ep, confirmed);
 	g_array_unref(confirmed);
 }
 
@@ -320,7 +320,7 @@
 static bool crash_is_certain(const struct crash_check *check, int status,
 			     enum crash_finding finding)
 {
-	return finding == CRASH_LIVES || !check->ep->listed ||
+	return finding == CRASH_SAME_INCARNATION || !check->ep->listed ||
 	       (finding == CRASH_ENDED && status > 0);
 }
 
@@ -352,8 +352,8 @@
 {
 	if (finding == CRASH_ENDED)
 		crash_confirm(check);
-	if (finding == CRASH_LIVES)
-		traf_quar_lives(check->traf, check->ep);
+	if (finding == CRASH_SAME_INCARNATION)
+		traf_quar_remove_crash(check->traf, check->ep);
 	crash_continue_check(check, status, finding);
 }
 
--- a/router/ctrl.c
+++ b/router/ctrl.c
@@ -83,14 +83,14 @@
 	ctrl->store_calls = g_hash_table_new_full(NULL, NULL, g_free, NULL);
 	ctrl->conf_place = ERA_NONE;
 	ctrl->start_us = tmr_now();
-	ctrl->round.heard_us = tmr_now();
+	ctrl->round.received_us = tmr_now();
 	ctrl->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, ctrl_host_free);
-	hdelta_init(&ctrl->host_news);
+	hdelta_init(&ctrl->host_changes);
 	ep_list_init(&ctrl->endpoints);
 	ctrl->conf_deflated = g_byte_array_new();
-	ctrl->seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	ctrl->suspect_passed_us = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ctrl->dead = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	ctrl->rests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	ctrl->backoff_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ctrl->unreadable = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ctrl->loads = loads_new();
 	ctrl->polled_loads = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, loads_free_entry);
@@ -128,10 +128,10 @@
 	g_hash_table_destroy(ctrl->store_calls);
 	ep_list_finish(&ctrl->endpoints);
 	g_hash_table_destroy(ctrl->hosts);
-	hdelta_finish(&ctrl->host_news);
-	g_hash_table_destroy(ctrl->seen);
+	hdelta_finish(&ctrl->host_changes);
+	g_hash_table_destroy(ctrl->suspect_passed_us);
 	g_hash_table_destroy(ctrl->dead);
-	g_hash_table_destroy(ctrl->rests);
+	g_hash_table_destroy(ctrl->backoff_until);
 	g_hash_table_destroy(ctrl->unreadable);
 	g_byte_array_unref(ctrl->conf_deflated);
 	rt_conf_unref(ctrl->conf);
@@ -359,7 +359,7 @@
 		}
 		g_hash_table_replace(ctrl->hosts, g_strdup(name), host);
 	}
-	hdelta_on_change(&ctrl->host_news, name, !g_hash_table_contains(ctrl->hosts, name));
+	hdelta_on_change(&ctrl->host_changes, name, !g_hash_table_contains(ctrl->hosts, name));
 	follow_on_hosts_changed(ctrl->follow);
 	ctrl_schedule_view(ctrl);
 	return true;
@@ -420,7 +420,7 @@
 	view->hosts = MAX((int)g_hash_table_size(ctrl->hosts), 1);
 	view->fence = ctrl->lead.newest;
 	view->listed = ctrl_lists_complete(ctrl);
-	view->whole_us = ep_complete_us(&ctrl->endpoints);
+	view->list_complete_us = ep_complete_us(&ctrl->endpoints);
 	view->synced_us = ctrl->synced_us;
 	ctrl->view_complete = view->conf && view->listed;
 	placer_on_change(ctrl->placer);
--- a/router/ctrl.h
+++ b/router/ctrl.h
@@ -62,10 +62,10 @@
 	gsize conf_len;			  /* Length of that text before it was deflated, in bytes */
 	struct router_origin conf_origin; /* Digest and source of the configuration */
 	struct ep_list endpoints;	  /* Endpoints of the system */
-	bool listed;		 /* Whether the list of endpoints has been read completely */
-	bool hosts_known;	 /* Whether the list of hosts has been read completely */
-	GHashTable *hosts;	 /* Host name -> struct ctrl_host */
-	struct hdelta host_news; /* Numbered changes of the list of hosts, for followers */
+	bool listed;		    /* Whether the list of endpoints has been read completely */
+	bool hosts_known;	    /* Whether the list of hosts has been read completely */
+	GHashTable *hosts;	    /* Host name -> struct ctrl_host */
+	struct hdelta host_changes; /* Numbered changes of the list of hosts, for followers */
 	struct reader_topic
 		topics[SEAM_TOPIC_HOSTS + 1]; /* Topics that are read, by enum seam_topic */
 	bool direct;			      /* Whether this host reads the store itself */
@@ -77,8 +77,8 @@
 	struct tmr tick_timer;	     /* Timer of the next tick */
 	struct tmr self_entry_timer; /* Timer for this host's own entry in the list of hosts */
 	struct hosts *host_list;     /* Maintenance of the store's list of hosts */
-	int64_t listed_self_us;	 /* Time at which this host last wrote its own entry; 0 if never */
-	int64_t listed_self_era; /* Era of the store when that entry was written */
+	int64_t self_entry_us;	 /* Time at which this host last wrote its own entry; 0 if never */
+	int64_t self_entry_era;	 /* Era of the store when that entry was written */
 	bool self_entry_failed;	 /* Whether that write failed */
 	bool feed_lacks_self;	 /* Whether the list of hosts from the feed lacks this host */
 	struct lead lead;	 /* Lease of the lead; its holder sends orders to engines */
@@ -93,13 +93,13 @@
 	struct quarantine *quarantine;
 	struct limits *limits;
 	/* Incarnation -> time at which a suspicion of it was last passed on (int64_t) */
-	GHashTable *seen;
+	GHashTable *suspect_passed_us;
 	/* Incarnation -> time until which the endpoint is regarded as dead (int64_t) */
 	GHashTable *dead;
-	double hints;	  /* Number of backoff hints that may be passed on now; see notice.c */
-	int64_t hints_us; /* Time at which that number was last updated */
+	double hints_allowed; /* Number of backoff hints that may be passed on now; see notice.c */
+	int64_t hints_refill_us; /* Time at which that number was last updated */
 	/* Incarnation -> time until which the endpoint accepts no requests (int64_t) */
-	GHashTable *rests;
+	GHashTable *backoff_until;
 	GHashTable *unreadable; /* Endpoint id -> parse error of its entry, as last logged */
 	GArray *loads;		/* Newest load reports (struct router_load) */
 	guint loads_version;	/* Incremented with each change of loads */
@@ -291,7 +291,7 @@
  * Processes a suspicion and sends it to the other hosts, except over the connection source, and to
  * the traffic thread. source is NULL if the suspicion came from that thread, which then gets none.
  */
-void suspect_on_report(struct ctrl *ctrl, const struct suspect *suspect, const void *source);
+void suspect_apply(struct ctrl *ctrl, const struct suspect *suspect, const void *source);
 
 /* Whether the endpoint is regarded as dead, by a recent report of any host. */
 bool suspect_is_dead(const struct ctrl *ctrl, const char *endpoint, int64_t now_us);
--- a/router/feed.c
+++ b/router/feed.c
@@ -292,7 +292,7 @@
 
 	if (!follower->updated || follower->away != feed_has_no_source(ctrl) ||
 	    follower->generation != ctrl->lead.newest || follower->era != ctrl_era_to_msg(ctrl) ||
-	    follower->hosts_version != ctrl->host_news.version ||
+	    follower->hosts_version != ctrl->host_changes.version ||
 	    follower->loads_version != ctrl->loads_version || follower->round != ctrl->round.number)
 		return true;
 	return feed_has_new_conf(ctrl, follower) || feed_has_new_endpoints(feed, follower);
@@ -322,7 +322,7 @@
 
 static void feed_add_hosts(struct feed_hosts *hosts, guint since, Feed__Update *msg)
 {
-	const struct hdelta *news = &hosts->ctrl->host_news;
+	const struct hdelta *news = &hosts->ctrl->host_changes;
 
 	msg->hosts_whole = hdelta_needs_full(news, since);
 	hdelta_each_since(news, msg->hosts_whole ? 0 : since, feed_add_host, hosts);
@@ -366,14 +366,14 @@
 	follower->era = msg.era;
 	feed_add_conf(feed, follower, &msg);
 	feed_add_endpoints(feed, follower, &msg);
-	if (follower->hosts_version != ctrl->host_news.version)
+	if (follower->hosts_version != ctrl->host_changes.version)
 		feed_add_hosts(&hosts, follower->hosts_version, &msg);
 	if (follower->loads_version != ctrl->loads_version)
 		feed_add_loads(ctrl, &msg, loads, load_refs);
 	msg.round = ctrl->round.number;
 	follower->round = ctrl->round.number;
 	follower->loads_version = ctrl->loads_version;
-	follower->hosts_version = ctrl->host_news.version;
+	follower->hosts_version = ctrl->host_changes.version;
 	follower->generation = ctrl->lead.newest;
 	follower->updated = true;
 	frm_send(follower->conn, MSG_FEED_UPDATE, &msg.base);
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -119,7 +119,7 @@
 			hosts_schedule_write(hosts, name, HOSTS_ADD);
 	}
 	/* Each follower gets the whole list and checks whether it is in there itself. */
-	hdelta_on_compared(&hosts->ctrl->host_news);
+	hdelta_on_compared(&hosts->ctrl->host_changes);
 }
 
 /*
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -90,8 +90,8 @@
 		lim_home_init(&divided->home, now_us);
 		g_hash_table_insert(home->divided, g_strdup(update->endpoint), divided);
 	}
-	if (update->news.stated_us > divided->home.news.stated_us)
-		lim_home_set_limit(&divided->home, &update->news, now_us);
+	if (update->limit.stated_us > divided->home.news.stated_us)
+		lim_home_set_limit(&divided->home, &update->limit, now_us);
 	divided->asked_us = now_us;
 	return divided;
 }
--- a/router/limit_msg.c
+++ b/router/limit_msg.c
@@ -21,9 +21,9 @@
 
 		feed__limit__init(item);
 		item->endpoint = update->endpoint;
-		item->named = update->news.named;
-		item->rate = update->news.rate;
-		item->age_ms = (now_us - update->news.stated_us) / TMR_US_PER_MS;
+		item->named = update->limit.named;
+		item->rate = update->limit.rate;
+		item->age_ms = (now_us - update->limit.stated_us) / TMR_US_PER_MS;
 		item->wanted = update->wanted;
 		item->returned = update->returned;
 		item->permits = update->permits;
@@ -42,10 +42,10 @@
 	bool readable = isfinite(from->rate) && from->rate >= 0;
 
 	update->endpoint = from->endpoint;
-	update->news.named = from->named;
-	update->news.rate = readable ? from->rate : 0;
+	update->limit.named = from->named;
+	update->limit.rate = readable ? from->rate : 0;
 	/* A limit announced before this host was booted is valid; 0 would mean that none was. */
-	update->news.stated_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
+	update->limit.stated_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
 	update->wanted = CLAMP(from->wanted, 0, LIMIT_COUNT_MAX);
 	update->returned = CLAMP(from->returned, 0, LIMIT_COUNT_MAX);
 	update->permits = CLAMP(from->permits, 0, LIMIT_COUNT_MAX);
--- a/router/limit_msg_test.cc
+++ b/router/limit_msg_test.cc
@@ -21,7 +21,7 @@
 	GArray *updates = limit_updates_new();
 	limit_update packed{};
 	packed.endpoint = g_strdup("i-1@7");
-	packed.news = {true, 2.9, tmr_boot_now() - 2 * SECOND};
+	packed.limit = {true, 2.9, tmr_boot_now() - 2 * SECOND};
 	packed.wanted = 3;
 	packed.returned = 1;
 	g_array_append_val(updates, packed);
@@ -30,9 +30,9 @@
 	ASSERT_EQ(items.n, 1u);
 	limit_update unpacked = Unpack(items.values[0], 100 * SECOND);
 	EXPECT_STREQ(unpacked.endpoint, "i-1@7");
-	EXPECT_TRUE(unpacked.news.named);
-	EXPECT_DOUBLE_EQ(unpacked.news.rate, 2.9);
-	EXPECT_NEAR((double)unpacked.news.stated_us, 98.0 * SECOND, SECOND);
+	EXPECT_TRUE(unpacked.limit.named);
+	EXPECT_DOUBLE_EQ(unpacked.limit.rate, 2.9);
+	EXPECT_NEAR((double)unpacked.limit.stated_us, 98.0 * SECOND, SECOND);
 	EXPECT_EQ(unpacked.wanted, 3);
 	EXPECT_EQ(unpacked.returned, 1);
 	limit_items_finish(&items);
@@ -46,7 +46,7 @@
 	item.named = true;
 	for (double rate : {(double)NAN, (double)INFINITY, -1.0}) {
 		item.rate = rate;
-		EXPECT_EQ(Unpack(item, SECOND).news.rate, 0) << rate;
+		EXPECT_EQ(Unpack(item, SECOND).limit.rate, 0) << rate;
 	}
 	item.wanted = -5;
 	item.permits = 1 << 30;
@@ -64,7 +64,7 @@
 	item.age_ms = 60000;
 	const limit_update update = Unpack(item, 5 * SECOND);
 	lim_permits part{};
-	EXPECT_TRUE(lim_permits_update_limit(&part, &update.news));
+	EXPECT_TRUE(lim_permits_update_limit(&part, &update.limit));
 	EXPECT_FALSE(lim_permits_may_send(&part, 5 * SECOND));
 }
 
--- a/router/limits.c
+++ b/router/limits.c
@@ -112,7 +112,7 @@
 			   const void *source)
 {
 	GArray *updates = limit_updates_new();
-	struct limit_update copy = {.endpoint = g_strdup(update->endpoint), .news = update->news};
+	struct limit_update copy = {.endpoint = g_strdup(update->endpoint), .limit = update->limit};
 
 	g_array_append_val(updates, copy);
 	feed_for_each_follower(limits->ctrl->feed, source, limits_send_to, updates);
@@ -125,12 +125,12 @@
 	struct limit_known *known;
 
 	/* The absence of a limit matters only for an endpoint that had one. */
-	if (!update->news.named && !g_hash_table_contains(limits->known, update->endpoint))
+	if (!update->limit.named && !g_hash_table_contains(limits->known, update->endpoint))
 		return;
 	known = limits_get(limits, update->endpoint);
-	if (!lim_permits_update_limit(&known->part, &update->news))
+	if (!lim_permits_update_limit(&known->part, &update->limit))
 		return;
-	if (!update->news.named)
+	if (!update->limit.named)
 		known->since_us = 0;
 	else if (known->since_us == 0)
 		known->since_us = tmr_boot_now();
@@ -201,7 +201,7 @@
 	g_hash_table_iter_init(&iter, limits->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const struct limit_known *known = value;
-		struct limit_update update = {.news = known->part.news,
+		struct limit_update update = {.limit = known->part.news,
 					      .wanted = known->wanted,
 					      .returned = known->returned};
 
--- a/router/limits.h
+++ b/router/limits.h
@@ -29,12 +29,12 @@
  * hosts.
  */
 struct limit_update {
-	char *endpoint;		/* incarnation of the endpoint; owned */
-	struct lim_notice news; /* the limit that the endpoint announced */
-	int wanted;		/* number of requests that need a permit */
-	int returned;		/* number of permits that expired unused */
-	int permits;		/* number of permits issued */
-	int64_t asked_us;	/* send time of the ask that the permits answer */
+	char *endpoint;		 /* incarnation of the endpoint; owned */
+	struct lim_notice limit; /* the limit that the endpoint announced */
+	int wanted;		 /* number of requests that need a permit */
+	int returned;		 /* number of permits that expired unused */
+	int permits;		 /* number of permits issued */
+	int64_t asked_us;	 /* send time of the ask that the permits answer */
 };
 
 /* limits.c: the limits known to this host. */
--- a/router/member.c
+++ b/router/member.c
@@ -91,8 +91,8 @@
 		.total_ms = MEMBER_CALL_MS,
 	};
 
-	ctrl->listed_self_us = tmr_now();
-	ctrl->listed_self_era = ctrl->era.now;
+	ctrl->self_entry_us = tmr_now();
+	ctrl->self_entry_era = ctrl->era.now;
 	store_call(ctrl, &request, member_on_entry_written, ctrl);
 	g_string_free(record, TRUE);
 	g_free(text);
@@ -270,7 +270,7 @@
  */
 static bool member_is_first_start(const struct ctrl *ctrl)
 {
-	return ctrl->router->settings.first_start && ctrl->listed_self_us == 0;
+	return ctrl->router->settings.first_start && ctrl->self_entry_us == 0;
 }
 
 static void member_schedule_first_write(struct ctrl *ctrl)
@@ -303,13 +303,13 @@
 		member_schedule_first_write(ctrl);
 	if (tmr_is_set(&ctrl->self_entry_timer))
 		return;
-	if (ctrl->listed_self_us > 0)
+	if (ctrl->self_entry_us > 0)
 		delay_us = tmr_ms(member_write_offset_ms(ctrl));
 	else
 		delay_us = MAX(ctrl->start_us + tmr_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
 			       tmr_ms(member_write_offset_ms(ctrl)));
-	if (ctrl->listed_self_us > 0 && ctrl->listed_self_era == ctrl->era.now)
-		delay_us += MAX(ctrl->listed_self_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
+	if (ctrl->self_entry_us > 0 && ctrl->self_entry_era == ctrl->era.now)
+		delay_us += MAX(ctrl->self_entry_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
 	loop_after(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
 }
 
--- a/router/notice.c
+++ b/router/notice.c
@@ -41,13 +41,14 @@
 
 bool notice_allow_hint(struct ctrl *ctrl, int64_t now_us)
 {
-	double age_s = (double)(now_us - ctrl->hints_us) / TMR_US_PER_S;
+	double age_s = (double)(now_us - ctrl->hints_refill_us) / TMR_US_PER_S;
 
-	ctrl->hints = MIN(ctrl->hints + age_s * notice_hints_per_s, NOTICE_HINT_BURST);
-	ctrl->hints_us = now_us;
-	if (ctrl->hints < 1)
+	ctrl->hints_allowed =
+		MIN(ctrl->hints_allowed + age_s * notice_hints_per_s, NOTICE_HINT_BURST);
+	ctrl->hints_refill_us = now_us;
+	if (ctrl->hints_allowed < 1)
 		return false;
-	ctrl->hints--;
+	ctrl->hints_allowed--;
 	return true;
 }
 
@@ -56,7 +57,7 @@
 	const struct suspect suspect = {
 		endpoint, MIN(for_us / TMR_US_PER_MS, (int64_t)NOTICE_HINT_MS), SUSPECT_RESTS, 0};
 
-	suspect_on_report(ctrl, &suspect, NULL);
+	suspect_apply(ctrl, &suspect, NULL);
 }
 
 static gboolean notice_is_expired(gpointer endpoint, gpointer until_us, gpointer now_us)
@@ -69,9 +70,9 @@
 {
 	int64_t now_us = tmr_now();
 
-	if (g_hash_table_size(ctrl->rests) >= NOTICE_PRUNE_COUNT)
-		g_hash_table_foreach_remove(ctrl->rests, notice_is_expired, &now_us);
-	g_hash_table_replace(ctrl->rests, g_strdup(msg->endpoint),
+	if (g_hash_table_size(ctrl->backoff_until) >= NOTICE_PRUNE_COUNT)
+		g_hash_table_foreach_remove(ctrl->backoff_until, notice_is_expired, &now_us);
+	g_hash_table_replace(ctrl->backoff_until, g_strdup(msg->endpoint),
 			     g_memdup2(&msg->until_us, sizeof(msg->until_us)));
 	if (msg->is_new)
 		notice_send_hint(ctrl, msg->endpoint, msg->until_us - now_us);
@@ -114,7 +115,7 @@
 
 bool notice_in_backoff(const struct ctrl *ctrl, const char *endpoint, int64_t now_us)
 {
-	const int64_t *until_us = g_hash_table_lookup(ctrl->rests, endpoint);
+	const int64_t *until_us = g_hash_table_lookup(ctrl->backoff_until, endpoint);
 
 	return until_us && now_us < *until_us;
 }
--- a/router/pick.c
+++ b/router/pick.c
@@ -286,7 +286,7 @@
 	first = pick->eps[pick->path.stages[0].node];
 	if (traf_limit_is_open(traf, first, args->account))
 		return 0;
-	traf_limit_lacked(traf, first);
+	traf_limit_request_permit(traf, first);
 	pick_close_without_permit(pick, traf, args->account);
 	return pick_search(pick, traf, args->service) < 0 ? FWD_ENOPERMIT : 0;
 }
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -99,7 +99,7 @@
 	if (!best.ep)
 		return resting > 0 ? FWD_ERESTING : FWD_ENOENDPOINT;
 	if (best.ep != permitted.ep)
-		traf_limit_lacked(traf, best.ep);
+		traf_limit_request_permit(traf, best.ep);
 	if (!permitted.ep)
 		return FWD_ENOPERMIT;
 	pick_add_stage(target, pick_trial(traf, args, permitted.ep, now_us), 0, 0);
--- a/router/poll.c
+++ b/router/poll.c
@@ -185,7 +185,7 @@
 		const struct suspect suspect = {id, for_ms, SUSPECT_NO_REPORT, 0};
 
 		if (GPOINTER_TO_INT(g_hash_table_lookup(poll->misses, id)) >= POLL_MISSES_DEAD)
-			suspect_on_report(poll->ctrl, &suspect, poll);
+			suspect_apply(poll->ctrl, &suspect, poll);
 		else
 			pass_retry(&poll->pass, id);
 	}
@@ -274,7 +274,7 @@
 {
 	const struct suspect suspect = {call->endpoint, POLL_DEAD_MS, SUSPECT_RESTARTED, 0};
 
-	suspect_on_report(poll->ctrl, &suspect, poll);
+	suspect_apply(poll->ctrl, &suspect, poll);
 }
 
 static bool poll_on_head(void *ctx, int status, const GPtrArray *headers)
--- a/router/rank.c
+++ b/router/rank.c
@@ -179,7 +179,7 @@
 	bool is_new = number > round->number;
 
 	if (number >= round->number)
-		round->heard_us = now_us;
+		round->received_us = now_us;
 	if (is_new)
 		round->number = number;
 	return is_new;
@@ -192,5 +192,5 @@
 
 bool rank_should_poll(const struct rank_round *round, const struct rank *rank, int64_t now_us)
 {
-	return rank->first || (rank->reader && now_us - round->heard_us > rank_round_timeout_us);
+	return rank->first || (rank->reader && now_us - round->received_us > rank_round_timeout_us);
 }
--- a/router/rank.h
+++ b/router/rank.h
@@ -113,8 +113,8 @@
  * during that time.
  */
 struct rank_round {
-	int64_t number;	  /* number of the latest round that is known */
-	int64_t heard_us; /* when another host's round was last received, in microseconds */
+	int64_t number;	     /* number of the latest round that is known */
+	int64_t received_us; /* time at which a round of another host was last received, in us */
 };
 
 /* Handles the number of another host's round. Returns whether it is new and must be passed on. */
--- a/router/rank_test.cc
+++ b/router/rank_test.cc
@@ -438,7 +438,7 @@
 	rank_round round{};
 	EXPECT_TRUE(rank_round_received(&round, 500, 1));
 	EXPECT_FALSE(rank_round_received(&round, 1, 2));
-	EXPECT_EQ(round.heard_us, 1);
+	EXPECT_EQ(round.received_us, 1);
 	EXPECT_EQ(rank_round_ended(&round), 501);
 }
 
--- a/router/router.h
+++ b/router/router.h
@@ -63,7 +63,7 @@
 	int64_t fence;	      /* Fencing number for orders to engines; -1 if none is known */
 	bool listed; /* Whether the lists of endpoints and hosts have been read completely */
 	/* Time until which the list may still lack endpoints that are running */
-	int64_t whole_us;
+	int64_t list_complete_us;
 	/* Last time at which this data was known to match the store; 0 if never */
 	int64_t synced_us;
 };
--- a/router/store_reader.c
+++ b/router/store_reader.c
@@ -93,7 +93,7 @@
 {
 	const struct ctrl *ctrl = t->ctrl;
 
-	if (ctrl->router->settings.first_start && ctrl->host_news.version == 0)
+	if (ctrl->router->settings.first_start && ctrl->host_changes.version == 0)
 		return t->topic == SEAM_TOPIC_HOSTS ? READER_FIRST_START_HOSTS_MS
 						    : READER_POSTPONED_MS;
 	if (t->topic == SEAM_TOPIC_HOSTS && ctrl->hosts_known && !ctrl->rank.reader)
--- a/router/suspect.c
+++ b/router/suspect.c
@@ -40,7 +40,7 @@
 	int64_t for_ms = (post->until_us - tmr_now()) / TMR_US_PER_MS;
 	const struct suspect suspect = {post->endpoint, for_ms, post->why, 0};
 
-	suspect_on_report(post->to, &suspect, NULL);
+	suspect_apply(post->to, &suspect, NULL);
 	router_suspect_free(post);
 }
 
@@ -89,12 +89,12 @@
 static bool suspect_must_forward(struct ctrl *ctrl, const struct suspect *suspect, int64_t now_us)
 {
 	const char *endpoint = suspect->endpoint;
-	const int64_t *last = g_hash_table_lookup(ctrl->seen, endpoint);
+	const int64_t *last = g_hash_table_lookup(ctrl->suspect_passed_us, endpoint);
 	bool may_skip = !suspect_proves_dead(suspect) || suspect_is_dead(ctrl, endpoint, now_us);
 
 	if (may_skip && last && now_us - *last < tmr_ms(SUSPECT_REPEAT_MS))
 		return false;
-	suspect_set_time(ctrl->seen, endpoint, now_us);
+	suspect_set_time(ctrl->suspect_passed_us, endpoint, now_us);
 	return true;
 }
 
@@ -121,7 +121,7 @@
 	jl_end();
 }
 
-void suspect_on_report(struct ctrl *ctrl, const struct suspect *suspect, const void *source)
+void suspect_apply(struct ctrl *ctrl, const struct suspect *suspect, const void *source)
 {
 	struct suspect forwarded = *suspect;
 
@@ -160,7 +160,7 @@
 	if (strcmp(suspect.why, SUSPECT_LEAVING) == 0)
 		notice_apply_leaving(ctrl, suspect.endpoint, suspect.hops, conn);
 	else
-		suspect_on_report(ctrl, &suspect, conn);
+		suspect_apply(ctrl, &suspect, conn);
 	feed__suspect__free_unpacked(msg, NULL);
 	return 0;
 }
--- a/router/traffic.h
+++ b/router/traffic.h
@@ -102,7 +102,7 @@
 	GHashTable *retry_delays;    /* Retry-After computation by service: char * -> struct bk */
 	GHashTable *admissions;	     /* overload admission by service: char * -> struct adm */
 	struct lim_fair limit_fair;  /* shares scarce permits among client accounts */
-	GHashTable *limit_turns;     /* retry times given to callers refused for rate limits, by
+	GHashTable *limit_retries;   /* retry times given to callers refused for rate limits, by
 				      * service: char * -> struct lim_retry */
 	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
 	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
@@ -116,7 +116,7 @@
 	int64_t check_refill_us;   /* time at which the token bucket was last refilled, in us */
 	int64_t check_answered_us; /* time at which an endpoint last answered a check or report, in
 				      us */
-	int64_t heard_us;	   /* time of the last head or data from any endpoint, in us */
+	int64_t any_data_us;	   /* time of the last head or data from any endpoint, in us */
 	int64_t start_us;	   /* time at which the traffic thread was started, in us */
 	unsigned int open;	   /* atomic: number of requests received and not yet freed */
 	int64_t view_valid_us; /* last time at which the view was known to match the store, in us */
--- a/router/traffic_limit.c
+++ b/router/traffic_limit.c
@@ -74,7 +74,7 @@
 {
 	const struct limit_update update = {
 		.endpoint = ep->rec->incarnation,
-		.news = ep->limit.news,
+		.limit = ep->limit.news,
 		.wanted = ep->limit.wanted,
 		.returned = ep->limit.returned,
 	};
@@ -160,13 +160,13 @@
 		traf_limit_report_demand(traf, ep);
 }
 
-void traf_limit_lacked(struct traf *traf, struct traf_ep *ep)
+void traf_limit_request_permit(struct traf *traf, struct traf_ep *ep)
 {
 	met_add(met_counter("bg_limit_lacked_total", ""), 1);
 	traf_limit_add_demand(traf, ep);
 }
 
-void traf_limit_took(struct traf *traf, struct traf_ep *ep, const char *account)
+void traf_limit_use_permit(struct traf *traf, struct traf_ep *ep, const char *account)
 {
 	int64_t now_us = tmr_boot_now();
 
@@ -201,7 +201,7 @@
 	return rate / MAX(traf->view->hosts, 1);
 }
 
-bool traf_limit_waits(struct traf *traf, const char *service, const char *account)
+bool traf_limit_may_wait(struct traf *traf, const char *service, const char *account)
 {
 	double most = 1 + traf_limit_queue_s * traf_limit_host_rate(traf, service);
 	int waiting = 0;
@@ -224,16 +224,16 @@
 	met_add(met_counter("bg_limit_refused_total", ""), 1);
 }
 
-int64_t traf_limit_back_us(struct traf *traf, const char *service, const char *request,
-			   int64_t most_us)
+int64_t traf_limit_retry_us(struct traf *traf, const char *service, const char *request,
+			    int64_t most_us)
 {
-	struct lim_retry *turn = g_hash_table_lookup(traf->limit_turns, service);
+	struct lim_retry *turn = g_hash_table_lookup(traf->limit_retries, service);
 	double rate = traf_limit_host_rate(traf, service);
 	int64_t back_us;
 
 	if (!turn) {
 		turn = g_new0(struct lim_retry, 1);
-		g_hash_table_insert(traf->limit_turns, g_strdup(service), turn);
+		g_hash_table_insert(traf->limit_retries, g_strdup(service), turn);
 	}
 	back_us = lim_retry_delay_us(turn, rate, most_us, tmr_boot_now());
 	traf_limit_log_refused(service, request, rate, back_us);
@@ -274,7 +274,7 @@
 		lim_permits_add(&ep->limit, msg->update.permits, msg->update.asked_us,
 				tmr_boot_now());
 	else if (ep)
-		traf_limit_apply(ep, &msg->update.news, NULL, "another host");
+		traf_limit_apply(ep, &msg->update.limit, NULL, "another host");
 	g_free(msg->update.endpoint);
 	g_free(msg);
 }
--- a/router/traffic_limit.h
+++ b/router/traffic_limit.h
@@ -22,25 +22,25 @@
 
 /* Counts a request that was not sent to the endpoint because of its limit, and asks for a permit.
  */
-void traf_limit_lacked(struct traf *traf, struct traf_ep *ep);
+void traf_limit_request_permit(struct traf *traf, struct traf_ep *ep);
 
 /* Uses a permit for a request of the account that is sent to the endpoint. */
-void traf_limit_took(struct traf *traf, struct traf_ep *ep, const char *account);
+void traf_limit_use_permit(struct traf *traf, struct traf_ep *ep, const char *account);
 
 /*
  * Returns whether a request of the account may wait for a permit after the limits of all endpoints
  * of the service have turned it away. At most as many requests wait as the limits allow within half
  * a second, plus one.
  */
-bool traf_limit_waits(struct traf *traf, const char *service, const char *account);
+bool traf_limit_may_wait(struct traf *traf, const char *service, const char *account);
 
 /*
  * Returns the time after which the caller of a request that is refused because of limits should
  * retry, in microseconds and at most most_us. request is the identifier of the request, for the
  * log.
  */
-int64_t traf_limit_back_us(struct traf *traf, const char *service, const char *request,
-			   int64_t most_us);
+int64_t traf_limit_retry_us(struct traf *traf, const char *service, const char *request,
+			    int64_t most_us);
 
 /* Sends unreported demand for permits to the control thread and updates the gauges. */
 void traf_limit_on_sweep(struct traf *traf);
--- a/router/traffic_quarantine.c
+++ b/router/traffic_quarantine.c
@@ -105,7 +105,7 @@
 		traf_quar_enforce(traf, entry, "this host");
 }
 
-void traf_quar_crashed(struct traf *traf, const struct traf_ep *ep, const GArray *cuts)
+void traf_quar_on_crash(struct traf *traf, const struct traf_ep *ep, const GArray *cuts)
 {
 	uint64_t endpoint = traf_quar_endpoint_hash(ep);
 	GPtrArray *shared = quarantine_list_new();
@@ -123,7 +123,7 @@
 	g_ptr_array_add(ctx, quar_entry_dup(entry));
 }
 
-void traf_quar_lives(struct traf *traf, const struct traf_ep *ep)
+void traf_quar_remove_crash(struct traf *traf, const struct traf_ep *ep)
 {
 	GPtrArray *shared = quarantine_list_new();
 
@@ -160,7 +160,7 @@
 			refused_before);
 }
 
-void traf_quar_served(struct traf *traf, const struct quar_id *id)
+void traf_quar_on_served(struct traf *traf, const struct quar_id *id)
 {
 	bool refused_before = traf_quar_is_refused(traf, id);
 
--- a/router/traffic_quarantine.h
+++ b/router/traffic_quarantine.h
@@ -13,10 +13,10 @@
 
 /* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_attempt.
  */
-void traf_quar_crashed(struct traf *traf, const struct traf_ep *ep, const GArray *cuts);
+void traf_quar_on_crash(struct traf *traf, const struct traf_ep *ep, const GArray *cuts);
 
 /* Removes the crash of an endpoint that turned out to be alive from all entries, on all hosts. */
-void traf_quar_lives(struct traf *traf, const struct traf_ep *ep);
+void traf_quar_remove_crash(struct traf *traf, const struct traf_ep *ep);
 
 /*
  * Records how long an attempt of the request has run, from the response headers to the newest part
@@ -25,7 +25,7 @@
 void traf_quar_on_part(struct traf *traf, const struct quar_id *id, int64_t lasted_us);
 
 /* Clears a request that was served completely, so that it can't be the cause of crashes. */
-void traf_quar_served(struct traf *traf, const struct quar_id *id);
+void traf_quar_on_served(struct traf *traf, const struct quar_id *id);
 
 /* Removes expired entries from time to time. */
 void traf_quar_on_sweep(struct traf *traf, int64_t now_us);
--- a/router/txn.c
+++ b/router/txn.c
@@ -191,8 +191,8 @@
 	struct traf_pick_args args;
 
 	txn_fill_pick_args(txn, trust, &args);
-	txn->fwd.rules.rest_us = traf_pick_rest_end_us(txn->traf, &args);
-	return txn->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
+	txn->fwd.rules.rest_end_us = traf_pick_rest_end_us(txn->traf, &args);
+	return txn->fwd.rules.rest_end_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
 }
 
 int64_t txn_rest_left_us(const struct txn *txn)
@@ -232,7 +232,7 @@
 	if (err == FWD_ERESTING && attempt == 0)
 		err = txn_wait_for_rest_end(txn, trust);
 	if (err == FWD_ENOPERMIT &&
-	    !traf_limit_waits(traf, txn->service->name, txn_account_name(txn)))
+	    !traf_limit_may_wait(traf, txn->service->name, txn_account_name(txn)))
 		return FWD_EPERMITQUEUE;
 	if (err < 0)
 		return err;
@@ -259,7 +259,7 @@
 	txn->broken_at = NULL;
 	txn->last_activity_us = tmr_now();
 	txn->attempt_boot_us = tmr_boot_now();
-	traf_limit_took(traf, txn->target.stages[0].ep, txn_account_name(txn));
+	traf_limit_use_permit(traf, txn->target.stages[0].ep, txn_account_name(txn));
 	rest_on_sent(&txn->target.stages[0].ep->rest, txn->last_activity_us);
 	penalty_on_chosen(&txn->target.stages[0].ep->failing);
 	if (txn->sent_us == 0)
@@ -375,7 +375,7 @@
 
 	txn->head_received = true;
 	txn->head_us = tmr_now();
-	txn->traf->heard_us = tmr_now();
+	txn->traf->any_data_us = tmr_now();
 	seam_answer_finish(&txn->answer);
 	txn->traf->router->seam->wire.read_answer(status, headers, txn->request.id, &txn->answer);
 	if (txn->target.count > 0)
@@ -417,7 +417,7 @@
 
 	txn_update_gap_limit(txn, tmr_now());
 	txn->last_activity_us = tmr_now();
-	txn->traf->heard_us = txn->last_activity_us;
+	txn->traf->any_data_us = txn->last_activity_us;
 	if (txn->target.count > 0)
 		txn->target.stages[0].ep->last_data_us = txn->last_activity_us;
 	fwd_on_data(&txn->fwd, data, len, tmr_now());
--- a/router/txn_admit.c
+++ b/router/txn_admit.c
@@ -49,10 +49,10 @@
 	rules->deadline_us = txn->began_us + tmr_ms(deadline_ms);
 	rules->first_us = MAX(TXN_FIRST_MIN_MS, route->target_latency_ms / 2) * TMR_US_PER_MS;
 	rules->gap_us = MAX(TXN_GAP_MIN_MS, route->target_gap_ms * 6 / 10) * TMR_US_PER_MS;
-	rules->limit_us =
+	rules->limit_wait_until_us =
 		txn->began_us + MIN(bk_wait_max_us(deadline_ms), (int64_t)TXN_LIMIT_WAIT_US);
 	rules->list_wait_until_us =
-		MIN(txn->traf->view->whole_us, txn->began_us + bk_wait_max_us(deadline_ms));
+		MIN(txn->traf->view->list_complete_us, txn->began_us + bk_wait_max_us(deadline_ms));
 }
 
 static bool txn_is_past_stop_window(const struct txn *txn)
--- a/router/txn_answer.c
+++ b/router/txn_answer.c
@@ -96,8 +96,8 @@
 
 	bk_on_refused(back, now_us);
 	if (txn->fwd.failure == FWD_LIMITED)
-		return traf_limit_back_us(traf, txn->service->name, txn->request.id,
-					  bk_max_delay_us(left_us));
+		return traf_limit_retry_us(traf, txn->service->name, txn->request.id,
+					   bk_max_delay_us(left_us));
 	rest_us = txn_rest_left_us(txn);
 	if (rest_us > 0)
 		return traf_rest_retry_us(traf, txn->service->name, txn->request.id, rest_us);
--- a/router/txn_crash.c
+++ b/router/txn_crash.c
@@ -125,7 +125,7 @@
 {
 	const struct quar_id id = txn_quar_id(txn);
 
-	traf_quar_served(txn->traf, &id);
+	traf_quar_on_served(txn->traf, &id);
 }
 
 void txn_on_quarantine(struct txn *txn, const struct quar_entry *entry)
