--- a/fwd/fwd.c
+++ b/fwd/fwd.c
@@ -5,7 +5,7 @@
 enum {
 	/* Maximum number of attempts for one request; a rejection takes a few ms each. */
 	FWD_ATTEMPTS_MAX = 5,
-	/* Size up to which an answer is buffered until it is complete. */
+	/* Largest size of an answer that is buffered until it is complete, in bytes. */
 	FWD_BUFFER_MAX_BYTES = 256 << 10,
 	FWD_STATUS_BAD_GATEWAY = 502,
 	FWD_STATUS_UNAVAILABLE = 503,
@@ -18,7 +18,7 @@
 	 * second at each engine; callers disconnect after 2 s.
 	 */
 	FWD_RESEND_DELAY_US = 200000,
-	/* Number of times that this delay doubles. */
+	/* Maximum number of times that FWD_RESEND_DELAY_US is doubled. */
 	FWD_RESEND_DOUBLINGS_MAX = 2,
 	/*
 	 * Interval in microseconds at which a waiting request looks for an endpoint. An incomplete
--- a/fwd/fwd.h
+++ b/fwd/fwd.h
@@ -20,10 +20,10 @@
  *      ^                |                |
  *      +-- not run, or may run again ----+
  *
- * Between two attempts, only a stream waits whose caller has received a part and that no endpoint
- * accepts at present. Before the first attempt, a request waits only while the list of endpoints
- * may be incomplete, or while a limit or a rest may end in time. Every other request without an
- * endpoint is refused immediately.
+ * Between two attempts, a request waits only if it is a stream, its caller has received a part of
+ * the answer, and no endpoint accepts it at present. Before the first attempt, a request waits only
+ * while the list of endpoints may be incomplete, or while a limit or a rest may end in time. Every
+ * other request without an endpoint is refused immediately.
  */
 
 /* Error codes of the callbacks send() and charge_retry(). */
@@ -74,6 +74,7 @@
 	FWD_CAUSE_COUNT
 };
 
+/* Returns the name of the cause in the log. */
 const char *fwd_cause_name(enum fwd_cause cause);
 
 /* Rules for one request. All times are in microseconds. */
@@ -84,17 +85,26 @@
 	bool streaming;
 	/* Maximum number of endpoints that may run the request. */
 	int runs_max;
-	/* Time at which the request ends: the earlier deadline of the caller and the route. */
+	/* The earlier of the deadlines of the caller and the route, in microseconds. */
 	int64_t deadline_us;
-	/* Silence allowed before the first event or byte of the answer; 0 if unlimited. */
+	/*
+	 * Silence allowed before the first event or byte of the answer, in microseconds; 0 if
+	 * unlimited.
+	 */
 	int64_t first_us;
-	/* Silence allowed between two events; 0 if unlimited. */
+	/* Silence allowed between two events, in microseconds; 0 if unlimited. */
 	int64_t gap_us;
-	/* Time until which the request waits if no endpoint for it is listed. */
+	/* Time until which the request waits, in microseconds, if no endpoint for it is listed. */
 	int64_t list_wait_until_us;
-	/* Time until which the request waits if limits or rests exclude all endpoints. */
+	/*
+	 * Time until which the request waits, in microseconds, if limits or rests exclude all
+	 * endpoints.
+	 */
 	int64_t limit_wait_until_us;
-	/* Time at which the first endpoint may be used again; valid after FWD_ERESTING. */
+	/*
+	 * Time at which the first endpoint may be used again, in microseconds; valid after
+	 * FWD_ERESTING.
+	 */
 	int64_t rest_end_us;
 };
 
@@ -203,10 +213,11 @@
 	int64_t resend_us;
 	/* Number of waits since the last event was passed to the caller. */
 	int waits;
-	/* Failure of the last attempt. */
+	/* Cause for which the last attempt failed. */
 	enum fwd_cause failure;
 };
 
+/* Initializes the state machine; rules are copied. fwd_finish() frees its buffers. */
 void fwd_init(struct fwd *fwd, const struct fwd_rules *rules, const struct fwd_ops *ops, void *ctx);
 void fwd_finish(struct fwd *fwd);
 
--- a/fwd/fwd_test.cc
+++ b/fwd/fwd_test.cc
@@ -122,7 +122,7 @@
 	std::string received_;
 };
 
-TEST_F(FwdTest, AnswerIsHandedOnWhole)
+TEST_F(FwdTest, CompleteAnswerIsPassedOn)
 {
 	Start(false, false);
 	Head(200);
@@ -132,7 +132,7 @@
 	EXPECT_EQ(Actions(), "send whole:abc ok");
 }
 
-TEST_F(FwdTest, EventsAreHandedOnAsTheyCome)
+TEST_F(FwdTest, EventsArePassedOnAsTheyArrive)
 {
 	Start(true, true);
 	Head(200);
@@ -146,7 +146,7 @@
  * Guards against a second run of a request that may run only once. The connection breaks after the
  * request was sent and before the answer; a missing answer must not count as "not run".
  */
-TEST_F(FwdTest, WhatMayHaveRunIsNotSentAgain)
+TEST_F(FwdTest, RequestThatMayHaveRunIsNotSentAgain)
 {
 	Start(false, false);
 	Done(false);
@@ -154,7 +154,7 @@
 }
 
 /* A caller may send a request again after 503, so 503 is correct only if the request never ran. */
-TEST_F(FwdTest, NotRunIsSaidOnlyWhereItIsCertain)
+TEST_F(FwdTest, NotRunIsStatedOnlyIfCertain)
 {
 	const struct {
 		bool sent, headed, not_run;
@@ -182,7 +182,7 @@
 	}
 }
 
-TEST_F(FwdTest, ARejectionIsTriedElsewhereAlsoWhereOneRunIsAllowed)
+TEST_F(FwdTest, RejectedRequestIsSentToAnotherEndpointEvenIfOnlyOneRunIsAllowed)
 {
 	Start(false, false, 1);
 	Head(503, false, true, true);
@@ -205,7 +205,7 @@
 	EXPECT_EQ(Actions(), "send send whole:x ok");
 }
 
-TEST_F(FwdTest, TheLastFailureIsHandedOnUnchanged)
+TEST_F(FwdTest, LastFailureIsPassedOnUnchanged)
 {
 	Start(true, false);
 	Head(500);
@@ -216,7 +216,7 @@
 	EXPECT_EQ(Actions(), "send send whole:oops endpoint_failed");
 }
 
-TEST_F(FwdTest, ANonIdempotentFailureIsHandedOnAtOnce)
+TEST_F(FwdTest, FailureOfNonIdempotentRequestIsPassedOnImmediately)
 {
 	Start(false, false);
 	Head(500);
@@ -229,14 +229,14 @@
  * Guards against passing the answer of another request to the caller. An endpoint sends a second
  * answer late, which is read as the answer to the next request; the request id must be compared.
  */
-TEST_F(FwdTest, AnAnswerToAnotherRequestIsNeverHandedOn)
+TEST_F(FwdTest, AnswerToAnotherRequestIsNeverPassedOn)
 {
 	Start(false, false);
 	Head(200, true, false);
 	EXPECT_EQ(Actions(), "send refuse502? broken");
 }
 
-TEST_F(FwdTest, AnAnswerWithoutProofOrWithAnEncodingIsNotHandedOn)
+TEST_F(FwdTest, AnswerWithoutSealOrWithEncodingIsNotPassedOn)
 {
 	Start(false, false);
 	Head(200, false);
@@ -255,7 +255,7 @@
  * Guards against a duplicate or partial event in a stream. The first endpoint's answer ends in the
  * middle of event 2; a partial event must not be passed to the caller.
  */
-TEST_F(FwdTest, AStreamGoesOnElsewhereFromTheLastWholeEvent)
+TEST_F(FwdTest, StreamResumesAtAnotherEndpointAfterLastCompleteEvent)
 {
 	Start(true, true);
 	Head(200);
@@ -289,7 +289,7 @@
 	EXPECT_EQ(Actions(), "send begin data7 send@1 send@1 data7 end ok");
 }
 
-TEST_F(FwdTest, ALargeAnswerIsHandedOnBeforeItIsWhole)
+TEST_F(FwdTest, LargeAnswerIsPassedOnBeforeItIsComplete)
 {
 	const std::string part(200 << 10, 'x');
 	Start(false, false);
@@ -308,7 +308,7 @@
 	EXPECT_EQ(Actions(), "send begin data409600 abort broken");
 }
 
-TEST_F(FwdTest, AStreamThatMayNotBeResumedIsCut)
+TEST_F(FwdTest, StreamThatMayNotBeResumedIsAborted)
 {
 	Start(false, true);
 	Head(200);
@@ -343,7 +343,7 @@
  * that could be served. Engines reject a request and only dead engines remain; it must not be sent
  * to them, because each rejection would count as a retry.
  */
-TEST_F(FwdTest, ARejectedRequestEndsWhereNobodyIsLeft)
+TEST_F(FwdTest, RejectedRequestEndsIfNoEndpointIsLeft)
 {
 	Start(true, false);
 	repeat_error_ = FWD_ENOENDPOINT;
@@ -352,7 +352,7 @@
 	EXPECT_EQ(Actions(), "send refuse503! rejected");
 }
 
-TEST_F(FwdTest, TheBudgetIsAskedBeforeASecondSending)
+TEST_F(FwdTest, RetryBudgetIsChargedBeforeSecondAttempt)
 {
 	Start(true, false);
 	repeat_error_ = FWD_EBUDGET;
@@ -377,7 +377,7 @@
 	EXPECT_EQ(Actions(), "send begin data7 silent data7 end ok");
 }
 
-TEST_F(FwdTest, ASilentAttemptIsGivenUpForAnother)
+TEST_F(FwdTest, SilentAttemptIsAbandonedForAnother)
 {
 	Start(true, true);
 	Head(200);
@@ -395,7 +395,7 @@
 	EXPECT_EQ(Actions(), "send silent silent");
 }
 
-TEST_F(FwdTest, ANonIdempotentRequestIsNeverGivenUpForSilence)
+TEST_F(FwdTest, NonIdempotentRequestIsNeverAbandonedForSilence)
 {
 	Start(false, false);
 	Wait(350 * MS);
@@ -413,14 +413,14 @@
 	EXPECT_EQ(Actions(), "send cancel refuse504? deadline");
 }
 
-TEST_F(FwdTest, NobodyToSendTo)
+TEST_F(FwdTest, NoEndpointToSendTo)
 {
 	send_error_ = FWD_ENOENDPOINT;
 	Start(true, false);
 	EXPECT_EQ(Actions(), "refuse503! no_endpoint");
 }
 
-TEST_F(FwdTest, ACallerThatLeavesEndsTheAttempt)
+TEST_F(FwdTest, CallerDisconnectEndsTheAttempt)
 {
 	Start(true, true);
 	Head(200);
@@ -485,7 +485,7 @@
  * configuration change. Engine memory is full; a stream that has begun loses its engine and all
  * others reject it within a few ms. Without an endpoint, such a stream must wait instead of ending.
  */
-TEST_F(FwdTest, AStreamThatNobodyTakesWaitsAndGoesOn)
+TEST_F(FwdTest, StreamThatNoEndpointAcceptsWaitsAndResumes)
 {
 	const struct {
 		const char *name;
@@ -528,7 +528,7 @@
  * A request ends immediately if it may not run again, has no time left or has sent nothing to its
  * caller.
  */
-TEST_F(FwdTest, OnlyAStreamThatMayGoOnWaits)
+TEST_F(FwdTest, OnlyAStreamThatCanBeResumedWaits)
 {
 	const struct {
 		const char *name;
@@ -564,7 +564,7 @@
  * expire; all hosts are killed and restart; the store returns, and its list is empty for up to two
  * seconds. An incomplete list must not be treated as complete.
  */
-TEST_F(FwdTest, WhileTheListIsNotWholeARequestWaitsForAnEndpoint)
+TEST_F(FwdTest, RequestWaitsForAnEndpointWhileTheListIsIncomplete)
 {
 	const struct {
 		const char *name;
@@ -596,7 +596,7 @@
 }
 
 /* A request waits briefly for a permit, unless too many requests wait already. */
-TEST_F(FwdTest, ARequestWithoutRoomForItWaitsOrIsRefusedAtOnce)
+TEST_F(FwdTest, RequestWithoutAPermitWaitsOrIsRefusedImmediately)
 {
 	const struct {
 		const char *name;
@@ -631,7 +631,7 @@
 }
 
 /* Guards against a request that waits although the rest is known to end too late for it. */
-TEST_F(FwdTest, ARequestWaitsForARestThatEndsInTimeOrIsRefusedAtOnce)
+TEST_F(FwdTest, RequestWaitsForARestThatEndsInTimeOrIsRefusedImmediately)
 {
 	const struct {
 		const char *name;
@@ -667,7 +667,7 @@
 }
 
 /* Each attempt costs an engine a call, so the pauses grow until an event is passed on again. */
-TEST_F(FwdTest, PausesGrowAndTheDeadlineEndsThem)
+TEST_F(FwdTest, WaitsGrowUntilTheDeadline)
 {
 	std::vector<int64_t> pauses;
 	Start(true, true, 9);
@@ -691,7 +691,7 @@
  * already queued. Another host reports the third crash while the request is queued at an engine or
  * waits to be sent again; quarantine must apply to current requests, not only to later ones.
  */
-TEST_F(FwdTest, QuarantineEndsWhatIsUnderWay)
+TEST_F(FwdTest, QuarantineEndsARequestInProgress)
 {
 	const struct {
 		const char *what;
@@ -720,7 +720,7 @@
 }
 
 /* A request that reached no endpoint has not run, and the error answer states that. */
-TEST_F(FwdTest, QuarantineOfWhatWaitsForAnEndpoint)
+TEST_F(FwdTest, QuarantineEndsARequestThatWaitsForAnEndpoint)
 {
 	send_error_ = FWD_ENOENDPOINT;
 	listing_us_ = now_ + 1000 * MS;
@@ -734,7 +734,7 @@
  * A stream that no endpoint accepts waits and is sent again; one that crashed endpoints is ended
  * immediately instead.
  */
-TEST_F(FwdTest, WhatCrashesEndpointsIsNotSentAgain)
+TEST_F(FwdTest, RequestThatCrashesEndpointsIsNotSentAgain)
 {
 	for (bool parts : {false, true}) {
 		Start(true, true, 5);
@@ -753,7 +753,7 @@
 }
 
 /* The request is refused while it looks for an endpoint, so it was not sent to any. */
-TEST_F(FwdTest, WhatIsRefusedBeforeItIsSentHasNotRun)
+TEST_F(FwdTest, RequestRefusedBeforeItIsSentHasNotRun)
 {
 	send_error_ = FWD_EQUARANTINED;
 	Start(true, true);
--- a/router/crash.c
+++ b/router/crash.c
@@ -18,7 +18,7 @@
 	CRASH_CALL_MS = 250,
 	/* Pause after an unclear probe, in milliseconds; the endpoint's queue may be full. */
 	CRASH_RETRY_MS = 100,
-	/* Most probes to send while the result is unclear. */
+	/* Maximum number of probes while the result is unclear. */
 	CRASH_TRIES = 3,
 	/*
 	 * Number of further probes of an endpoint that seems to have ended, until a report shows
--- a/router/ctrl.c
+++ b/router/ctrl.c
@@ -8,8 +8,9 @@
 
 enum {
 	CTRL_TICK_MS = 100,
-	CTRL_HOST_WORDS = 3,   /* Number of words in a host's entry in the store */
-	CTRL_SYNCED_MS = 1000, /* Interval of posting synced_us to the traffic thread */
+	CTRL_HOST_WORDS = 3, /* Number of words in a host's entry in the store */
+	/* Interval of posting synced_us to the traffic thread, in milliseconds */
+	CTRL_SYNCED_MS = 1000,
 	/*
 	 * If drain_ms is longer than CTRL_LEAVE_MS, changes of endpoints may be delayed by the
 	 * excess divided by CTRL_DELAY_DIVISOR.
--- a/router/ctrl.h
+++ b/router/ctrl.h
@@ -29,16 +29,17 @@
 struct reader_topic {
 	struct ctrl *ctrl;
 	enum seam_topic topic;
-	int64_t next;	 /* Place of the next record to read; -1 to read a full listing next */
-	int64_t end;	 /* Place from which records are read after the listing in progress */
-	int64_t wait_ms; /* Time that the store may hold a read until a record arrives; 0 if none */
-	int64_t pause_us;	 /* Pause between two reads */
+	int64_t next; /* Place of the next record to read; -1 to read a full listing next */
+	int64_t end;  /* Place from which records are read after the listing in progress */
+	/* Time that the store may hold a read until a record arrives, in milliseconds; 0 if none */
+	int64_t wait_ms;
+	int64_t pause_us;	 /* Pause between two reads, in microseconds */
 	struct store_call *call; /* Call in progress; NULL if none */
 	struct tmr timer;	 /* Timer of the next call */
 	char *after;	 /* Last key of the previous page of the listing; NULL at its first page */
 	int reads;	 /* Number of successful reads of records, not counting listings */
 	int failures;	 /* Number of consecutive failed calls */
-	int64_t read_us; /* Time of the last successful call; 0 if none */
+	int64_t read_us; /* Time of the last successful call, in microseconds; 0 if none */
 };
 
 /* A host of this system, as in its entry in the store's list of hosts. */
@@ -55,7 +56,7 @@
 	struct hc *hc;		 /* HTTP client for calls to the store and to engines */
 	GHashTable *store_calls; /* Set of the calls to the store in progress: struct store_call */
 	struct era era;		 /* Newest known era of the store */
-	int64_t start_us;	 /* Start time of the process */
+	int64_t start_us;	 /* Start time of the process, in microseconds */
 	struct rt_conf *conf;	 /* Configuration in force; NULL if none */
 	int64_t conf_place;	 /* Place of the configuration's record; ERA_NONE if unknown */
 	GByteArray *conf_deflated;	  /* Deflated text of the configuration, for followers */
@@ -77,12 +78,14 @@
 	struct tmr tick_timer;	     /* Timer of the next tick */
 	struct tmr self_entry_timer; /* Timer for this host's own entry in the list of hosts */
 	struct hosts *host_list;     /* Maintenance of the store's list of hosts */
-	int64_t self_entry_us;	 /* Time at which this host last wrote its own entry; 0 if never */
-	int64_t self_entry_era;	 /* Era of the store when that entry was written */
-	bool self_entry_failed;	 /* Whether that write failed */
-	bool feed_lacks_self;	 /* Whether the list of hosts from the feed lacks this host */
-	struct lead lead;	 /* Lease of the lead; its holder sends orders to engines */
-	int64_t left_us;	 /* Time at which this host last left the group; 0 if never */
+	/* Time at which this host last wrote its own entry, in microseconds; 0 if never */
+	int64_t self_entry_us;
+	int64_t self_entry_era; /* Era of the store when that entry was written */
+	bool self_entry_failed; /* Whether that write failed */
+	bool feed_lacks_self;	/* Whether the list of hosts from the feed lacks this host */
+	struct lead lead;	/* Lease of the lead; its holder sends orders to engines */
+	/* Time at which this host last left the group, in microseconds; 0 if never */
+	int64_t left_us;
 	struct store_call *join; /* Call that joins the group of candidates; NULL if none */
 	struct tmr join_timer;	 /* Timer of the next such call */
 	struct placer *placer;
@@ -92,27 +95,32 @@
 	struct recall *recall;
 	struct quarantine *quarantine;
 	struct limits *limits;
-	/* Incarnation -> time at which a suspicion of it was last passed on (int64_t) */
+	/* Incarnation -> time at which a suspicion of it was last passed on, in us (int64_t) */
 	GHashTable *suspect_passed_us;
-	/* Incarnation -> time until which the endpoint is regarded as dead (int64_t) */
+	/* Incarnation -> time until which the endpoint is regarded as dead, in us (int64_t) */
 	GHashTable *dead;
-	double hints_allowed; /* Number of backoff hints that may be passed on now; see notice.c */
-	int64_t hints_refill_us; /* Time at which that number was last updated */
-	/* Incarnation -> time until which the endpoint accepts no requests (int64_t) */
+	double hints_allowed; /* Number of back-off hints that may be forwarded now; see notice.h */
+	int64_t hints_refill_us; /* Time at which hints_allowed was last updated, in microseconds */
+	/* Incarnation -> end of the back-off that the endpoint requested, in us (int64_t) */
 	GHashTable *backoff_until;
 	GHashTable *unreadable; /* Endpoint id -> parse error of its entry, as last logged */
 	GArray *loads;		/* Newest load reports (struct router_load) */
 	guint loads_version;	/* Incremented with each change of loads */
-	int64_t loads_us;	/* Time at which loads last changed and were passed on */
+	int64_t loads_us; /* Time at which loads last changed and were passed on, in microseconds */
 	/* Incarnation -> last report that this host's own polling got (struct router_load) */
 	GHashTable *polled_loads;
-	int64_t last_fed_us; /* Last time at which this host had a feed; 0 if never */
-	/* Last time at which this host or its feeder had contact with the store; 0 if never */
+	/* Last time at which this host had a feed, in microseconds; 0 if never */
+	int64_t last_fed_us;
+	/*
+	 * Last time at which this host or its feeder had contact with the store, in microseconds; 0
+	 * if never
+	 */
 	int64_t synced_us;
-	int64_t synced_posted_us; /* Time at which synced_us was last posted; 0 if never */
-	bool view_pending;	  /* Whether the next tick posts a new view */
-	bool view_complete;	  /* Whether the last view had a configuration and complete lists */
-	bool stopping;		  /* Whether the process has been asked to stop */
+	/* Time at which synced_us was last posted, in microseconds; 0 if never */
+	int64_t synced_posted_us;
+	bool view_pending;  /* Whether the next tick posts a new view */
+	bool view_complete; /* Whether the last view had a configuration and complete lists */
+	bool stopping;	    /* Whether the process has been asked to stop */
 };
 
 /* store_reader.c: reading the store. */
@@ -266,7 +274,7 @@
 /* Reason: the engine's report states a later start than its entry in the store. */
 #define SUSPECT_RESTARTED "restarted"
 
-/* Not a fault: the endpoint asked another host for a pause, so this one prefers others, too. */
+/* Not a fault: the endpoint requested a back-off from another host, so this host prefers others. */
 #define SUSPECT_RESTS "rests_elsewhere"
 
 /* Not a fault: the endpoint announced that it leaves. Only its running requests continue. */
@@ -361,8 +369,10 @@
 /* Sends each follower the changes that it does not have yet. */
 void feed_flush(struct feed *feed);
 
-/* Calls fn for the connection to each follower, except the connection source. */
+/* Callback for one connection; ctx is the caller's. */
 typedef void (*feed_conn_fn)(void *ctx, struct frm_conn *conn);
+
+/* Calls fn for the connection to each follower, except the connection source. */
 void feed_for_each_follower(struct feed *feed, const void *source, feed_conn_fn fn, void *ctx);
 
 /* follow.c: receiving the data of the store from a feeder. */
--- a/router/feed.c
+++ b/router/feed.c
@@ -11,15 +11,17 @@
 
 enum {
 	/*
-	 * Interval of heartbeats to followers, and time after which a silent one is disconnected.
-	 * Followers send every 400 ms and detect a dead connection; this side may take longer.
+	 * Interval of heartbeats to followers, and time after which a silent follower is
+	 * disconnected, in milliseconds. Followers send every 400 ms and detect a dead connection;
+	 * this side may take longer.
 	 */
 	FEED_HEARTBEAT_MS = 2000,
 	FEED_SILENT_MS = 6000,
 	/*
-	 * Longest interval at which a follower is sent the place up to which the store has been
-	 * read, so that it can continue from there when it loses its feed. Heartbeats of endpoints
-	 * are not forwarded: 3,000 endpoints send 600 a second, of no use to followers.
+	 * Longest interval, in milliseconds, at which a follower is sent the place up to which the
+	 * store has been read, so that it can continue from there when it loses its feed.
+	 * Heartbeats of endpoints are not forwarded: 3,000 endpoints send 600 a second, of no use
+	 * to followers.
 	 */
 	FEED_PLACE_INTERVAL_MS = 5000,
 	FEED_NONE = -1 /* Place, era or fencing number that is not known */
@@ -34,13 +36,13 @@
 	uint64_t conf_digest;	/* Hash of the text of its configuration */
 	int64_t era;		/* Era of the store, as encoded in messages */
 	int64_t endpoints_next; /* Place up to which it has the records of endpoints; -1 if none */
-	int64_t place_sent_us;	/* Time at which that place was last sent */
+	int64_t place_sent_us;	/* Time at which endpoints_next was last sent, in microseconds */
 	guint listing;		/* Number of the full list of endpoints that it has; 0 if none */
 	guint hosts_version;	/* Number of the newest change of the list of hosts that it has */
 	guint loads_version;	/* Version of the load reports that it has */
 	int64_t round;		/* Newest round of load reports that it has */
 	int64_t generation;	/* Newest fencing number that it has */
-	bool away;    /* Whether it was told that this host lacks contact with the store */
+	bool away; /* Whether the last update stated that this host has no contact with the store */
 	bool updated; /* Whether it has been sent a first update */
 };
 
--- a/router/feed_merge.c
+++ b/router/feed_merge.c
@@ -77,7 +77,7 @@
 	needs_full = fmerge_apply_in_order(fmerge, items, before);
 	missing = fmerge_find_missing(fmerge->list);
 	ep_end_listing(fmerge->list, next, now_us);
-	/* Places of an older era do not tell which records followers have. */
+	/* Places of an older era do not show which records followers have. */
 	needs_full = needs_full || era_of_place(next) != era_of_place(before) ||
 		     (missing->len > 0 && next <= before);
 	if (!needs_full)
--- a/router/feed_merge.h
+++ b/router/feed_merge.h
@@ -7,10 +7,10 @@
 
 /*
  * Merges endpoints from a feed into the list of this host, which may have followers of its own.
- * When a full list arrives again, little in it has changed. Forwarded as a full list it would go to
- * every follower of every relay, 984 lists of 3,000 endpoints for one that was requested. So
- * followers get only the changes, as records. The functions have no side effects outside of the
- * struct.
+ * When a full list arrives again, little in it has changed. If it were forwarded as a full list,
+ * every follower of every relay would get one: 984 lists of 3,000 endpoints because a single list
+ * was requested. So followers get only the changes, as records. The functions have no side effects
+ * outside of the struct.
  */
 struct fmerge {
 	struct ep_list *list; /* List of endpoints of this host */
--- a/router/follow.c
+++ b/router/follow.c
@@ -13,35 +13,44 @@
 #include <string.h>
 
 enum {
-	FOLLOW_HEARTBEAT_MS = 400, /* Interval of heartbeats to the feeder */
+	FOLLOW_HEARTBEAT_MS = 400, /* Interval of heartbeats to the feeder, in milliseconds */
 	/*
-	 * Time after which a silent feeder is disconnected and the store is read. A change must be
-	 * in force two seconds after the store accepted it.
+	 * Time after which a silent feeder is disconnected and the store is read, in milliseconds.
+	 * A change must be in force two seconds after the store accepted it.
 	 */
 	FOLLOW_SILENT_MS = 1000,
-	FOLLOW_SUSPECT_MS = 4000, /* Time for which a host that did not answer is avoided */
-	FOLLOW_RETRY_MS = 300,	  /* Shortest interval between two attempts to connect */
-	/* Time after which a reader without contact with the store is replaced as feeder */
+	/* Time for which a host that did not answer is avoided, in milliseconds */
+	FOLLOW_SUSPECT_MS = 4000,
+	/* Shortest interval between two attempts to connect, in milliseconds */
+	FOLLOW_RETRY_MS = 300,
+	/*
+	 * Time after which a reader without contact with the store is replaced as feeder, in
+	 * milliseconds
+	 */
 	FOLLOW_STALE_MS = 400,
-	/* The same time for a relay as feeder, which first looks for another feeder itself */
+	/*
+	 * Time after which a relay without contact with the store is replaced as feeder, in
+	 * milliseconds; it is longer since the relay first looks for another feeder itself
+	 */
 	FOLLOW_STALE_RELAY_MS = 900,
 	/*
-	 * Time after which a host with a working feed moves to the relay that is assigned to it:
-	 * this delay plus a part of the spread by host. Hosts that start together learn of each
-	 * other over some seconds and follow readers until then.
+	 * Time after which a host with a working feed moves to the relay that is assigned to it, in
+	 * milliseconds: FOLLOW_MOVE_DELAY_MS plus a part of FOLLOW_MOVE_SPREAD_MS that differs by
+	 * host. Hosts that start together find each other over some seconds and follow readers
+	 * until then.
 	 */
 	FOLLOW_MOVE_DELAY_MS = 2000,
 	FOLLOW_MOVE_SPREAD_MS = 3000,
 	/*
 	 * Time after which a feeder without contact with the store is replaced if all feeders have
-	 * been tried. Hosts that changed their feeder more often during an outage of the store
-	 * missed suspicions of endpoints that other hosts passed on.
+	 * been tried, in milliseconds. Hosts that changed their feeder more often during an outage
+	 * of the store missed suspicions of endpoints that other hosts passed on.
 	 */
 	FOLLOW_STALE_OUTAGE_MS = 4000,
 	/*
-	 * Time after the start within which a host finds its feeder. Before that only readers feed:
-	 * any other host reads the store for a moment only, and its followers would lose their feed
-	 * again.
+	 * Time after its start within which a host finds its feeder, in milliseconds. Before that
+	 * only readers feed: any other host reads the store for a moment only, and its followers
+	 * would lose their feed again.
 	 */
 	FOLLOW_SETTLE_MS = 1500
 };
@@ -52,14 +61,17 @@
 	struct frm_conn *conn;	 /* Connection to the feeder; NULL if none */
 	char *host;		 /* Name of the feeder; its address if it is a seed */
 	bool fed; /* Whether the feeder has sent an update and has contact with the store */
-	/* Time since which the feeder has had no contact with the store; 0 if it has */
+	/*
+	 * Time since which the feeder has had no contact with the store, in microseconds; 0 if it
+	 * has
+	 */
 	int64_t stale_us;
 	unsigned int feeders_tried; /* Number of feeders that were replaced without a result */
-	int64_t next_try_us;	    /* Earliest time of the next attempt to connect */
-	int64_t settle_us;	    /* Time at which FOLLOW_SETTLE_MS has passed */
-	guint seed;		    /* Index of the seed to connect to next */
-	bool table_outdated;	    /* Whether the list of hosts is newer than the table */
-	/* Time since which the feeder has not been the assigned one; 0 if it is */
+	int64_t next_try_us; /* Earliest time of the next attempt to connect, in microseconds */
+	int64_t settle_us;   /* Time at which FOLLOW_SETTLE_MS has passed, in microseconds */
+	guint seed;	     /* Index of the seed to connect to next */
+	bool table_outdated; /* Whether the list of hosts is newer than the table */
+	/* Time since which the feeder has not been the assigned one, in microseconds; 0 if it is */
 	int64_t misplaced_us;
 };
 
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -118,7 +118,7 @@
 		if (!g_hash_table_contains(hosts->listed, name))
 			hosts_schedule_write(hosts, name, HOSTS_ADD);
 	}
-	/* Each follower gets the whole list and checks whether it is in there itself. */
+	/* Each follower gets the whole list and checks whether the list contains the follower. */
 	hdelta_on_compared(&hosts->ctrl->host_changes);
 }
 
--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -35,9 +35,13 @@
 	struct limit_home *own; /* home that runs on this host, used if this host is chosen */
 	struct frm_conn *conn;	/* connection to the home; NULL if there is none or it is local */
 	char *home;		/* name of the host that is the home; NULL if none is chosen */
-	int64_t asked_us;	/* time of the last ask to this home; 0 if none */
-	int64_t home_time_us;	/* newest time received of the home's clock; 0 if none */
-	/* Time before which no other home is asked, since the last one still counts this host. */
+	int64_t asked_us;	/* time of the last ask to this home, in microseconds; 0 if none */
+	/* newest time received of the home's clock, in microseconds; 0 if none */
+	int64_t home_time_us;
+	/*
+	 * Time before which no other home is asked, in microseconds; until then the last home still
+	 * counts this host.
+	 */
 	int64_t next_home_us;
 	bool scheduled;	  /* the timer is set for an ask before the idle interval ends */
 	struct tmr timer; /* timer of the scheduled ask */
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -19,13 +19,15 @@
 /* The limit of one endpoint that this home divides. */
 struct limit_divided {
 	struct lim_home home; /* the limit and the demand of each host */
-	int64_t asked_us;     /* time at which a host last asked for permits of this limit */
+	/* time at which a host last asked for permits of this limit, in microseconds */
+	int64_t asked_us;
 };
 
 /* A host that asks this home for permits. */
 struct limit_asker {
 	struct frm_conn *conn; /* connection to the host; NULL if it is this host */
-	int64_t sent_us;       /* send time of its last ask, by its own clock */
+	/* time at which the host sent its last ask, in microseconds of its own clock */
+	int64_t sent_us;
 };
 
 struct limit_home {
@@ -35,7 +37,7 @@
 	GHashTable *askers;  /* name of a host -> struct limit_asker */
 	struct lim_members
 		members;   /* hosts that ask this home; they determine its fraction of each limit */
-	int64_t update_us; /* time of the next update of the list of hosts */
+	int64_t update_us; /* time of the next update of the list of hosts, in microseconds */
 	struct tmr timer;  /* timer that expires when the next permit may be issued */
 };
 
--- a/router/limits.c
+++ b/router/limits.c
@@ -28,8 +28,9 @@
 		part; /* the limit; its permits are unused, as the traffic thread holds them */
 	int wanted;   /* number of permits needed and not yet asked for */
 	int returned; /* number of unused permits not yet returned to the home */
-	int64_t touched_us; /* time at which the entry was last used or updated */
-	int64_t since_us;   /* time at which the limit was first announced; 0 if none is */
+	int64_t touched_us; /* time at which the entry was last used or updated, in microseconds */
+	/* time at which the limit was first announced, in microseconds; 0 if none is */
+	int64_t since_us;
 };
 
 struct limits {
@@ -37,7 +38,7 @@
 	GHashTable *known;	 /* incarnation of an endpoint -> struct limit_known */
 	struct limit_home *home; /* home that runs on this host */
 	struct limit_ask *ask;	 /* asks the chosen home for permits */
-	int64_t prune_us;	 /* time of the next removal of outdated limits */
+	int64_t prune_us;	 /* time of the next removal of outdated limits, in microseconds */
 };
 
 /* An update that the traffic thread posts to the control thread. */
--- a/router/limits.h
+++ b/router/limits.h
@@ -34,7 +34,8 @@
 	int wanted;		 /* number of requests that need a permit */
 	int returned;		 /* number of permits that expired unused */
 	int permits;		 /* number of permits issued */
-	int64_t asked_us;	 /* send time of the ask that the permits answer */
+	/* time at which the ask was sent that the permits answer, in microseconds */
+	int64_t asked_us;
 };
 
 /* limits.c: the limits known to this host. */
@@ -135,7 +136,7 @@
 /* The items of a message, with the memory that they refer to. */
 struct limit_items {
 	Feed__Limit *values; /* array of n items */
-	Feed__Limit **refs;  /* pointers to the items, as the message takes them */
+	Feed__Limit **refs;  /* pointers to the items, as the serializer requires them */
 	size_t n;	     /* number of items */
 };
 
@@ -148,8 +149,10 @@
  */
 void limit_update_unpack(struct limit_update *update, const Feed__Limit *from, int64_t now_us);
 
-/* Passes a limit, or permits if there are any, to the traffic thread. May be called from any
- * thread. */
+/*
+ * Passes a limit, or permits if there are any, to the traffic thread. May be called from any
+ * thread.
+ */
 void traf_limit_post(struct traf *traf, const struct limit_update *update);
 
 G_END_DECLS
--- a/router/notice.h
+++ b/router/notice.h
@@ -13,8 +13,9 @@
  * Notices that endpoints give in the headers of their responses, as the control thread handles
  * them. A notice either requests a back-off, which is a time in which the host must send nothing to
  * the endpoint, or announces that the endpoint is leaving. The traffic thread applies notices to
- * requests. The control thread sends no calls of its own to an endpoint in back-off,
- * marks a leaving endpoint as draining, and forwards notices to the other hosts.
+ * requests; there, a back-off is called a rest period (ep/rest.h). The control thread sends no
+ * calls of its own to an endpoint in back-off, marks a leaving endpoint as draining, and forwards
+ * notices to the other hosts.
  *
  * A back-off binds only the host that received it. Other hosts get a short hint, because otherwise
  * each of them would learn of the overload by a rejected request of its own.
--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -14,15 +14,15 @@
 	struct pa_node *nodes; /* candidates, as the path search sees them */
 	struct traf_ep **eps;  /* endpoint of each node */
 	int n;		       /* number of nodes */
-	int resting;	       /* endpoints left out because of rest periods */
+	int resting;	       /* number of endpoints left out because of rest periods */
 	struct pa_request ask; /* what the pipeline has to do */
 	struct pa_path path;   /* the pipeline found */
 };
 
 /*
  * Starts a search among the endpoints of the service that are available at time at_us and not in
- * avoid. An endpoint in a rest period is left out as a later stage, too, since a pipeline through
- * it would send it requests of this host.
+ * avoid. An endpoint in a rest period is left out at any stage of the pipeline, since a pipeline
+ * through it would send it requests of this host.
  */
 void pick_init(struct pick *pick, struct traf *traf, const struct rt_service *service,
 	       const struct seam_request *request, const struct traf_target *avoid, int64_t at_us);
--- a/router/quar_msg.c
+++ b/router/quar_msg.c
@@ -14,7 +14,8 @@
 struct quar_msg {
 	Feed__Quarantine item;
 	Feed__Crash crashes[QUAR_CRASHES_MAX]; /* the crashes of the entry */
-	Feed__Crash *refs[QUAR_CRASHES_MAX];   /* pointers to them, as the message takes them */
+	/* pointers to the elements of crashes, as the serializer requires them */
+	Feed__Crash *refs[QUAR_CRASHES_MAX];
 };
 
 static void quar_msg_fill(struct quar_msg *msg, const struct quar_entry *entry, int64_t now_us)
--- a/router/quar_store.c
+++ b/router/quar_store.c
@@ -23,9 +23,9 @@
 	GHashTable *due;    /* digest as text -> struct quar_entry to write, or NULL to remove it */
 	GPtrArray *writing; /* digests in the current write, as text */
 	struct store_call *write; /* current write; NULL if none */
-	int64_t write_us;	  /* time before which no write is started */
+	int64_t write_us;	  /* time before which no write is started, in microseconds */
 	struct store_call *read;  /* current read; NULL if none */
-	int64_t read_us;	  /* time before which no read is started */
+	int64_t read_us;	  /* time before which no read is started, in microseconds */
 	char *after;		  /* key after which the listing continues; NULL at its start */
 	bool is_read;		  /* all records have been read */
 };
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -15,7 +15,7 @@
 	struct ctrl *ctrl;
 	struct quar table;
 	struct quar_store *store; /* writes entries to the store and reads them from it */
-	int64_t expire_us;	  /* time of the next removal of expired entries */
+	int64_t expire_us;	  /* time of the next removal of expired entries, in microseconds */
 	/* All entries have to be written again: the store was restored from a copy that may lack
 	 * some. */
 	bool rewrite;
--- a/router/rank.h
+++ b/router/rank.h
@@ -18,7 +18,7 @@
 	 */
 	RANK_READERS_SMALL = 2, /* number of readers among at most RANK_SMALL_HOSTS hosts */
 	RANK_READERS = 3,	/* number of readers among more hosts than that */
-	RANK_SMALL_HOSTS = 10,
+	RANK_SMALL_HOSTS = 10,	/* largest number of hosts with RANK_READERS_SMALL readers */
 	/*
 	 * Number of readers and spare feeders that a host tries as its feeder, one after the other.
 	 * Spare feeders are the hosts ranked next to the readers: when the store rejects the
--- a/router/router.h
+++ b/router/router.h
@@ -62,9 +62,9 @@
 	int hosts;	      /* Number of hosts of this system, including this one */
 	int64_t fence;	      /* Fencing number for orders to engines; -1 if none is known */
 	bool listed; /* Whether the lists of endpoints and hosts have been read completely */
-	/* Time until which the list may still lack endpoints that are running */
+	/* Time until which the list may still lack endpoints that are running, in microseconds */
 	int64_t list_complete_us;
-	/* Last time at which this data was known to match the store; 0 if never */
+	/* Last time at which this data was known to match the store, in microseconds; 0 if never */
 	int64_t synced_us;
 };
 
@@ -89,7 +89,7 @@
 	void *to;	  /* Receiver: the struct ctrl or the struct tf */
 	char *endpoint;	  /* Incarnation of the endpoint */
 	char *why;	  /* Reason of the suspicion, one of SUSPECT_* */
-	int64_t until_us; /* Time at which the suspicion ends */
+	int64_t until_us; /* Time at which the suspicion ends, in microseconds */
 };
 
 /* Allocates a message that is valid for for_ms milliseconds; endpoint and why are copied. */
--- a/router/store_call.c
+++ b/router/store_call.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 enum {
-	STORE_CONNECT_MS = 500 /* Time limit for connecting to the store */
+	STORE_CONNECT_MS = 500 /* Time limit for connecting to the store, in milliseconds */
 };
 
 struct store_call {
--- a/router/store_reader.c
+++ b/router/store_reader.c
@@ -7,58 +7,77 @@
 
 enum {
 	/*
-	 * Time that the store may hold a read of the configuration until a record arrives. A change
-	 * must be in force within two seconds, and an open connection may be dead unnoticed: the
-	 * failure is then detected within this time and READER_MARGIN_MS.
+	 * Time that the store may hold a read of the configuration until a record arrives, in
+	 * milliseconds. A change must be in force within two seconds, and an open connection may be
+	 * dead unnoticed: the failure is then detected within this time and READER_MARGIN_MS.
 	 */
 	READER_CONF_WAIT_MS = 1000,
-	READER_MARGIN_MS =
-		700,	       /* Time limit for the answer of a read after the store has held it */
-	READER_CALL_MS = 1000, /* Minimum time limit for a call */
+	/* Time limit for the answer of a read after the store has held it, in milliseconds */
+	READER_MARGIN_MS = 700,
+	READER_CALL_MS = 1000, /* Minimum time limit for a call, in milliseconds */
 	/*
-	 * Time that the store may hold a read of endpoints, and pause between two reads. Records of
-	 * endpoints arrive in groups; the pause lets one read return a whole group.
+	 * Time that the store may hold a read of endpoints, and pause between two reads, in
+	 * milliseconds. Records of endpoints arrive in groups; the pause lets one read return a
+	 * whole group.
 	 */
 	READER_ENDPOINTS_WAIT_MS = 1000,
 	READER_ENDPOINTS_PAUSE_MS = 150,
 	/*
-	 * The same pause between the start of a host and its first feed, after which it stops
-	 * reading. With the shorter pause, 66 hosts that started together made in that second most
-	 * of the 1,000 calls of a minute without faults.
+	 * Pause between two reads of endpoints, in milliseconds, from the start of a host until its
+	 * first feed, after which it stops reading. With READER_ENDPOINTS_PAUSE_MS, 66 hosts that
+	 * started together made most of their 1,000 calls of a minute without faults before their
+	 * first feed, which took a second.
 	 */
 	READER_ENDPOINTS_PAUSE_START_MS = 1500,
-	READER_HOSTS_PAUSE_MS = 5000, /* Pause between two reads of the list of hosts */
-	/* Pause after the first reads, as hosts that start together add their entries in 1 s */
+	/* Pause between two reads of the list of hosts, in milliseconds */
+	READER_HOSTS_PAUSE_MS = 5000,
+	/*
+	 * Pause after each of the first reads of the list of hosts, in milliseconds; hosts that
+	 * start together add their entries within 1 s
+	 */
 	READER_HOSTS_EARLY_MS = 700,
-	READER_HOSTS_EARLY_READS = 4, /* Number of reads after which the longer pause applies */
-	READER_RETRY_MS = 250, /* Pause after a failed call; doubles with each further failure */
-	READER_RETRY_MAX_MS = 1000, /* Maximum of that pause */
-	/* Pause after a failed call while the host has no configuration and callers wait */
+	/* Number of reads after which READER_HOSTS_PAUSE_MS applies */
+	READER_HOSTS_EARLY_READS = 4,
+	/* Pause after a failed call, in milliseconds; doubles with each further failure */
+	READER_RETRY_MS = 250,
+	READER_RETRY_MAX_MS = 1000, /* Longest pause after a failed call, in milliseconds */
+	/*
+	 * Pause after a failed call, in milliseconds, while the host has no configuration and
+	 * callers wait
+	 */
 	READER_RETRY_NO_CONF_MS = 250,
-	/* Pause after repeated failures on a non-reader, whose feed reports the store's recovery */
+	/*
+	 * Pause after repeated failures on a host that is not a reader, in milliseconds; its feed
+	 * reports the store's recovery
+	 */
 	READER_RETRY_FOLLOWER_MS = 2500,
-	READER_POSTPONED_MS = 100, /* Interval of checks whether a postponed topic may be read */
+	/* Interval of checks whether a postponed topic may be read, in milliseconds */
+	READER_POSTPONED_MS = 100,
 	/*
 	 * Delay of the first read of the list of hosts when the whole system starts for the first
-	 * time. Hosts add their entries within half a second then, and no callers wait yet. All but
-	 * the readers get the remaining data by their feed: two calls a host instead of eight, of
-	 * 1,880 in a minute without faults with 195 hosts.
+	 * time, in milliseconds. Hosts add their entries within half a second then, and no callers
+	 * wait yet. All hosts but the readers get the remaining data by their feeds and make two
+	 * calls to the store instead of eight. All calls of 195 hosts in a minute without faults
+	 * are 1,880.
 	 */
 	READER_FIRST_START_HOSTS_MS = 700,
 	/*
 	 * In a system of at least READER_MANY_HOSTS hosts, a host that starts waits for
-	 * READER_LIST_WAIT_MS for the list of endpoints from a feed. When all of 300 hosts started
-	 * at once, each read 840 KB in pages and took 30 s until it served requests.
+	 * READER_LIST_WAIT_MS milliseconds for the list of endpoints from a feed. When all of 300
+	 * hosts started at once, each read 840 KB in pages and took 30 s until it served requests.
 	 */
 	READER_MANY_HOSTS = 100,
 	READER_LIST_WAIT_MS = 1200,
 	/*
 	 * Time after which a host without a feed reads all topics in the first start of the whole
-	 * system. The store accepts the entries of hosts one by one, 2 ms each; before the list is
-	 * complete, hosts choose different feeders.
+	 * system, in milliseconds. The store accepts the entries of hosts one by one, 2 ms each;
+	 * before the list is complete, hosts choose different feeders.
 	 */
 	READER_FIRST_START_WAIT_MS = 5000,
-	/* Pause after the first read of the configuration, as most hosts have a feed by then */
+	/*
+	 * Pause after the first read of the configuration, in milliseconds; most hosts have a feed
+	 * by the end of it
+	 */
 	READER_CONF_PAUSE_START_MS = 400,
 	HTTP_OK = 200,
 	HTTP_GONE = 410
--- a/router/traffic.h
+++ b/router/traffic.h
@@ -107,7 +107,7 @@
 	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
 	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
 	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
-	GPtrArray *reqs;	     /* requests that have not been freed (struct rq) */
+	GPtrArray *reqs;	     /* requests that have not been freed (struct txn) */
 	struct hop hop;		     /* measured cost of hops between availability zones */
 	GQueue *parked; /* requests received before the first complete view (struct traf_parked) */
 	struct tmr sweep;	   /* timer of the periodic sweep */
@@ -176,7 +176,8 @@
 void stall_check_named(struct traf *traf, struct traf_ep *first, struct traf_ep *culprit);
 
 enum {
-	TRAF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
+	/* time for which an endpoint known to be faulty is not chosen, in us */
+	TRAF_FAULT_US = 3000000
 };
 
 /* Return the state of the service, which is created on first use. */
--- a/router/traffic_fault.c
+++ b/router/traffic_fault.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 enum {
-	TRAF_FAULT_STEP_US = 500000, /* extensions by up to this are ignored */
-	TRAF_DOUBT_US = 700000,	     /* exclusion after one failure to connect */
-	/* Two failures to connect within this time prove a fault. */
+	TRAF_FAULT_STEP_US = 500000, /* an exclusion is not extended by this time or less, in us */
+	TRAF_DOUBT_US = 700000, /* duration of an exclusion after one failure to connect, in us */
+	/* Time in us within which two failures to connect prove a fault. */
 	TRAF_UNREACHABLE_WINDOW_US = 1500000
 };
 
--- a/router/traffic_head.c
+++ b/router/traffic_head.c
@@ -8,7 +8,10 @@
 #include <string.h>
 
 enum {
-	/* Names of unknown headers that are kept; an endpoint may use a new one in each answer. */
+	/*
+	 * Maximum number of names of unknown headers that are kept; an endpoint may use a new one
+	 * in each answer.
+	 */
 	TRAF_HEAD_UNKNOWN_MAX = 16,
 	TRAF_HEAD_STATUS_MISDIRECTED = 421 /* HTTP 421: another endpoint has the address */
 };
--- a/router/traffic_limit.c
+++ b/router/traffic_limit.c
@@ -12,8 +12,7 @@
 	TRAF_LIMIT_REPORT_INTERVAL_US = 20000
 };
 
-/* Maximum number of requests that wait for permits, as the time in s in which the limits allow
- * them. */
+/* Time in s; as many requests may wait for permits as the limits allow in this time. */
 static const double traf_limit_queue_s = 0.5;
 
 /* A limit or permits that the control thread posts to the traffic thread. */
--- a/router/traffic_limit.h
+++ b/router/traffic_limit.h
@@ -20,7 +20,8 @@
 /* Returns whether the limit allows a request of the account to be sent to the endpoint now. */
 bool traf_limit_is_open(struct traf *traf, struct traf_ep *ep, const char *account);
 
-/* Counts a request that was not sent to the endpoint because of its limit, and asks for a permit.
+/*
+ * Counts a request that was not sent to the endpoint because of its limit, and requests a permit.
  */
 void traf_limit_request_permit(struct traf *traf, struct traf_ep *ep);
 
@@ -36,8 +37,8 @@
 
 /*
  * Returns the time after which the caller of a request that is refused because of limits should
- * retry, in microseconds and at most most_us. request is the identifier of the request, for the
- * log.
+ * retry, in microseconds, but no more than most_us. request is the identifier of the request, for
+ * the log.
  */
 int64_t traf_limit_retry_us(struct traf *traf, const char *service, const char *request,
 			    int64_t most_us);
--- a/router/traffic_quarantine.h
+++ b/router/traffic_quarantine.h
@@ -11,8 +11,7 @@
 struct traf;
 struct traf_ep;
 
-/* Counts a crash of the endpoint against the attempts that it cut; cuts holds struct crash_attempt.
- */
+/* Counts a crash of the endpoint against the attempts cut by it (cuts: struct crash_attempt). */
 void traf_quar_on_crash(struct traf *traf, const struct traf_ep *ep, const GArray *cuts);
 
 /* Removes the crash of an endpoint that turned out to be alive from all entries, on all hosts. */
--- a/router/txn.c
+++ b/router/txn.c
@@ -10,7 +10,8 @@
 #include <string.h>
 
 enum {
-	TXN_CONNECT_MS = 300,	   /* connection timeout; a live endpoint accepts within a few ms */
+	/* connection timeout, in ms; a live endpoint accepts within a few ms */
+	TXN_CONNECT_MS = 300,
 	TXN_GAP_FLOOR_MS = 70,	   /* shortest limit on silence, in ms; a batch that reads a
 				    * prompt causes such pauses */
 	TXN_GAP_MEAN_DIVISOR = 4,  /* the newest gap counts 1/4 in the running mean */
--- a/router/txn_admit.c
+++ b/router/txn_admit.c
@@ -5,26 +5,32 @@
 #include <string.h>
 
 enum {
-	TXN_DEADLINE_DEFAULT_MS = 60000, /* deadline of a request that states none */
+	/* deadline of a request that states none, in milliseconds */
+	TXN_DEADLINE_DEFAULT_MS = 60000,
 	/*
-	 * Silence after which callers close a stream: the longest of 2 s, 4 times the target for
-	 * the first event and 8 times the gap that the route allows between events.
+	 * Silence after which callers close a stream: the longest of TXN_PATIENCE_MS (2 s),
+	 * TXN_PATIENCE_TARGETS (4) times the target for the first event and TXN_PATIENCE_GAPS (8)
+	 * times the gap that the route allows between events.
 	 */
 	TXN_PATIENCE_MS = 2000,
 	TXN_PATIENCE_TARGETS = 4,
 	TXN_PATIENCE_GAPS = 8,
-	/* Longest wait for room under endpoints' rate limits; permits arrive within some ms. */
+	/*
+	 * Longest wait for room under endpoints' rate limits, in microseconds; permits arrive
+	 * within some ms.
+	 */
 	TXN_LIMIT_WAIT_US = 1000000,
-	TXN_RETRY_US = 400000, /* Retry-After where no endpoint is usable at present */
+	TXN_RETRY_US = 400000, /* Retry-After in us if no endpoint is usable at present */
 	/*
-	 * Retry-After of a host that received no configuration while the request waited: outages
-	 * of the store last seconds, and a caller retries only once.
+	 * Retry-After in us of a host that received no configuration while the request waited:
+	 * outages of the store last seconds, and a caller retries only once.
 	 */
 	TXN_RETRY_UNCONFIGURED_US = 2000000,
 	/*
-	 * A host that is stopping accepts requests for this long; a stream that began later would
-	 * not end within the grace time. Callers with open connections go on sending requests,
-	 * so their Retry-After sends them to another host almost at once.
+	 * Time in us for which a host that is stopping accepts requests; a stream that began later
+	 * would not end within the grace time. Callers with open connections go on sending
+	 * requests, so the Retry-After of TXN_STOP_RETRY_US sends them to another host almost at
+	 * once.
 	 */
 	TXN_STOP_ACCEPT_US = 3000000,
 	TXN_STOP_RETRY_US = 50000,
--- a/router/txn_crash.c
+++ b/router/txn_crash.c
@@ -54,7 +54,7 @@
 	return txn->part_received ? MAX(txn->last_activity_us - txn->head_us, 0) : 0;
 }
 
-/* The duration in us of the answer over all attempts, of which each continues the last. */
+/* Returns the duration in us of the answer over all attempts; each continues the one before. */
 static int64_t txn_total_duration_us(const struct txn *txn)
 {
 	return txn->earlier_duration_us + txn_attempt_duration_us(txn);
--- a/router/txn_int.h
+++ b/router/txn_int.h
@@ -12,8 +12,8 @@
 enum {
 	/*
 	 * Smallest initial limits, in ms, on the silence before the first event and between events.
-	 * After that the first stage is asked what it waits for. Usual are 120 ms and 70 ms;
-	 * callers leave after 2 s.
+	 * After that the first stage is asked what it waits for. The usual silences are 120 ms and
+	 * 70 ms; callers close a stream after 2 s.
 	 */
 	TXN_FIRST_MIN_MS = 250,
 	TXN_GAP_MIN_MS = 120,
@@ -91,7 +91,7 @@
 /* Answers a request that was never sent with an error, logs that, and frees the request. */
 void txn_deny(struct txn *txn, int status, const char *code, int64_t retry_us);
 
-/* Callbacks of struct fwd_ops; fwd/fwd.h describes them. */
+/* Callbacks of struct fwd_ops, where fwd/fwd.h describes them; ctx is the struct txn. */
 void txn_answer_whole(void *ctx, const char *body, size_t len);
 void txn_answer_begin(void *ctx);
 void txn_answer_data(void *ctx, const char *data, size_t len);
--- a/router/txn_repair.c
+++ b/router/txn_repair.c
@@ -7,16 +7,22 @@
 #include <string.h>
 
 enum {
-	/* A stream that is silent for this long, while others at its first stage are not, hangs. */
+	/*
+	 * Silence in us after which a stream hangs if other streams at its first stage are not
+	 * silent.
+	 */
 	TXN_HANG_US = 1300000,
-	TXN_PROGRESS_US = 300000,   /* an endpoint that sent data within this time works */
-	TXN_ORDER_CONNECT_MS = 250, /* connection timeout of an order to the first stage */
-	TXN_ORDER_MS = 700,	    /* timeout of an order, with its answer */
-	TXN_REPAIRS_MAX = 6,	    /* most orders for one request */
-	TXN_ACTIVE_US = 80000, /* a stream that received data within this time is not stalled */
+	/* time in us for which an endpoint counts as working after it sent data */
+	TXN_PROGRESS_US = 300000,
+	/* connection timeout of an order to the first stage, in milliseconds */
+	TXN_ORDER_CONNECT_MS = 250,
+	TXN_ORDER_MS = 700,  /* timeout of an order, with its answer, in milliseconds */
+	TXN_REPAIRS_MAX = 6, /* most orders for one request */
+	/* time in us for which a stream counts as not stalled after it received data */
+	TXN_ACTIVE_US = 80000,
 	/*
-	 * Silence that justifies a check of a stage which another host got no answer from; it is
-	 * longer than most gaps.
+	 * Silence in us after which a stage that did not answer another host is checked by this
+	 * one, too; it is longer than most gaps between parts of an answer.
 	 */
 	TXN_QUIET_US = 40000,
 	STATUS_ACCEPTED = 202,
@@ -133,7 +139,9 @@
 	fwd_abandon_attempt(&txn->fwd, tmr_now());
 }
 
-/* Chooses replacements for faulty stages after the first into rq->repair; returns false if none. */
+/*
+ * Chooses replacements for faulty stages after the first into txn->repair; returns false if none.
+ */
 static bool txn_pick_repair(struct txn *txn)
 {
 	if (!txn->attempt || txn->repairs >= TXN_REPAIRS_MAX)
