--- a/router/crash.c
+++ b/router/crash.c
@@ -334,7 +334,7 @@
 }
 
 /*
- * Reports the endpoint as ended to both threads. The placer learns of it one or two seconds before
+ * Reports the endpoint as ended to both threads. The placer is informed one or two seconds before
  * reports are missing. That matters when the last endpoints that hold a range of layers end
  * together: no request is served until other endpoints have loaded that range.
  */
--- a/router/limits.h
+++ b/router/limits.h
@@ -13,7 +13,8 @@
  * Rate limits that endpoints announce, enforced over all hosts together. limits.c keeps the limits
  * known to this host and forwards them to other hosts. One host, the home, divides each limit: it
  * issues permits, each of which allows one request to one endpoint. All hosts choose the same host
- * as the home. limit_ask.c asks the home for permits; limit_home.c is the home itself.
+ * as the home. limit_ask.c sends the home requests for permits, called asks; limit_home.c is the
+ * home itself.
  *
  * All functions run in the control thread, except limits_post(). All times are by tmr_boot_now(),
  * in microseconds.
--- a/router/notice.h
+++ b/router/notice.h
@@ -18,7 +18,7 @@
  * notices to the other hosts.
  *
  * A back-off binds only the host that received it. Other hosts get a short hint, because otherwise
- * each of them would learn of the overload by a rejected request of its own.
+ * each of them would detect the overload only by a rejected request of its own.
  */
 struct ctrl;
 
--- a/router/pick.c
+++ b/router/pick.c
@@ -147,8 +147,8 @@
  * Estimates the load of the endpoint: this host's own requests times the number of hosts, as if all
  * sent as many. The number of running requests in reports, which are a second old, is not used: it
  * made all hosts send to the same endpoints at once, and with 76 hosts 0.48 of the value of all
- * answers was earned instead of 0.81. Of a report only the pace and the use of memory count, the
- * latter where it is more than this host knows of.
+ * answers was earned instead of 0.81. Only the pace and the use of memory are taken from a
+ * report, the latter if it exceeds the estimate from this host's own requests.
  */
 static void pick_set_load(const struct traf *traf, const struct traf_ep *ep, int64_t now_us,
 			  struct pa_node *node)
@@ -313,7 +313,7 @@
 	return err;
 }
 
-/* Joins what a search for replacements must not use: the pipeline's endpoints and avoid. */
+/* Lists the endpoints that must not replace a stage: those of the pipeline and those in avoid. */
 static void pick_join_excluded(const struct traf_target *now, const struct traf_target *avoid,
 			       struct traf_target *without)
 {
--- a/router/pick_int.h
+++ b/router/pick_int.h
@@ -11,8 +11,8 @@
 
 /* State of a search for the stages of a pipeline. */
 struct pick {
-	struct pa_node *nodes; /* candidates, as the path search sees them */
-	struct traf_ep **eps;  /* endpoint of each node */
+	struct pa_node *nodes; /* candidates, in the form that the path search requires */
+	struct traf_ep **eps;  /* endpoint of each node, by the same index */
 	int n;		       /* number of nodes */
 	int resting;	       /* number of endpoints left out because of rest periods */
 	struct pa_request ask; /* what the pipeline has to do */
--- a/router/rank_test.cc
+++ b/router/rank_test.cc
@@ -303,7 +303,7 @@
 	enum {
 		STEP_US = 100000,
 		STALE_US = 400000,	 /* time after which a feeder that fails is replaced */
-		STALE_RELAY_US = 900000, /* the same for a relay, which seeks a feed itself */
+		STALE_RELAY_US = 900000, /* time after which a relay that fails is replaced */
 		CALLS_OF_A_START = 2,	 /* calls for the configuration and the endpoints */
 		STEPS_OF_A_CALL = 3	 /* steps between two calls of a host that reads */
 	};
--- a/router/recall.c
+++ b/router/recall.c
@@ -182,7 +182,7 @@
 	feed_flush(ctrl->feed);
 }
 
-/* The saved list was written by another version of this program, or is damaged. */
+/* Logs that the saved list can't be read: it is damaged or from another version of the program. */
 static void recall_log_unreadable(const char *id, const char *error)
 {
 	jl_begin(JL_KEEP, "note_unreadable");
--- a/router/stall.c
+++ b/router/stall.c
@@ -139,7 +139,7 @@
 
 /*
  * Finds out which stage of a silent pipeline is at fault. The report of the first stage names it
- * reliably, but is about 200 ms old; guessing a stage would put the blame on working endpoints.
+ * reliably, but is about 200 ms old; guessing a stage would exclude working endpoints.
  * Liveness checks of the other stages find a dead one faster, though less reliably.
  */
 void stall_find_stage(struct traf *traf, const struct traf_target *target)
--- a/router/traffic.c
+++ b/router/traffic.c
@@ -412,14 +412,14 @@
 }
 
 /* Message from the control thread: the view matched the store at synced_us. */
-struct traf_fresh_msg {
+struct traf_synced_msg {
 	struct traf *traf;
 	int64_t synced_us;
 };
 
-static void traf_on_fresh(void *ctx)
+static void traf_on_synced(void *ctx)
 {
-	struct traf_fresh_msg *msg = ctx;
+	struct traf_synced_msg *msg = ctx;
 
 	msg->traf->view_valid_us = MAX(msg->traf->view_valid_us, msg->synced_us);
 	g_free(msg);
@@ -427,11 +427,11 @@
 
 void traf_post_synced(struct traf *traf, int64_t synced_us)
 {
-	struct traf_fresh_msg *msg = g_new0(struct traf_fresh_msg, 1);
+	struct traf_synced_msg *msg = g_new0(struct traf_synced_msg, 1);
 
 	msg->traf = traf;
 	msg->synced_us = synced_us;
-	loop_post(&traf->loop, traf_on_fresh, msg);
+	loop_post(&traf->loop, traf_on_synced, msg);
 }
 
 /* Message from the control thread: loads that endpoints reported. */
--- a/router/txn.c
+++ b/router/txn.c
@@ -19,7 +19,7 @@
 };
 
 static int txn_send(void *ctx, int attempt, const char *resume_after);
-static int txn_take_repeat(void *ctx);
+static int txn_charge_retry(void *ctx);
 static void txn_cancel(void *ctx);
 static void txn_on_wait(void *ctx);
 static void txn_set_timer(void *ctx, int64_t due_us);
@@ -30,7 +30,7 @@
 
 static const struct fwd_ops txn_fwd_ops = {
 	.send = txn_send,
-	.charge_retry = txn_take_repeat,
+	.charge_retry = txn_charge_retry,
 	.cancel = txn_cancel,
 	.on_wait = txn_on_wait,
 	.on_silent = txn_on_silent,
@@ -274,10 +274,10 @@
 }
 
 /*
- * Takes a repeat from the service's budget. If only faulty endpoints are left, nothing is taken:
+ * Charges a repeat to the service's budget. If only faulty endpoints are left, nothing is charged:
  * they would reject the request again, and the budget is meant for requests that can be served.
  */
-static int txn_take_repeat(void *ctx)
+static int txn_charge_retry(void *ctx)
 {
 	struct txn *txn = ctx;
 	struct traf_target target;
@@ -494,8 +494,8 @@
 }
 
 /*
- * Logs and counts the end of the request. It may be within a callback of its own attempt, so it is
- * freed from the loop.
+ * Logs and counts the end of the request. This may be called within a callback of the request's own
+ * attempt, so the request is freed later, by the event loop.
  */
 static void txn_ended(void *ctx, enum fwd_cause cause)
 {
--- a/router/txn_repair.c
+++ b/router/txn_repair.c
@@ -73,10 +73,10 @@
 
 /*
  * Returns whether the stream hangs at its first stage: it is silent while other streams there
- * receive data. Where all are slow it is kept: elsewhere its prompt would have to be read again,
- * which slows all others further. A stream that has not begun is kept, too. It waits its turn while
- * others go on, and would be last in another queue: when two of 39 endpoints were lost, up to 100
- * streams a second were moved in vain like that, for 25 s.
+ * receive data. If all of them are slow, the stream is kept: another endpoint would have to read
+ * its prompt again, which slows all others further. A stream that has not begun is kept, too. It is
+ * queued while others continue, and would be last in another endpoint's queue: when two of 39
+ * endpoints were lost, up to 100 streams a second were moved like that without gain, for 25 s.
  */
 static bool txn_hangs_alone(const struct txn *txn, int64_t now_us)
 {
