--- a/router/limits.h
+++ b/router/limits.h
@@ -13,7 +13,8 @@
  * Rate limits that endpoints announce, enforced over all hosts together. limits.c keeps the limits
  * known to this host and forwards them to other hosts. One host, the home, divides each limit: it
  * issues permits, each of which allows one request to one endpoint. All hosts choose the same host
- * as the home. limit_ask.c asks the home for permits; limit_home.c is the home itself.
+ * as the home. limit_ask.c sends the home requests for permits, called asks; limit_home.c is the
+ * home itself.
  *
  * All functions run in the control thread, except limits_post(). All times are by tmr_boot_now(),
  * in microseconds.
@@ -29,12 +30,13 @@
  * hosts.
  */
 struct limit_update {
-	char *endpoint;		/* incarnation of the endpoint; owned */
-	struct lim_notice news; /* the limit that the endpoint announced */
-	int wanted;		/* number of requests that need a permit */
-	int returned;		/* number of permits that expired unused */
-	int permits;		/* number of permits issued */
-	int64_t asked_us;	/* send time of the ask that the permits answer */
+	char *endpoint;		 /* incarnation of the endpoint; owned */
+	struct lim_notice limit; /* the limit that the endpoint announced */
+	int wanted;		 /* number of requests that need a permit */
+	int returned;		 /* number of permits that expired unused */
+	int permits;		 /* number of permits issued */
+	/* time at which the ask was sent that the permits answer, in microseconds */
+	int64_t asked_us;
 };
 
 /* limits.c: the limits known to this host. */
@@ -135,7 +137,7 @@
 /* The items of a message, with the memory that they refer to. */
 struct limit_items {
 	Feed__Limit *values; /* array of n items */
-	Feed__Limit **refs;  /* pointers to the items, as the message takes them */
+	Feed__Limit **refs;  /* pointers to the items, as the serializer requires them */
 	size_t n;	     /* number of items */
 };
 
@@ -148,8 +150,10 @@
  */
 void limit_update_unpack(struct limit_update *update, const Feed__Limit *from, int64_t now_us);
 
-/* Passes a limit, or permits if there are any, to the traffic thread. May be called from any
- * thread. */
+/*
+ * Passes a limit, or permits if there are any, to the traffic thread. May be called from any
+ * thread.
+ */
 void traf_limit_post(struct traf *traf, const struct limit_update *update);
 
 G_END_DECLS
--- a/router/traffic.h
+++ b/router/traffic.h
@@ -102,12 +102,12 @@
 	GHashTable *retry_delays;    /* Retry-After computation by service: char * -> struct bk */
 	GHashTable *admissions;	     /* overload admission by service: char * -> struct adm */
 	struct lim_fair limit_fair;  /* shares scarce permits among client accounts */
-	GHashTable *limit_turns;     /* retry times given to callers refused for rate limits, by
+	GHashTable *limit_retries;   /* retry times given to callers refused for rate limits, by
 				      * service: char * -> struct lim_retry */
 	GHashTable *unknown_headers; /* set of logged names of unknown headers, in lower case */
 	GHashTable *zones;	     /* availability zone name -> its number, from 1 */
 	GPtrArray *zone_names;	     /* availability zone names; index: number minus 1 */
-	GPtrArray *reqs;	     /* requests that have not been freed (struct rq) */
+	GPtrArray *reqs;	     /* requests that have not been freed (struct txn) */
 	struct hop hop;		     /* measured cost of hops between availability zones */
 	GQueue *parked; /* requests received before the first complete view (struct traf_parked) */
 	struct tmr sweep;	   /* timer of the periodic sweep */
@@ -116,7 +116,7 @@
 	int64_t check_refill_us;   /* time at which the token bucket was last refilled, in us */
 	int64_t check_answered_us; /* time at which an endpoint last answered a check or report, in
 				      us */
-	int64_t heard_us;	   /* time of the last head or data from any endpoint, in us */
+	int64_t any_data_us;	   /* time of the last head or data from any endpoint, in us */
 	int64_t start_us;	   /* time at which the traffic thread was started, in us */
 	unsigned int open;	   /* atomic: number of requests received and not yet freed */
 	int64_t view_valid_us; /* last time at which the view was known to match the store, in us */
@@ -176,7 +176,8 @@
 void stall_check_named(struct traf *traf, struct traf_ep *first, struct traf_ep *culprit);
 
 enum {
-	TRAF_FAULT_US = 3000000 /* time for which an endpoint known to be faulty is not chosen */
+	/* time for which an endpoint known to be faulty is not chosen, in us */
+	TRAF_FAULT_US = 3000000
 };
 
 /* Return the state of the service, which is created on first use. */
--- a/router/txn.c
+++ b/router/txn.c
@@ -10,7 +10,8 @@
 #include <string.h>
 
 enum {
-	TXN_CONNECT_MS = 300,	   /* connection timeout; a live endpoint accepts within a few ms */
+	/* connection timeout, in ms; a live endpoint accepts within a few ms */
+	TXN_CONNECT_MS = 300,
 	TXN_GAP_FLOOR_MS = 70,	   /* shortest limit on silence, in ms; a batch that reads a
 				    * prompt causes such pauses */
 	TXN_GAP_MEAN_DIVISOR = 4,  /* the newest gap counts 1/4 in the running mean */
@@ -18,7 +19,7 @@
 };
 
 static int txn_send(void *ctx, int attempt, const char *resume_after);
-static int txn_take_repeat(void *ctx);
+static int txn_charge_retry(void *ctx);
 static void txn_cancel(void *ctx);
 static void txn_on_wait(void *ctx);
 static void txn_set_timer(void *ctx, int64_t due_us);
@@ -29,7 +30,7 @@
 
 static const struct fwd_ops txn_fwd_ops = {
 	.send = txn_send,
-	.charge_retry = txn_take_repeat,
+	.charge_retry = txn_charge_retry,
 	.cancel = txn_cancel,
 	.on_wait = txn_on_wait,
 	.on_silent = txn_on_silent,
@@ -191,8 +192,8 @@
 	struct traf_pick_args args;
 
 	txn_fill_pick_args(txn, trust, &args);
-	txn->fwd.rules.rest_us = traf_pick_rest_end_us(txn->traf, &args);
-	return txn->fwd.rules.rest_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
+	txn->fwd.rules.rest_end_us = traf_pick_rest_end_us(txn->traf, &args);
+	return txn->fwd.rules.rest_end_us < 0 ? FWD_ENOENDPOINT : FWD_ERESTING;
 }
 
 int64_t txn_rest_left_us(const struct txn *txn)
@@ -232,7 +233,7 @@
 	if (err == FWD_ERESTING && attempt == 0)
 		err = txn_wait_for_rest_end(txn, trust);
 	if (err == FWD_ENOPERMIT &&
-	    !traf_limit_waits(traf, txn->service->name, txn_account_name(txn)))
+	    !traf_limit_may_wait(traf, txn->service->name, txn_account_name(txn)))
 		return FWD_EPERMITQUEUE;
 	if (err < 0)
 		return err;
@@ -259,7 +260,7 @@
 	txn->broken_at = NULL;
 	txn->last_activity_us = tmr_now();
 	txn->attempt_boot_us = tmr_boot_now();
-	traf_limit_took(traf, txn->target.stages[0].ep, txn_account_name(txn));
+	traf_limit_use_permit(traf, txn->target.stages[0].ep, txn_account_name(txn));
 	rest_on_sent(&txn->target.stages[0].ep->rest, txn->last_activity_us);
 	penalty_on_chosen(&txn->target.stages[0].ep->failing);
 	if (txn->sent_us == 0)
@@ -273,10 +274,10 @@
 }
 
 /*
- * Takes a repeat from the service's budget. If only faulty endpoints are left, nothing is taken:
+ * Charges a repeat to the service's budget. If only faulty endpoints are left, nothing is charged:
  * they would reject the request again, and the budget is meant for requests that can be served.
  */
-static int txn_take_repeat(void *ctx)
+static int txn_charge_retry(void *ctx)
 {
 	struct txn *txn = ctx;
 	struct traf_target target;
@@ -375,7 +376,7 @@
 
 	txn->head_received = true;
 	txn->head_us = tmr_now();
-	txn->traf->heard_us = tmr_now();
+	txn->traf->any_data_us = tmr_now();
 	seam_answer_finish(&txn->answer);
 	txn->traf->router->seam->wire.read_answer(status, headers, txn->request.id, &txn->answer);
 	if (txn->target.count > 0)
@@ -417,7 +418,7 @@
 
 	txn_update_gap_limit(txn, tmr_now());
 	txn->last_activity_us = tmr_now();
-	txn->traf->heard_us = txn->last_activity_us;
+	txn->traf->any_data_us = txn->last_activity_us;
 	if (txn->target.count > 0)
 		txn->target.stages[0].ep->last_data_us = txn->last_activity_us;
 	fwd_on_data(&txn->fwd, data, len, tmr_now());
@@ -493,8 +494,8 @@
 }
 
 /*
- * Logs and counts the end of the request. It may be within a callback of its own attempt, so it is
- * freed from the loop.
+ * Logs and counts the end of the request. This may be called within a callback of the request's own
+ * attempt, so the request is freed later, by the event loop.
  */
 static void txn_ended(void *ctx, enum fwd_cause cause)
 {
--- a/router/txn_repair.c
+++ b/router/txn_repair.c
@@ -7,16 +7,22 @@
 #include <string.h>
 
 enum {
-	/* A stream that is silent for this long, while others at its first stage are not, hangs. */
+	/*
+	 * Silence in us after which a stream hangs if other streams at its first stage are not
+	 * silent.
+	 */
 	TXN_HANG_US = 1300000,
-	TXN_PROGRESS_US = 300000,   /* an endpoint that sent data within this time works */
-	TXN_ORDER_CONNECT_MS = 250, /* connection timeout of an order to the first stage */
-	TXN_ORDER_MS = 700,	    /* timeout of an order, with its answer */
-	TXN_REPAIRS_MAX = 6,	    /* most orders for one request */
-	TXN_ACTIVE_US = 80000, /* a stream that received data within this time is not stalled */
+	/* time in us for which an endpoint counts as working after it sent data */
+	TXN_PROGRESS_US = 300000,
+	/* connection timeout of an order to the first stage, in milliseconds */
+	TXN_ORDER_CONNECT_MS = 250,
+	TXN_ORDER_MS = 700,  /* timeout of an order, with its answer, in milliseconds */
+	TXN_REPAIRS_MAX = 6, /* most orders for one request */
+	/* time in us for which a stream counts as not stalled after it received data */
+	TXN_ACTIVE_US = 80000,
 	/*
-	 * Silence that justifies a check of a stage which another host got no answer from; it is
-	 * longer than most gaps.
+	 * Silence in us after which a stage that did not answer another host is checked by this
+	 * one, too; it is longer than most gaps between parts of an answer.
 	 */
 	TXN_QUIET_US = 40000,
 	STATUS_ACCEPTED = 202,
@@ -67,10 +73,10 @@
 
 /*
  * Returns whether the stream hangs at its first stage: it is silent while other streams there
- * receive data. Where all are slow it is kept: elsewhere its prompt would have to be read again,
- * which slows all others further. A stream that has not begun is kept, too. It waits its turn while
- * others go on, and would be last in another queue: when two of 39 endpoints were lost, up to 100
- * streams a second were moved in vain like that, for 25 s.
+ * receive data. If all of them are slow, the stream is kept: another endpoint would have to read
+ * its prompt again, which slows all others further. A stream that has not begun is kept, too. It is
+ * queued while others continue, and would be last in another endpoint's queue: when two of 39
+ * endpoints were lost, up to 100 streams a second were moved like that without gain, for 25 s.
  */
 static bool txn_hangs_alone(const struct txn *txn, int64_t now_us)
 {
@@ -133,7 +139,9 @@
 	fwd_abandon_attempt(&txn->fwd, tmr_now());
 }
 
-/* Chooses replacements for faulty stages after the first into rq->repair; returns false if none. */
+/*
+ * Chooses replacements for faulty stages after the first into txn->repair; returns false if none.
+ */
 static bool txn_pick_repair(struct txn *txn)
 {
 	if (!txn->attempt || txn->repairs >= TXN_REPAIRS_MAX)
