--- a/fake/engine.c
+++ b/fake/engine.c
@@ -237,7 +237,7 @@
 		.ctx = &engine,
 	};
 
-	prog_start(&argc, &argv, "Stand-in for model engines and plain services.", engine_items,
+	prog_start(&argc, &argv, "Simulator of model engines and plain services.", engine_items,
 		   G_N_ELEMENTS(engine_items), &engine.settings);
 	if (loop_init(&engine.loop) < 0)
 		return PROG_EXIT_FAILED;
--- a/fake/platform.c
+++ b/fake/platform.c
@@ -466,7 +466,7 @@
 		.ctx = &p,
 	};
 
-	prog_start(&argc, &argv, "Stand-in for the platform: log, host list, weight store.",
+	prog_start(&argc, &argv, "Simulator of the platform: log, host list, weight store.",
 		   platform_items, G_N_ELEMENTS(platform_items), &p.settings);
 	if (loop_init(&p.loop) < 0)
 		return PROG_EXIT_FAILED;
--- a/prog/ctl.c
+++ b/prog/ctl.c
@@ -42,7 +42,7 @@
 	{"show", "WHAT", "status, hosts, endpoints, accounts, usage, bound, cost, config",
 	 ctl_show_command, FALSE},
 	{"watch", "WHAT", "repeat 'show' every second", ctl_watch, FALSE},
-	{"wait", "REVISION", "return when every live host has the revision in force",
+	{"wait", "REVISION", "wait until the revision is in force on every live host",
 	 ctl_wait_command, FALSE},
 	{"explain", "ID [FILE...]",
 	 "a request's log lines and outcome from hosts' logs (files, or standard input)",
--- a/prog/load.c
+++ b/prog/load.c
@@ -495,7 +495,7 @@
 {
 	struct load *load = g_new0(struct load, 1);
 
-	prog_start(&argc, &argv, "Load and experiment tool.", load_items, G_N_ELEMENTS(load_items),
+	prog_start(&argc, &argv, "Load generator.", load_items, G_N_ELEMENTS(load_items),
 		   &load->settings);
 	if (loop_init(&load->loop) < 0)
 		return PROG_EXIT_FAILED;
--- a/prog/router.c
+++ b/prog/router.c
@@ -298,7 +298,7 @@
 	struct router_main *m = &router_main;
 	struct router *router = &m->router;
 
-	prog_start(&argc, &argv, "Routes requests to endpoints and pipelines of engines.",
+	prog_start(&argc, &argv, "Request router of a bronzegauge host on the users' platform.",
 		   router_setting_items, router_setting_items_n, &router->settings);
 	jl_open(router->settings.name);
 	jl_set_rate(router->settings.log_lines);
--- a/prog/script.c
+++ b/prog/script.c
@@ -354,7 +354,7 @@
 	struct script *s = g_new0(struct script, 1);
 	struct frm_limits limits = script_limits;
 
-	prog_start(&argc, &argv, "Simulates many hosts to measure the load on one control daemon.",
+	prog_start(&argc, &argv, "Simulator of many hosts for one control daemon.",
 		   script_setting_items, G_N_ELEMENTS(script_setting_items), &s->settings);
 	if (loop_init(&s->loop) < 0)
 		return PROG_EXIT_FAILED;
