--- a/regress/bench/hash.c
+++ b/regress/bench/hash.c
@@ -7,32 +7,36 @@
 #include <string.h>
 
 /*
- * Homes by hashing: rendezvous against random disk labeling ("Hash-based labeling techniques for
- * storage scaling"), and jump hashing. Random disk labeling puts each host at a random slot of a
- * table of P slots, P prime; a key starts at a random slot and steps by a random length until it
- * meets a host. Prints a table for docs/DESIGN.md; "make bench-hash".
+ * Compares three hash methods that map a key to its home host: rendezvous hashing, random disk
+ * labeling ("Hash-based labeling techniques for storage scaling") and jump hashing. Random disk
+ * labeling puts each host at a random slot of a table of P slots, P prime; a look-up starts at a
+ * random slot and advances by a random step, both derived from the key, until it finds a host. Run
+ * by "make bench-hash"; prints the table in docs/DESIGN.md.
  */
 enum {
-	BENCH_KEYS = 100000,
-	BENCH_HOSTS_MAX = 400,
-	BENCH_SLOTS = 1009,
-	BENCH_EMPTY = -1
+	BENCH_KEYS = 100000,   /* number of keys that are looked up for each table row */
+	BENCH_HOSTS_MAX = 400, /* capacity of a host list, in hosts */
+	BENCH_SLOTS = 1009,    /* slots in the table; a prime, so any step visits every slot */
+	BENCH_NO_HOST = -1     /* host number of an empty slot, or the result if no host is found */
 };
 
+/* Hosts among which keys are distributed, as a list and as a random labeling table. */
 struct bench_list {
-	int hosts[BENCH_HOSTS_MAX]; /* numbers of the hosts, in order of arrival */
-	int count;
-	int slots[BENCH_SLOTS];
+	int hosts[BENCH_HOSTS_MAX]; /* host numbers, in ascending order */
+	int count;		    /* number of entries used in hosts */
+	int slots[BENCH_SLOTS];	    /* host number in each slot, or BENCH_NO_HOST */
 };
 
-typedef int (*bench_fn)(const struct bench_list *list, uint64_t key);
+/* Returns the number of the host that is the key's home. */
+typedef int (*bench_lookup_fn)(const struct bench_list *list, uint64_t key);
 
+/* Hash method under comparison. */
 struct bench_method {
-	const char *name;
-	bench_fn fn;
+	const char *name;	/* name in the printed table */
+	bench_lookup_fn lookup; /* finds a key's home */
 };
 
-/* Made once, as host_on_list() does. */
+/* Hash seed of each host number, computed once, as host_on_list() computes it for a listed host. */
 static uint64_t bench_seeds[BENCH_HOSTS_MAX];
 
 static void bench_seeds_init(void)
@@ -48,13 +52,13 @@
 static int bench_rendezvous(const struct bench_list *list, uint64_t key)
 {
 	uint64_t best = 0;
-	int found = BENCH_EMPTY;
+	int found = BENCH_NO_HOST;
 
 	for (int i = 0; i < list->count; i++) {
 		struct host host = {.seed = bench_seeds[list->hosts[i]]};
 		uint64_t weight = host_weight(&host, key);
 
-		if (found != BENCH_EMPTY && weight <= best)
+		if (found != BENCH_NO_HOST && weight <= best)
 			continue;
 		best = weight;
 		found = list->hosts[i];
@@ -62,17 +66,17 @@
 	return found;
 }
 
-static int bench_labeling(const struct bench_list *list, uint64_t key)
+static int bench_random_labeling(const struct bench_list *list, uint64_t key)
 {
 	uint64_t at = str_hash(&key, sizeof(key), 1) % BENCH_SLOTS;
 	uint64_t step = str_hash(&key, sizeof(key), 2) % (BENCH_SLOTS - 1) + 1;
 
-	while (list->slots[at] == BENCH_EMPTY)
+	while (list->slots[at] == BENCH_NO_HOST)
 		at = (at + step) % BENCH_SLOTS;
 	return list->slots[at];
 }
 
-/* Lamping and Veach, 2014: a bucket among count; buckets are places in the list. */
+/* Jump consistent hash (Lamping and Veach, 2014). A bucket is an index in the list of hosts. */
 static int bench_jump(const struct bench_list *list, uint64_t key)
 {
 	int64_t bucket = -1;
@@ -89,34 +93,35 @@
 
 static const struct bench_method bench_methods[] = {
 	{"rendezvous", bench_rendezvous},
-	{"random labeling", bench_labeling},
+	{"random labeling", bench_random_labeling},
 	{"jump", bench_jump},
 };
 
-/* A host's slot is drawn by its name; when it is taken the next draw counts. */
-static void bench_label(struct bench_list *list)
+/* Puts each host at a slot derived from its seed; if the slot is occupied, hashes again. */
+static void bench_fill_slots(struct bench_list *list)
 {
 	for (int i = 0; i < BENCH_SLOTS; i++)
-		list->slots[i] = BENCH_EMPTY;
+		list->slots[i] = BENCH_NO_HOST;
 	for (int i = 0; i < list->count; i++) {
 		uint64_t seed = bench_seeds[list->hosts[i]];
 		uint64_t draw = seed;
 
-		while (list->slots[draw % BENCH_SLOTS] != BENCH_EMPTY)
+		while (list->slots[draw % BENCH_SLOTS] != BENCH_NO_HOST)
 			draw = str_hash(&draw, sizeof(draw), seed);
 		list->slots[draw % BENCH_SLOTS] = list->hosts[i];
 	}
 }
 
-static struct bench_list bench_list_of(int count, int without_from, int without)
+/* Makes a list of hosts 0 to count - 1, without the omit_count hosts that start at omit_from. */
+static struct bench_list bench_make_list(int count, int omit_from, int omit_count)
 {
 	struct bench_list list = {.count = 0};
 
 	for (int i = 0; i < count; i++) {
-		if (i < without_from || i >= without_from + without)
+		if (i < omit_from || i >= omit_from + omit_count)
 			list.hosts[list.count++] = i;
 	}
-	bench_label(&list);
+	bench_fill_slots(&list);
 	return list;
 }
 
@@ -125,20 +130,23 @@
 	return str_hash(&i, sizeof(i), 7);
 }
 
-static double bench_moved(bench_fn fn, const struct bench_list *a, const struct bench_list *b)
+/* Returns the percentage of keys whose home differs between two lists. */
+static double bench_moved_percent(bench_lookup_fn lookup, const struct bench_list *a,
+				  const struct bench_list *b)
 {
 	int moved = 0;
 
 	for (int i = 0; i < BENCH_KEYS; i++)
-		moved += fn(a, bench_key(i)) != fn(b, bench_key(i));
+		moved += lookup(a, bench_key(i)) != lookup(b, bench_key(i));
 	return 100.0 * moved / BENCH_KEYS;
 }
 
-static void bench_row(int hosts, const struct bench_method *method)
+/* Measures one method with a number of hosts and prints its table row. */
+static void bench_print_row(int hosts, const struct bench_method *method)
 {
-	struct bench_list list = bench_list_of(hosts, 0, 0);
-	struct bench_list lost = bench_list_of(hosts, hosts / 2, 1);
-	struct bench_list behind = bench_list_of(hosts, hosts / 3, MAX(hosts / 50, 1));
+	struct bench_list list = bench_make_list(hosts, 0, 0);
+	struct bench_list lost = bench_make_list(hosts, hosts / 2, 1);
+	struct bench_list incomplete = bench_make_list(hosts, hosts / 3, MAX(hosts / 50, 1));
 	int load[BENCH_HOSTS_MAX] = {0};
 	double mean = (double)BENCH_KEYS / hosts;
 	double square = 0;
@@ -147,7 +155,7 @@
 	double ns;
 
 	for (int i = 0; i < BENCH_KEYS; i++)
-		load[method->fn(&list, bench_key(i))]++;
+		load[method->lookup(&list, bench_key(i))]++;
 	ns = (double)(tmr_now() - start) * 1000 / BENCH_KEYS;
 	for (int h = 0; h < hosts; h++) {
 		most = MAX(most, load[h]);
@@ -155,7 +163,8 @@
 	}
 	printf("| %d | %s | %.2f | %.3f | %.2f | %.2f | %.2f | %.0f |\n", hosts, method->name,
 	       most / mean, sqrt(square / hosts) / mean, 100.0 / hosts,
-	       bench_moved(method->fn, &list, &lost), bench_moved(method->fn, &list, &behind), ns);
+	       bench_moved_percent(method->lookup, &list, &lost),
+	       bench_moved_percent(method->lookup, &list, &incomplete), ns);
 }
 
 int main(void)
@@ -168,7 +177,7 @@
 	       "|---|---|---|---|---|---|---|---|\n");
 	for (size_t s = 0; s < G_N_ELEMENTS(sizes); s++) {
 		for (size_t m = 0; m < G_N_ELEMENTS(bench_methods); m++)
-			bench_row(sizes[s], &bench_methods[m]);
+			bench_print_row(sizes[s], &bench_methods[m]);
 	}
 	return 0;
 }
--- a/regress/fuzz/frames.c
+++ b/regress/fuzz/frames.c
@@ -9,7 +9,10 @@
 #include <stdint.h>
 #include <stdlib.h>
 
-/* Any bytes as frames: the lengths stay within the input, and any body is read or refused. */
+/*
+ * Parses arbitrary bytes as a sequence of frames. Checks that each frame's body lies within the
+ * input, and that any body is either decoded or rejected without a memory error.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
 
 static const ProtobufCMessageDescriptor *const fuzz_messages[] = {
--- a/regress/fuzz/heads.c
+++ b/regress/fuzz/heads.c
@@ -6,7 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Any lines as the head of an endpoint's answer: what is read of them must be in its bounds. */
+/*
+ * Parses arbitrary lines as the status and headers of an endpoint's answer. Checks that every value
+ * read from them is within its allowed range.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
 
 static void fuzz_check(const struct seam_answer *answer, int status)
--- a/regress/fuzz/records.c
+++ b/regress/fuzz/records.c
@@ -7,7 +7,10 @@
 #include <stdint.h>
 #include <stdlib.h>
 
-/* Any bytes as records of the platform's log: somebody else may write to it too. */
+/*
+ * Passes arbitrary bytes to every reader of the platform's log, because programs outside this
+ * project may write records to it, too.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
 
 static void fuzz_append(void *ctx, const char *record)
@@ -31,7 +34,10 @@
 	(void)winner;
 }
 
-/* As an endpoint's entry: what is read as one must have what an endpoint's own entry has. */
+/*
+ * Parses the text as an endpoint's registration. Checks that the reader returns either a record or
+ * an error, and that a record has all required fields with valid values.
+ */
 static void fuzz_endpoint(struct str text)
 {
 	char *error = NULL;
--- a/regress/fuzz/statements.c
+++ b/regress/fuzz/statements.c
@@ -5,8 +5,9 @@
 #include <stdlib.h>
 
 /*
- * Any bytes as statements: they are refused with a place, or accepted; what is accepted is exported
- * and read back to the same text.
+ * Applies arbitrary bytes as configuration statements. If they are accepted, checks that the
+ * exported configuration can be applied again, and that exporting it a second time yields the same
+ * text.
  */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
 
