--- a/regress/lib.sh
+++ b/regress/lib.sh
@@ -1,4 +1,5 @@
-# Sourced by the cases in proc/: a stack of their own, and ways to wait for events.
+# Functions for the test scripts in proc/, which source this file. Each script runs its own set of
+# daemons, started by tools/stack in a temporary directory.
 set -euo pipefail
 
 here=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -6,6 +7,7 @@
 dir=$(mktemp -d)
 export BG_LOG=${BG_LOG:-info}
 
+# Stops the daemons on exit; prints the ends of their logs if the script failed.
 finish()
 {
 	local status=$?
@@ -20,19 +22,22 @@
 }
 trap finish EXIT
 
+# fail MESSAGE...: prints the message and ends the script with status 1.
 fail()
 {
 	echo "${0##*/}: $*" >&2
 	exit 1
 }
 
-# stack ARGS...: starts it and reads its addresses.
+# stack ARGS...: starts the daemons by "tools/stack up" with these options and reads their
+# addresses.
 stack()
 {
 	"$here/tools/stack" up "$dir" "$@"
 	read_env
 }
 
+# Sets the variables that hold the addresses, tokens and process ids of the daemons.
 read_env()
 {
 	# shellcheck disable=SC1091
@@ -40,13 +45,15 @@
 	export BRONZEGAUGE_CONTROL=$CONTROL_0 BRONZEGAUGE_TOKEN=$OPERATOR_TOKEN
 }
 
+# start DAEMON: restarts one daemon, such as control-1, and reads the new addresses and process ids.
 start()
 {
 	"$here/tools/stack" start "$dir" "$1"
 	read_env
 }
 
-# eventually WHAT COMMAND...: tries until the command succeeds; gives up after a great many tries.
+# eventually WHAT COMMAND...: repeats the command until it succeeds. Fails after 600 tries, which
+# are 0.05 seconds apart.
 eventually()
 {
 	local what=$1 tries=600
@@ -69,7 +76,8 @@
 	"$bin/bgctl" "$@"
 }
 
-# complete ENTRY MAX_TOKENS PROMPT [curl options...]: the JSON answer.
+# complete ENTRY MAX_TOKENS PROMPT [curl options...]: sends a completion request to the entry
+# daemon at this address and prints the JSON answer.
 complete()
 {
 	local entry=$1 tokens=$2 prompt=$3
@@ -80,7 +88,8 @@
 		"http://$entry/v1/completions"
 }
 
-# The same, streamed.
+# complete_stream ENTRY MAX_TOKENS PROMPT [curl options...]: sends a streamed completion request
+# and prints the event stream.
 complete_stream()
 {
 	local entry=$1 tokens=$2 prompt=$3
@@ -91,31 +100,32 @@
 		"http://$entry/v1/completions"
 }
 
-# confirm ENTRY KEY MAX_TOKENS: a non-idempotent request under that key.
+# confirm ENTRY KEY MAX_TOKENS: sends a non-idempotent completion request with this idempotency
+# key and prints the JSON answer.
 confirm()
 {
 	complete "$1" "$3" "confirm $2" -H 'Bg-Idempotent: no' -H "Idempotency-Key: $2"
 }
 
-# The text of an answer in a file.
+# text_of FILE: prints the completion text of the JSON answer in a file.
 text_of()
 {
 	jq -r '.choices[0].text' <"$1"
 }
 
-# running KEY: the run under the key has brought some tokens.
+# running KEY: succeeds if the runs with this idempotency key have produced at least 5 tokens.
 running()
 {
 	[ "$(ledger --arg k "$1" '[.runs[] | select(.key == $k) | .tokens] | add // 0')" -ge 5 ]
 }
 
-# The text of a streamed answer in a file.
+# stream_text FILE: prints the completion text of the event stream in a file.
 stream_text()
 {
 	sed -n 's/^data: {/{/p' "$1" | jq -j '.choices[0].text // empty'
 }
 
-# whole TEXT COUNT: the tokens 0..COUNT-1, each once, in order.
+# whole TEXT COUNT: fails unless the text has the tokens 0 to COUNT - 1, each once and in order.
 whole()
 {
 	local got
@@ -124,28 +134,33 @@
 	[ "$got" = "$(seq -s ' ' 0 $(($2 - 1))) " ] || fail "not whole: $1"
 }
 
+# fault_engine ENDPOINT FAULT [FACTOR]: injects a fault into a simulated engine, or ends it.
 fault_engine()
 {
 	http -d "{\"endpoint\":\"$1\",\"fault\":\"$2\",\"factor\":${3:-1}}" "http://$ENGINE_ADMIN/fault" \
 		>/dev/null
 }
 
+# fault_platform JSON: sets the faults of the simulated platform.
 fault_platform()
 {
 	http -d "$1" "http://$PLATFORM/fault" >/dev/null
 }
 
+# ledger [jq options...] FILTER: applies a jq filter to the record of all runs at the simulated
+# engines.
 ledger()
 {
 	http "http://$ENGINE_ADMIN/ledger" | jq "$@"
 }
 
+# Fails if an engine has run a request's layers out of order.
 no_violations()
 {
 	[ "$(ledger '[.runs[].layer_violations] | add')" = 0 ] || fail "layers were run out of order"
 }
 
-# once KEY: all runs under the key were one attempt of one request.
+# ran_once KEY: fails unless the runs with this idempotency key add up to exactly one attempt.
 ran_once()
 {
 	local n
@@ -154,6 +169,7 @@
 	[ "$n" = 1 ] || fail "key $1 ran $n times"
 }
 
+# tokens_in FILE COUNT: succeeds if the event stream in a file has at least COUNT tokens.
 tokens_in()
 {
 	[ -f "$1" ] && [ "$(grep -c '"text"' "$1")" -ge "$2" ]
--- a/regress/proc/config.sh
+++ b/regress/proc/config.sh
@@ -1,6 +1,7 @@
-# Symptom: an accepted change is missing on a host, or comes undone.
-# Sequence: operators race; the log is out, slow, or loses answers; records expire; hosts restart.
-# Cause: hosts that take a view other than the log's order gives them.
+# Symptom: an accepted configuration change is missing on a host, or is reverted.
+# Sequence: operators change the same revision at the same time; the platform's log is
+# unavailable, slow, or loses answers; records expire; hosts restart.
+# Cause: a host applies changes in another order than that of the log.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4 --log-retention 8
 
@@ -14,7 +15,8 @@
 	http "http://$1/v1/status" | jq .revision
 }
 
-# Two operators change the same revision: one wins, the other is told.
+# Two operators change the same revision: one change is accepted, and the other operator gets an
+# error.
 now=$(revision "$CONTROL_0")
 bgctl -e "$now" account farm share 5 >"$dir/a" 2>&1 &
 a=$!
@@ -26,7 +28,8 @@
 [ "$ra$rb" = 03 ] || [ "$ra$rb" = 30 ] || fail "both or neither won: $ra $rb"
 cat "$dir/a" "$dir/b" | grep -q "expected revision $now" || fail "the loser is not told why"
 
-# In force everywhere, and the whole of a file or nothing.
+# A change takes effect on all hosts. A file is applied completely, or not at all if a line is
+# invalid.
 bgctl --wait account farm share 7 | grep -q 'in force everywhere' || fail "not in force"
 bgctl export >"$dir/good"
 sed 's/^account farm share 7/account farm share 9/; s/layers 0-15/layers 0-99/' "$dir/good" >"$dir/bad"
@@ -37,15 +40,15 @@
 bgctl --wait apply "$dir/next" >/dev/null
 [ "$(bgctl diff "$dir/next")" = "" ] || fail "apply did not make it so"
 
-# An append whose answer is lost is accepted once.
+# If the answer to an append is lost, the change is found in the log and counts once.
 now=$(revision "$CONTROL_0")
 fault_platform '{"log":"lose"}'
 bgctl account farm share 9 | grep -q accepted || fail "a lost answer was not looked for"
 fault_platform '{"log":"ok"}'
 [ "$(revision "$CONTROL_0")" = $((now + 1)) ] || fail "the change counted twice"
 
-# The log is out: a change is not accepted, and what is in force stays, also over a restart that
-# can only ask the others.
+# While the log is unavailable, no change is accepted and the current configuration stays in
+# force. A host that restarts meanwhile gets the configuration from another host.
 fault_platform '{"log":"out"}'
 if bgctl account farm share 1 >"$dir/a" 2>&1; then fail "accepted without the log"; fi
 grep -q 'not_accepted' "$dir/a" || fail "not told: $(cat "$dir/a")"
@@ -59,8 +62,8 @@
 [ "$(share "$CONTROL_1" farm)" = 9 ] || fail "reverted from a peer"
 fault_platform '{"log":"ok"}'
 
-# A host is frozen while a change is made and the records before it expire; it comes back and takes
-# the new state, and never shows the old one as the newer.
+# A host is stopped (SIGSTOP) while a change is made and the log records before the change expire.
+# Once it continues, it adopts the new state, and no other host reverts to the old one.
 kill -STOP "$PID_CONTROL_2"
 bgctl account farm share 11 >/dev/null
 first_offset()
@@ -83,7 +86,8 @@
 	[ "$(share "$c" farm)" = 11 ] || fail "a stale host reverted another"
 done
 
-# All restart at once, after every record of the first changes has expired: the snapshot is enough.
+# All hosts restart at once after the log records of the first changes have expired. They restore
+# the state from the snapshot in the log.
 kill -KILL "$PID_CONTROL_0" "$PID_CONTROL_1" "$PID_CONTROL_2"
 start control-0
 start control-1
--- a/regress/proc/copy.sh
+++ b/regress/proc/copy.sh
@@ -1,4 +1,5 @@
-# The router before a store that comes back from a copy some seconds old; see regress/soak/cases_copy.py.
+# Tests the router with a store that is restored from a copy some seconds old; see
+# regress/soak/cases_copy.py.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/crashing.sh
+++ b/regress/proc/crashing.sh
@@ -1,5 +1,5 @@
-# Requests that end the endpoints that run them, which come again at any host. Each case of
-# regress/soak/cases.py has a set of processes of its own.
+# Tests requests that crash each endpoint that runs them and that callers repeat at any host. Each
+# case of regress/soak/cases.py starts its own set of processes.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/cut.sh
+++ b/regress/proc/cut.sh
@@ -1,8 +1,8 @@
 # Symptom: a load confirmation runs twice although the router sent it once.
 # Sequence: the request goes out on a connection that was used before; the engine runs it and the
 # connection is cut before any byte of the answer.
-# Cause: the HTTP library sends a request again by itself when a reused connection ends like that. A
-# non-idempotent request must have a connection of its own.
+# Cause: the HTTP library repeats a request on its own if a reused connection closes before the
+# answer begins. A non-idempotent request must therefore be sent on a new connection.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 2 --endpoints 2
 
@@ -14,7 +14,8 @@
 ran_once cut
 whole "$(jq -r '.choices[0].text' "$dir/a")" 6
 
-# A service's answer cannot be had again: unknown, final, also for who asks again.
+# The lost answer of a plain service can't be fetched again. The caller gets "Bg-Ran: unknown",
+# and so does a repeated request with the same key.
 book()
 {
 	http -D "$dir/h" -H "Authorization: Bearer $TOKEN_0" -H "Idempotency-Key: $2" -d '{"lot":7}' \
--- a/regress/proc/fencing.sh
+++ b/regress/proc/fencing.sh
@@ -1,7 +1,8 @@
 # Symptom: an engine goes back to an old version after a roll-out.
-# Sequence: the orderer is frozen past its lease; the next one orders a new version; an order of the
-# frozen one arrives late.
-# Cause: an engine that takes any order. One that keeps to fencing numbers refuses the late one.
+# Sequence: the host that holds the lease for orders is stopped (SIGSTOP) until the lease has
+# expired; the next holder orders a new version; an order of the stopped host arrives late.
+# Cause: an engine accepts any order. An engine that checks fencing numbers refuses the late
+# order.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4 --fencing --set endpoints.lease_ms=1500
 
@@ -46,7 +47,8 @@
 [ "$code" = 409 ] || fail "a late order was taken: $code"
 version_is v2 || fail "the version went back"
 
-# The frozen one wakes: it neither orders the old version nor takes the lease back while it lasts.
+# The stopped host continues: it must neither order the old version nor take back the lease before
+# the new holder's lease expires.
 kill -CONT "${!frozen}"
 awake()
 {
--- a/regress/proc/frames.sh
+++ b/regress/proc/frames.sh
@@ -1,6 +1,6 @@
-# Symptom: a daemon crashes or hangs on what somebody else sends to its port.
-# Sequence: frames that are too large, malformed, of unknown kinds, or cut off.
-# Cause: trusting the length or the kind that a frame announces.
+# Symptom: a daemon crashes or hangs on unexpected bytes sent to its port.
+# Sequence: a client sends frames that are too large, malformed, of an unknown kind, or truncated.
+# Cause: the length or the kind in a frame's header is used without a check.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 2 --endpoints 2
 
@@ -10,7 +10,7 @@
 
 	exec 3<>"/dev/tcp/${addr%:*}/${addr#*:}"
 	printf '%b' "$2" >&3
-	# The other end closes, or waits for the rest of a frame that never comes.
+	# The daemon either closes the connection or waits for the rest of a truncated frame.
 	timeout 5 cat <&3 >/dev/null || true
 	exec 3<&- 3>&-
 }
@@ -26,7 +26,7 @@
 refused=$(http "http://$CONTROL_0/metrics" | sed -n 's/^bg_frames_refused_total{} //p')
 [ "$refused" -ge 3 ] || fail "refused frames are not counted: $refused"
 
-# Operators need their token.
+# Configuration requests are refused without the operator token, also with a client account's token.
 code=$(http -o /dev/null -w '%{http_code}' "http://$CONTROL_0/v1/config")
 [ "$code" = 401 ] || fail "configuration without a token: $code"
 code=$(http -o /dev/null -w '%{http_code}' -H "Authorization: Bearer $TOKEN_0" \
--- a/regress/proc/frozen.sh
+++ b/regress/proc/frozen.sh
@@ -1,11 +1,12 @@
-# Symptom: a request runs a second time, long after its caller was served elsewhere; or requests hang
-# while a control daemon is frozen.
-# Sequence: a daemon is stopped (SIGSTOP) with work in hand and goes on later (SIGCONT).
-# Cause: a paused process acts on what was true before the pause.
+# Symptom: a request runs a second time long after another host has served its caller; or requests
+# hang while a control daemon is stopped.
+# Sequence: a daemon is stopped (SIGSTOP) with requests in progress and continued later (SIGCONT).
+# Cause: the continued process acts on state that was valid before the pause.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4
 
-# The entry daemon is frozen mid answer; another host resumes the run from the engine.
+# The entry daemon is stopped in the middle of an answer. Another host resumes the run at the
+# engine.
 confirm "$ENTRY_0" frozen 100 >"$dir/a" &
 a=$!
 eventually "the run has begun" running frozen
@@ -17,7 +18,8 @@
 whole "$(text_of "$dir/a")" 100
 ran_once frozen
 
-# Each control daemon in turn is frozen: requests of both sorts go on at the others.
+# Each control daemon is stopped in turn. Idempotent and non-idempotent requests are served
+# through the other ones.
 for pid in $PID_CONTROL_0 $PID_CONTROL_1 $PID_CONTROL_2; do
 	kill -STOP "$pid"
 	for entry in $ENTRY_0 $ENTRY_1 $ENTRY_2; do
--- a/regress/proc/hosts.sh
+++ b/regress/proc/hosts.sh
@@ -1,7 +1,7 @@
-# Symptom: requests fail or hang because another host is dead, though this one works.
-# Sequence: control daemons die while the platform's list still names them; all of them die; they
-# come back.
-# Cause: waiting for a host that the list calls live.
+# Symptom: requests to a working host fail or hang because another host is down.
+# Sequence: control daemons are killed while the platform's host list still contains them; then
+# all of them are killed; then they are restarted.
+# Cause: the entry daemon waits for a host only because the list contains it.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4
 
@@ -17,7 +17,8 @@
 wait $pid
 whole "$(stream_text "$dir/s")" 80
 
-# None is left: entries decide alone from their last view.
+# No control daemon is left. Entry daemons choose endpoints alone, from the last state they
+# received.
 kill -KILL "$PID_CONTROL_2"
 for entry in $ENTRY_0 $ENTRY_1 $ENTRY_2; do
 	complete "$entry" 4 "no control daemon left" >"$dir/a"
@@ -25,7 +26,7 @@
 done
 http "http://$ENTRY_0/metrics" | grep -q '^bg_grants_decided_alone_total' || fail "not decided alone"
 
-# They come back and are homes again.
+# The control daemons restart and become homes of requests again.
 fault_platform '{"hosts_frozen":false}'
 start control-0
 start control-1
@@ -37,7 +38,7 @@
 }
 eventually "a control daemon is home again" is_home
 
-# A host whose control daemon is gone for long follows another's.
+# If a host's control daemon stays down, its entry daemon gets the configuration from another host.
 kill -KILL "$PID_CONTROL_2"
 in_force()
 {
--- a/regress/proc/leaving.sh
+++ b/regress/proc/leaving.sh
@@ -1,6 +1,8 @@
-# Symptom: a planned stop cuts requests off, or an endpoint that leaves goes on getting work.
-# Sequence: drains and SIGTERM under load.
-# Cause: stopping before what is in progress has ended, or news of leaving that does not arrive.
+# Symptom: a planned stop cuts off requests, or an endpoint that is leaving still gets new
+# requests.
+# Sequence: endpoints and hosts are drained, and daemons get SIGTERM, under load.
+# Cause: a daemon exits before its requests have ended, or does not learn that an endpoint is
+# leaving.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4
 
@@ -17,14 +19,14 @@
 	done
 }
 
-# By an operator: nothing new once the change is in force.
+# An operator drains an endpoint: it gets no new requests once the change is in force.
 bgctl --wait drain endpoint e0 >/dev/null
 before=$(granted e0)
 loads
 [ "$(granted e0)" = "$before" ] || fail "a drained endpoint got new work"
 bgctl --wait admit endpoint e0 >/dev/null
 
-# By the endpoint's own word.
+# An endpoint reports that it is leaving: it gets no new requests once the report has arrived.
 fault_engine e2 leave
 is_leaving()
 {
@@ -36,7 +38,7 @@
 [ "$(granted e2)" = "$before" ] || fail "a leaving endpoint got new work"
 fault_engine e2 revive
 
-# A host is stopped with requests in progress, streamed and not: all of them end well.
+# A host's daemons get SIGTERM while streamed and plain requests are in progress: all are completed.
 pids=()
 for i in 1 2 3 4; do
 	complete_stream "$ENTRY_0" 200 "stop stream $i" >"$dir/s$i" &
@@ -69,7 +71,7 @@
 
 if grep -h frame_refused "$dir"/*.log; then fail "daemons refuse each other's frames"; fi
 
-# A drained host is not ready and no home; admitted, it is again.
+# A drained host reports that it is not ready. Once it is admitted, it reports ready again.
 export BRONZEGAUGE_CONTROL=$CONTROL_1
 bgctl drain host host-2 >/dev/null
 readyz_is()
--- a/regress/proc/leaving_said.sh
+++ b/regress/proc/leaving_said.sh
@@ -1,4 +1,5 @@
-# The router before endpoints that say in their answers that they leave; see regress/soak/cases_rest.py.
+# Tests the router with endpoints that announce in their answers that they are leaving; see
+# regress/soak/cases_rest.py.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/limit.sh
+++ b/regress/proc/limit.sh
@@ -1,4 +1,5 @@
-# The router before endpoints that name a limit; see regress/soak/cases_limit.py.
+# Tests the router with endpoints that state a request limit in their answers; see
+# regress/soak/cases_limit.py.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/limit_faults.sh
+++ b/regress/proc/limit_faults.sh
@@ -1,4 +1,5 @@
-# Endpoints that name a limit while hosts, endpoints or the store fail; see regress/soak/cases_limit.py.
+# Tests the router with endpoints that state a request limit while hosts, endpoints or the store
+# fail; see regress/soak/cases_limit.py.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/limits.sh
+++ b/regress/proc/limits.sh
@@ -1,6 +1,7 @@
-# Symptom: a flood of one account makes everybody wait, or refusals come late and without a time.
-# Sequence: more requests than the account may queue, all at once.
-# Cause: queues without bounds.
+# Symptom: a burst of requests of one client account delays all other accounts, or requests are
+# refused late and without a Retry-After header.
+# Sequence: an account sends more requests at once than it may queue.
+# Cause: queues have no upper bound.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 2 --endpoints 2 --slots 1 --set endpoints.overlap_percent=100
 bgctl --wait do "account mill queue 3" >/dev/null
@@ -12,7 +13,8 @@
 		"http://$ENTRY_0/v1/completions"
 }
 
-# Two long answers take both places in flight; of twelve more, three wait and nine are refused.
+# Two long answers occupy both slots. Of twelve more requests, three are queued and nine are
+# refused.
 long=()
 for i in long1 long2; do
 	mill $i 4000 true >"$dir/$i" &
@@ -48,7 +50,8 @@
 done
 [ "$ok" = 3 ] || fail "$ok were served; three had a place to wait"
 
-# Without a pipeline: refused soon, with when to come back.
+# While no pipeline is available, requests are refused soon with the code no_pipeline and a time
+# to retry.
 fault_engine e1 die
 gone()
 {
@@ -62,7 +65,7 @@
 }
 eventually "it serves again" back
 
-# A caller that hangs up frees the endpoint.
+# If the caller closes its connection, the endpoint's slot is released.
 complete_stream "$ENTRY_0" 4000 "hangs up" >"$dir/s" &
 pid=$!
 eventually "the stream has begun" tokens_in "$dir/s" 3
--- a/regress/proc/once.sh
+++ b/regress/proc/once.sh
@@ -1,10 +1,12 @@
-# Symptom: two trucks are sent for one load.
-# Sequence: the caller asks again through another host, or both at once, while hosts die.
-# Cause: no host alone knows what another has done; the order of the log decides.
+# Symptom: a non-idempotent request runs twice, so that two trucks are sent for one load.
+# Sequence: the caller repeats a request through another host, later or at the same time, while
+# hosts fail.
+# Cause: a host can't know which requests another host has sent. The order of claims in the log
+# decides.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4
 
-# Both at the same moment, many times.
+# The same request is sent to two hosts at the same time, several times.
 for i in 1 2 3 4 5; do
 	confirm "$ENTRY_0" "both-$i" 8 >"$dir/a" &
 	a=$!
@@ -16,7 +18,8 @@
 	ran_once "both-$i"
 done
 
-# The first entry host dies mid answer: who asks again gets the whole answer, and nothing ran twice.
+# The entry daemon is killed in the middle of an answer. A repeated request at another host gets
+# the complete answer, and the request runs once.
 confirm "$ENTRY_0" dies 80 >"$dir/a" &
 a=$!
 eventually "the run has begun" running dies
@@ -26,7 +29,7 @@
 whole "$(text_of "$dir/b")" 80
 ran_once dies
 
-# Plain services: the second asker gets the first one's answer.
+# Plain services: a repeated request gets the answer to the first one.
 book()
 {
 	http -H "Authorization: Bearer $TOKEN_0" -H "Idempotency-Key: $2" -d '{"lot":7}' \
@@ -39,14 +42,16 @@
 [ "$(cat "$dir/a")" = "$(cat "$dir/b")" ] || fail "two answers of the service"
 ran_once svc
 
-# The answer of an append is lost.
+# The log's answer to an append is lost.
 fault_platform '{"log":"lose"}'
 confirm "$ENTRY_1" lost 4 >"$dir/a"
 whole "$(text_of "$dir/a")" 4
 fault_platform '{"log":"ok"}'
 ran_once lost
 
-# The log is out: refused at once, not run, with when to come back; later it runs.
+# While the log is unavailable, a non-idempotent request is refused at once with a time to retry,
+# and does not run; an idempotent request is served. Once the log is available, the refused
+# request runs.
 fault_platform '{"log":"out"}'
 confirm "$ENTRY_1" out 4 >"$dir/a"
 code=$(jq -r .error.code "$dir/a")
@@ -62,7 +67,7 @@
 whole "$(text_of "$dir/a")" 4
 ran_once out
 
-# Every control daemon but one dies: claims go on at the one that is left.
+# All control daemons but one are killed. The remaining one handles the claims.
 kill -KILL "$PID_CONTROL_0" "$PID_CONTROL_1"
 for i in 1 2 3 4; do
 	confirm "$ENTRY_2" "home-$i" 4 >"$dir/a"
--- a/regress/proc/orders.sh
+++ b/regress/proc/orders.sh
@@ -1,6 +1,8 @@
-# Symptom: engines hold another version or other layers than declared.
-# Sequence: a version is rolled out endpoint by endpoint under requests; an engine forgets.
-# Cause: an order that was lost, or given by a holder whose lease had lapsed.
+# Symptom: engines hold another version or other layers than the configuration declares.
+# Sequence: a version is rolled out endpoint by endpoint while requests are served; the lease
+# holder is killed; an engine loses its version; a late order changes an engine's version and
+# layers.
+# Cause: an order was lost, or was sent by a host whose lease had expired.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 3 --endpoints 4 --set endpoints.lease_ms=1500
 
@@ -12,7 +14,7 @@
 	[ "$(http "http://$addr/load" | jq -r .version)" = "$2" ]
 }
 
-# Half the pool moves to v2 while requests of v1 go on at the other half; then v2 becomes current.
+# Half of the endpoints switch to v2 while the other half serves v1. Then v2 becomes current.
 bgctl do "endpoint e0 version v2" "endpoint e1 version v2" >/dev/null
 eventually "e0 was ordered to v2" reports e0 v2
 eventually "e1 was ordered to v2" reports e1 v2
@@ -26,7 +28,7 @@
 whole "$(jq -r '.choices[0].text' "$dir/a")" 4
 grep -q 'Bg-Route: e0.*e1' "$dir/headers" || fail "v2 went to v1 endpoints"
 
-# The orderer dies: the next one takes the lease and goes on.
+# The lease holder is killed. Another host acquires the lease and sends the remaining orders.
 holder=$(http "http://$PLATFORM/log/orders?from=0" | jq -r '.records[-1].data | fromjson | .holder')
 n=${holder%%/*}
 n=${n#host-}
@@ -39,8 +41,8 @@
 eventually "e3 was ordered by the next holder" reports e3 v2
 no_violations
 
-# An order of a holder that was paused arrives late at an engine that ignores fencing numbers: it
-# takes it. Requests are never run at wrong layers meanwhile, and the order is undone.
+# An order of a former lease holder arrives late, and the engine accepts it because it does not
+# check fencing numbers. Until the order is reversed, no request runs with wrong layers.
 address()
 {
 	bgctl export | sed -n "s/^endpoint $1 address \([^ ]*\).*/\1/p"
--- a/regress/proc/path.sh
+++ b/regress/proc/path.sh
@@ -1,5 +1,6 @@
-# The whole path: a request's route covers every layer once, in order, as the engine's ledger shows,
-# on both hosts, streamed and not; bad input is refused with its place and did not run.
+# Tests requests end to end, streamed and plain, through both hosts. Each route covers every layer
+# once and in order, as the engines' ledger shows. Invalid requests are refused with the place of
+# the error and do not run.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 2 --endpoints 4
 
@@ -13,7 +14,8 @@
 no_violations
 before=$(ledger '.runs | length')
 
-# expect STATUS CODE BODY [curl options]
+# expect STATUS CODE BODY [curl options...]: sends BODY and checks that it is refused with this
+# HTTP status and error code, and with "Bg-Ran: no".
 expect()
 {
 	local status=$1 code=$2 body=$3 got
@@ -41,6 +43,6 @@
 [ "$got" = 403 ] || fail "expected 403, got $got"
 [ "$(ledger '.runs | length')" = "$before" ] || fail "something ran that was refused"
 
-# Histograms for each client account and class.
+# Latency histograms exist for each client account and request class.
 http "http://$ENTRY_0/metrics" | grep -q '^bg_first_token_us{account="farm",class="completion",quantile="0.95"}' ||
 	fail "no histogram of the account and class"
--- a/regress/proc/refusals.sh
+++ b/regress/proc/refusals.sh
@@ -1,7 +1,8 @@
-# Symptom: a caller is told that its request did not run, asks again, and two trucks come.
-# Sequence: every way in which a request can be refused with "Bg-Ran: no" (the table in req/code.c).
-# Cause: saying "no" where an endpoint may have run it. Each refused request's id must be absent from
-# the engine's ledger at the end.
+# Symptom: an answer states that a request did not run, the caller repeats it, and two trucks are
+# sent.
+# Sequence: requests are refused with each code that has "Bg-Ran: no" (the table in req/code.c).
+# Cause: the answer states "Bg-Ran: no" although an endpoint may have run the request. At the end,
+# the engines' ledger must not contain the id of any refused request.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 1 --endpoints 2 --slots 1 --set endpoints.overlap_percent=100 \
 	--set attempts.retry_burst=0 --set attempts.retry_percent=0
@@ -9,14 +10,15 @@
 body='{"model":"m1","prompt":"x","max_tokens":4}'
 : >"$dir/ids"
 
-# ask [curl options...]: code of the answer, empty if it was served.
+# ask [curl options...]: sends a request and sets code to the answer's error code, empty if served.
 ask()
 {
 	http -D "$dir/headers" -o "$dir/body" -H "Authorization: Bearer ${token:-$TOKEN_0}" "$@"
 	code=$(jq -r '.error.code // empty' "$dir/body")
 }
 
-# refused CODE [curl options...]
+# refused CODE [curl options...]: sends a request and checks that it is refused with this error
+# code and "Bg-Ran: no". Records the request's id.
 refused()
 {
 	local want=$1
@@ -48,12 +50,12 @@
 refused key_reused "$url" -d '{"model":"m1","prompt":"other"}' -H 'Bg-Idempotent: no' \
 	-H 'Idempotency-Key: k'
 
-# The log is out.
+# The platform's log is unavailable.
 fault_platform '{"log":"out"}'
 refused claim_failed "$url" -d "$body" -H 'Bg-Idempotent: no' -H 'Idempotency-Key: k2'
 fault_platform '{"log":"ok"}'
 
-# An engine holds other layers than the home knows, and there is no budget for retries.
+# An engine holds other layers than its home host assumes, and the retry budget is 0.
 e0=$(bgctl export | sed -n 's/^endpoint e0 address \([^ ]*\).*/\1/p')
 wrong_layers()
 {
@@ -72,7 +74,7 @@
 }
 eventually "the home has seen that" is_admitted
 
-# Both slots are taken and long requests wait.
+# Both slots are occupied and twelve long requests are queued.
 bgctl --wait do "account farm queue 12 max-tokens 100000" "account mill models m1" >/dev/null
 pids=()
 for i in $(seq 1 14); do
@@ -91,11 +93,11 @@
 kill "${pids[@]}"
 wait "${pids[@]}" || true
 
-# No pipeline.
+# An endpoint fails, so that no complete pipeline is left.
 fault_engine e1 die
 eventually "no pipeline" becomes no_pipeline "$url" -d "$body"
 
-# An entry daemon that has no configuration yet.
+# A new entry daemon has not received a configuration yet.
 sed "s/^listen = .*/listen = 127.0.0.1:$((${PLATFORM##*:} + 11))/; s/^peer = .*/peer = 127.0.0.1:$((${PLATFORM##*:} + 12))/; s/^control = .*/control = 127.0.0.1:$((${PLATFORM##*:} + 13))/" \
 	"$dir/entry-0.ini" >"$dir/entry-new.ini"
 "$bin/bgentryd" --config "$dir/entry-new.ini" >"$dir/entry-new.log" 2>&1 &
--- a/regress/proc/rest.sh
+++ b/regress/proc/rest.sh
@@ -1,4 +1,5 @@
-# The router before endpoints that ask a host for rest; see regress/soak/cases_rest.py.
+# Tests the router with endpoints that ask a host to pause its requests for some time; see
+# regress/soak/cases_rest.py.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/router.sh
+++ b/regress/proc/router.sh
@@ -1,5 +1,5 @@
-# The router on the users' platform, against stand-ins of its store and engines. Each case of
-# regress/soak/cases.py has a set of processes of its own.
+# Tests the router on the users' platform, with substitutes for the platform's store and engines.
+# Each case of regress/soak/cases.py starts its own set of processes.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/soak.sh
+++ b/regress/proc/soak.sh
@@ -1,4 +1,5 @@
-# A short run of the fault soak with fixed seeds, and every seed that ever failed.
+# Runs the soak test with injected faults for a short time, with fixed seeds and with each seed in
+# seeds.txt, which lists the seeds that failed before.
 set -euo pipefail
 
 cd "$(dirname "$0")/../soak"
--- a/regress/proc/stage-dies.sh
+++ b/regress/proc/stage-dies.sh
@@ -1,16 +1,20 @@
-# Symptom: an answer stops in the middle, or goes on with layers left out.
-# Sequence: a stage of the pipeline dies, goes silent, or its connection goes silent mid answer.
-# Cause: the run is gone, or cannot be heard; another pipeline must go on from what was delivered.
+# Symptom: an answer stops in the middle, or continues with layers left out.
+# Sequence: in the middle of an answer, a stage of the pipeline crashes, stops sending, or its
+# connection stops delivering data.
+# Cause: the run is lost or unreachable. Another pipeline must continue after the last delivered
+# token.
 . "$(dirname "$0")/../lib.sh"
 stack --hosts 2 --endpoints 4
 
-# second_stage HEADERS FILE: the endpoint of the second stage.
+# route_stage STAGE: prints the endpoint that runs this stage (1 is the first), from the Bg-Route
+# header.
 route_stage()
 {
 	tr -d '\r' <"$dir/headers" | sed -n 's/^Bg-Route: //p' | cut -d, -f"$1" | cut -d: -f1
 }
 
-# hit STAGE FAULT: a request that is hit mid answer still gets its whole answer.
+# hit STAGE FAULT: injects the fault at this stage's endpoint in the middle of an answer and
+# checks that the answer is complete.
 hit()
 {
 	local stage=$1 fault=$2 endpoint pid
