--- a/regress/lib.sh
+++ b/regress/lib.sh
@@ -29,9 +29,9 @@
 	exit 1
 }
 
-# stack ARGS...: starts the daemons by "tools/stack up" with these options and reads their
+# start_stack ARGS...: starts the daemons by "tools/stack up" with these options and reads their
 # addresses.
-stack()
+start_stack()
 {
 	"$here/tools/stack" up "$dir" "$@"
 	read_env
@@ -45,8 +45,9 @@
 	export BRONZEGAUGE_CONTROL=$CONTROL_0 BRONZEGAUGE_TOKEN=$OPERATOR_TOKEN
 }
 
-# start DAEMON: restarts one daemon, such as control-1, and reads the new addresses and process ids.
-start()
+# start_daemon DAEMON: restarts one daemon, such as control-1, and reads the new addresses and
+# process ids.
+start_daemon()
 {
 	"$here/tools/stack" start "$dir" "$1"
 	read_env
@@ -61,7 +62,7 @@
 	shift
 	until "$@" >/dev/null 2>&1; do
 		tries=$((tries - 1))
-		[ $tries -gt 0 ] || fail "never came true: $what"
+		[ $tries -gt 0 ] || fail "timed out; expected: $what"
 		sleep 0.05
 	done
 }
@@ -100,9 +101,9 @@
 		"http://$entry/v1/completions"
 }
 
-# confirm ENTRY KEY MAX_TOKENS: sends a non-idempotent completion request with this idempotency
-# key and prints the JSON answer.
-confirm()
+# complete_once ENTRY KEY MAX_TOKENS: sends a non-idempotent completion request with this
+# idempotency key and prints the JSON answer.
+complete_once()
 {
 	complete "$1" "$3" "confirm $2" -H 'Bg-Idempotent: no' -H "Idempotency-Key: $2"
 }
@@ -113,8 +114,9 @@
 	jq -r '.choices[0].text' <"$1"
 }
 
-# running KEY: succeeds if the runs with this idempotency key have produced at least 5 tokens.
-running()
+# has_run_started KEY: succeeds if the runs with this idempotency key have produced at least 5
+# tokens.
+has_run_started()
 {
 	[ "$(ledger --arg k "$1" '[.runs[] | select(.key == $k) | .tokens] | add // 0')" -ge 5 ]
 }
@@ -125,24 +127,26 @@
 	sed -n 's/^data: {/{/p' "$1" | jq -j '.choices[0].text // empty'
 }
 
-# whole TEXT COUNT: fails unless the text has the tokens 0 to COUNT - 1, each once and in order.
-whole()
+# expect_all_tokens TEXT COUNT: fails unless the text has the tokens 0 to COUNT - 1, each once and
+# in order.
+expect_all_tokens()
 {
 	local got
 
 	got=$(tr ' ' '\n' <<<"$1" | sed -n 's/:.*//p' | tr '\n' ' ')
-	[ "$got" = "$(seq -s ' ' 0 $(($2 - 1))) " ] || fail "not whole: $1"
+	[ "$got" = "$(seq -s ' ' 0 $(($2 - 1))) " ] || fail "tokens are missing, repeated or out of order: $1"
 }
 
-# fault_engine ENDPOINT FAULT [FACTOR]: injects a fault into a simulated engine, or ends it.
-fault_engine()
+# inject_engine_fault ENDPOINT FAULT [FACTOR]: injects a fault into a simulated engine. The faults
+# "revive" and "wake" end earlier ones.
+inject_engine_fault()
 {
 	http -d "{\"endpoint\":\"$1\",\"fault\":\"$2\",\"factor\":${3:-1}}" "http://$ENGINE_ADMIN/fault" \
 		>/dev/null
 }
 
-# fault_platform JSON: sets the faults of the simulated platform.
-fault_platform()
+# inject_platform_fault JSON: sets the faults of the simulated platform.
+inject_platform_fault()
 {
 	http -d "$1" "http://$PLATFORM/fault" >/dev/null
 }
@@ -155,13 +159,14 @@
 }
 
 # Fails if an engine has run a request's layers out of order.
-no_violations()
+expect_layers_in_order()
 {
 	[ "$(ledger '[.runs[].layer_violations] | add')" = 0 ] || fail "layers were run out of order"
 }
 
-# ran_once KEY: fails unless the runs with this idempotency key add up to exactly one attempt.
-ran_once()
+# expect_one_attempt KEY: fails unless the runs with this idempotency key add up to exactly one
+# attempt.
+expect_one_attempt()
 {
 	local n
 
@@ -169,8 +174,8 @@
 	[ "$n" = 1 ] || fail "key $1 ran $n times"
 }
 
-# tokens_in FILE COUNT: succeeds if the event stream in a file has at least COUNT tokens.
-tokens_in()
+# has_tokens FILE COUNT: succeeds if the event stream in a file has at least COUNT tokens.
+has_tokens()
 {
 	[ -f "$1" ] && [ "$(grep -c '"text"' "$1")" -ge "$2" ]
 }
--- a/regress/proc/frames.sh
+++ b/regress/proc/frames.sh
@@ -2,9 +2,9 @@
 # Sequence: a client sends frames that are too large, malformed, of an unknown kind, or truncated.
 # Cause: the length or the kind in a frame's header is used without a check.
 . "$(dirname "$0")/../lib.sh"
-stack --hosts 2 --endpoints 2
+start_stack --hosts 2 --endpoints 2
 
-send()
+send_bytes()
 {
 	local addr=$1
 
@@ -16,13 +16,13 @@
 }
 
 for addr in $FRAMES_0 $PEER_0; do
-	send "$addr" '\xff\xff\xff\xff\x00\x01'
-	send "$addr" '\x00\x00\x00\x04\x00\x01\xff\xff\xff\xff'
-	send "$addr" '\x00\x00\x00\x00\x7f\xff'
-	send "$addr" 'GET / HTTP/1.1\r\n\r\n'
+	send_bytes "$addr" '\xff\xff\xff\xff\x00\x01'
+	send_bytes "$addr" '\x00\x00\x00\x04\x00\x01\xff\xff\xff\xff'
+	send_bytes "$addr" '\x00\x00\x00\x00\x7f\xff'
+	send_bytes "$addr" 'GET / HTTP/1.1\r\n\r\n'
 done
 complete "$ENTRY_0" 4 "still there" >"$dir/a"
-whole "$(jq -r '.choices[0].text' "$dir/a")" 4
+expect_all_tokens "$(jq -r '.choices[0].text' "$dir/a")" 4
 refused=$(http "http://$CONTROL_0/metrics" | sed -n 's/^bg_frames_refused_total{} //p')
 [ "$refused" -ge 3 ] || fail "refused frames are not counted: $refused"
 
--- a/regress/proc/leaving.sh
+++ b/regress/proc/leaving.sh
@@ -4,15 +4,15 @@
 # Cause: a daemon exits before its requests have ended, or does not learn that an endpoint is
 # leaving.
 . "$(dirname "$0")/../lib.sh"
-stack --hosts 3 --endpoints 4
+start_stack --hosts 3 --endpoints 4
 
-granted()
+granted_count()
 {
 	bgctl --json show endpoints | jq --arg e "$1" \
 		'[.[].endpoints[] | select(.endpoint == $e) | .granted] | add'
 }
 
-loads()
+send_requests()
 {
 	for i in 1 2 3 4 5 6 7 8; do
 		complete "$ENTRY_1" 3 "load $i" >/dev/null
@@ -21,22 +21,22 @@
 
 # An operator drains an endpoint: it gets no new requests once the change is in force.
 bgctl --wait drain endpoint e0 >/dev/null
-before=$(granted e0)
-loads
-[ "$(granted e0)" = "$before" ] || fail "a drained endpoint got new work"
+before=$(granted_count e0)
+send_requests
+[ "$(granted_count e0)" = "$before" ] || fail "a drained endpoint got new requests"
 bgctl --wait admit endpoint e0 >/dev/null
 
 # An endpoint reports that it is leaving: it gets no new requests once the report has arrived.
-fault_engine e2 leave
+inject_engine_fault e2 leave
 is_leaving()
 {
 	bgctl show endpoints | grep -q 'e2 .*leaving'
 }
-eventually "e2 is known to leave" is_leaving
-before=$(granted e2)
-loads
-[ "$(granted e2)" = "$before" ] || fail "a leaving endpoint got new work"
-fault_engine e2 revive
+eventually "e2 is shown as leaving" is_leaving
+before=$(granted_count e2)
+send_requests
+[ "$(granted_count e2)" = "$before" ] || fail "a leaving endpoint got new requests"
+inject_engine_fault e2 revive
 
 # A host's daemons get SIGTERM while streamed and plain requests are in progress: all are completed.
 pids=()
@@ -46,28 +46,28 @@
 	complete "$ENTRY_0" 200 "stop plain $i" >"$dir/p$i" &
 	pids+=($!)
 done
-eventually "streams have begun" tokens_in "$dir/s4" 5
+eventually "streams have begun" has_tokens "$dir/s4" 5
 kill -TERM "$PID_ENTRY_0" "$PID_CONTROL_0"
-not_ready()
+is_not_ready()
 {
 	[ "$(http -o /dev/null -w '%{http_code}' "http://$ENTRY_0/readyz")" = 503 ]
 }
-eventually "the balancer is told" not_ready
+eventually "readyz reports not ready" is_not_ready
 complete "$ENTRY_0" 4 "the balancer lags" >"$dir/late"
-whole "$(jq -r '.choices[0].text' "$dir/late")" 4
+expect_all_tokens "$(jq -r '.choices[0].text' "$dir/late")" 4
 for pid in "${pids[@]}"; do
 	wait "$pid" || fail "a request was cut off"
 done
 for i in 1 2 3 4; do
-	whole "$(stream_text "$dir/s$i")" 200
-	whole "$(jq -r '.choices[0].text' "$dir/p$i")" 200
+	expect_all_tokens "$(stream_text "$dir/s$i")" 200
+	expect_all_tokens "$(jq -r '.choices[0].text' "$dir/p$i")" 200
 done
-ended()
+has_exited()
 {
 	! kill -0 "$1"
 }
-eventually "the entry daemon ends" ended "$PID_ENTRY_0"
-eventually "the control daemon ends" ended "$PID_CONTROL_0"
+eventually "the entry daemon ends" has_exited "$PID_ENTRY_0"
+eventually "the control daemon ends" has_exited "$PID_CONTROL_0"
 
 if grep -h frame_refused "$dir"/*.log; then fail "daemons refuse each other's frames"; fi
 
@@ -81,4 +81,4 @@
 eventually "a drained host is not ready" readyz_is "$ENTRY_2" 503
 bgctl admit host host-2 >/dev/null
 eventually "an admitted host is ready" readyz_is "$ENTRY_2" 200
-no_violations
+expect_layers_in_order
--- a/regress/proc/once.sh
+++ b/regress/proc/once.sh
@@ -4,74 +4,75 @@
 # Cause: a host can't know which requests another host has sent. The order of claims in the log
 # decides.
 . "$(dirname "$0")/../lib.sh"
-stack --hosts 3 --endpoints 4
+start_stack --hosts 3 --endpoints 4
 
 # The same request is sent to two hosts at the same time, several times.
 for i in 1 2 3 4 5; do
-	confirm "$ENTRY_0" "both-$i" 8 >"$dir/a" &
+	complete_once "$ENTRY_0" "both-$i" 8 >"$dir/a" &
 	a=$!
-	confirm "$ENTRY_1" "both-$i" 8 >"$dir/b" &
+	complete_once "$ENTRY_1" "both-$i" 8 >"$dir/b" &
 	b=$!
 	wait $a $b
-	whole "$(text_of "$dir/a")" 8
+	expect_all_tokens "$(text_of "$dir/a")" 8
 	[ "$(text_of "$dir/a")" = "$(text_of "$dir/b")" ] || fail "two answers for one key"
-	ran_once "both-$i"
+	expect_one_attempt "both-$i"
 done
 
 # The entry daemon is killed in the middle of an answer. A repeated request at another host gets
 # the complete answer, and the request runs once.
-confirm "$ENTRY_0" dies 80 >"$dir/a" &
+complete_once "$ENTRY_0" dies 80 >"$dir/a" &
 a=$!
-eventually "the run has begun" running dies
+eventually "the run has begun" has_run_started dies
 kill -KILL "$PID_ENTRY_0"
 wait $a || true
-confirm "$ENTRY_1" dies 80 >"$dir/b"
-whole "$(text_of "$dir/b")" 80
-ran_once dies
+complete_once "$ENTRY_1" dies 80 >"$dir/b"
+expect_all_tokens "$(text_of "$dir/b")" 80
+expect_one_attempt dies
 
-# Plain services: a repeated request gets the answer to the first one.
-book()
+# Plain services: a repeated request gets the answer to the first one. request_booking ENTRY KEY:
+# sends a non-idempotent request to the plain service "booking".
+request_booking()
 {
 	http -H "Authorization: Bearer $TOKEN_0" -H "Idempotency-Key: $2" -d '{"lot":7}' \
 		"http://$1/svc/booking/loads"
 }
-book "$ENTRY_1" svc >"$dir/a" &
+request_booking "$ENTRY_1" svc >"$dir/a" &
 a=$!
-book "$ENTRY_2" svc >"$dir/b"
+request_booking "$ENTRY_2" svc >"$dir/b"
 wait $a
 [ "$(cat "$dir/a")" = "$(cat "$dir/b")" ] || fail "two answers of the service"
-ran_once svc
+expect_one_attempt svc
 
 # The log's answer to an append is lost.
-fault_platform '{"log":"lose"}'
-confirm "$ENTRY_1" lost 4 >"$dir/a"
-whole "$(text_of "$dir/a")" 4
-fault_platform '{"log":"ok"}'
-ran_once lost
+inject_platform_fault '{"log":"lose"}'
+complete_once "$ENTRY_1" lost 4 >"$dir/a"
+expect_all_tokens "$(text_of "$dir/a")" 4
+inject_platform_fault '{"log":"ok"}'
+expect_one_attempt lost
 
 # While the log is unavailable, a non-idempotent request is refused at once with a time to retry,
 # and does not run; an idempotent request is served. Once the log is available, the refused
 # request runs.
-fault_platform '{"log":"out"}'
-confirm "$ENTRY_1" out 4 >"$dir/a"
+inject_platform_fault '{"log":"out"}'
+complete_once "$ENTRY_1" out 4 >"$dir/a"
 code=$(jq -r .error.code "$dir/a")
 [ "$code" = claim_failed ] || fail "log out: $(cat "$dir/a")"
 complete "$ENTRY_1" 4 "repeatable" >"$dir/b"
-whole "$(text_of "$dir/b")" 4
-fault_platform '{"log":"ok"}'
-asked_again()
+expect_all_tokens "$(text_of "$dir/b")" 4
+inject_platform_fault '{"log":"ok"}'
+is_served_on_retry()
 {
-	confirm "$ENTRY_2" out 4 >"$dir/a" && [ "$(jq -r '.choices[0].text // empty' "$dir/a")" ]
+	complete_once "$ENTRY_2" out 4 >"$dir/a" && [ "$(jq -r '.choices[0].text // empty' "$dir/a")" ]
 }
-eventually "the log is used again" asked_again
-whole "$(text_of "$dir/a")" 4
-ran_once out
+eventually "the log is used again" is_served_on_retry
+expect_all_tokens "$(text_of "$dir/a")" 4
+expect_one_attempt out
 
 # All control daemons but one are killed. The remaining one handles the claims.
 kill -KILL "$PID_CONTROL_0" "$PID_CONTROL_1"
 for i in 1 2 3 4; do
-	confirm "$ENTRY_2" "home-$i" 4 >"$dir/a"
-	whole "$(text_of "$dir/a")" 4
-	ran_once "home-$i"
+	complete_once "$ENTRY_2" "home-$i" 4 >"$dir/a"
+	expect_all_tokens "$(text_of "$dir/a")" 4
+	expect_one_attempt "home-$i"
 done
-no_violations
+expect_layers_in_order
--- a/regress/proc/orders.sh
+++ b/regress/proc/orders.sh
@@ -4,9 +4,9 @@
 # layers.
 # Cause: an order was lost, or was sent by a host whose lease had expired.
 . "$(dirname "$0")/../lib.sh"
-stack --hosts 3 --endpoints 4 --set endpoints.lease_ms=1500
+start_stack --hosts 3 --endpoints 4 --set endpoints.lease_ms=1500
 
-reports()
+has_version()
 {
 	local addr
 
@@ -16,16 +16,16 @@
 
 # Half of the endpoints switch to v2 while the other half serves v1. Then v2 becomes current.
 bgctl do "endpoint e0 version v2" "endpoint e1 version v2" >/dev/null
-eventually "e0 was ordered to v2" reports e0 v2
-eventually "e1 was ordered to v2" reports e1 v2
+eventually "e0 was ordered to v2" has_version e0 v2
+eventually "e1 was ordered to v2" has_version e1 v2
 for i in 1 2 3; do
 	complete "$ENTRY_1" 4 "still v1" -D "$dir/headers" >"$dir/a"
-	whole "$(jq -r '.choices[0].text' "$dir/a")" 4
+	expect_all_tokens "$(jq -r '.choices[0].text' "$dir/a")" 4
 	grep -q 'Bg-Route: e2.*e3' "$dir/headers" || fail "v1 went to v2 endpoints"
 done
 bgctl --wait model m1 version v2 >/dev/null
 complete "$ENTRY_1" 4 "now v2" -D "$dir/headers" >"$dir/a"
-whole "$(jq -r '.choices[0].text' "$dir/a")" 4
+expect_all_tokens "$(jq -r '.choices[0].text' "$dir/a")" 4
 grep -q 'Bg-Route: e0.*e1' "$dir/headers" || fail "v2 went to v1 endpoints"
 
 # The lease holder is killed. Another host acquires the lease and sends the remaining orders.
@@ -37,21 +37,21 @@
 other=CONTROL_$(((n + 1) % 3))
 export BRONZEGAUGE_CONTROL=${!other}
 bgctl do "endpoint e2 version v2" "endpoint e3 version v2" >/dev/null
-eventually "e2 was ordered by the next holder" reports e2 v2
-eventually "e3 was ordered by the next holder" reports e3 v2
-no_violations
+eventually "e2 was ordered by the next holder" has_version e2 v2
+eventually "e3 was ordered by the next holder" has_version e3 v2
+expect_layers_in_order
 
 # An order of a former lease holder arrives late, and the engine accepts it because it does not
 # check fencing numbers. Until the order is reversed, no request runs with wrong layers.
-address()
+endpoint_address()
 {
 	bgctl export | sed -n "s/^endpoint $1 address \([^ ]*\).*/\1/p"
 }
-http -d '{"fence":0,"model":"m1","version":"v1","first":0,"last":3}' "http://$(address e0)/orders" \
+http -d '{"fence":0,"model":"m1","version":"v1","first":0,"last":3}' "http://$(endpoint_address e0)/orders" \
 	>/dev/null
 for i in 1 2 3; do
 	complete "$ENTRY_1" 4 "late order $i" >"$dir/a"
-	whole "$(jq -r '.choices[0].text' "$dir/a")" 4
+	expect_all_tokens "$(jq -r '.choices[0].text' "$dir/a")" 4
 done
-eventually "the late order is undone" reports e0 v2
-no_violations
+eventually "the late order is reversed" has_version e0 v2
+expect_layers_in_order
--- a/regress/proc/refusals.sh
+++ b/regress/proc/refusals.sh
@@ -4,75 +4,78 @@
 # Cause: the answer states "Bg-Ran: no" although an endpoint may have run the request. At the end,
 # the engines' ledger must not contain the id of any refused request.
 . "$(dirname "$0")/../lib.sh"
-stack --hosts 1 --endpoints 2 --slots 1 --set endpoints.overlap_percent=100 \
+start_stack --hosts 1 --endpoints 2 --slots 1 --set endpoints.overlap_percent=100 \
 	--set attempts.retry_burst=0 --set attempts.retry_percent=0
 bgctl do "account mill queue 1 models m1@v9" >/dev/null
 body='{"model":"m1","prompt":"x","max_tokens":4}'
 : >"$dir/ids"
 
-# ask [curl options...]: sends a request and sets code to the answer's error code, empty if served.
-ask()
+# send_request [curl options...]: sends a request and sets code to the answer's error code, empty
+# if served.
+send_request()
 {
 	http -D "$dir/headers" -o "$dir/body" -H "Authorization: Bearer ${token:-$TOKEN_0}" "$@"
 	code=$(jq -r '.error.code // empty' "$dir/body")
 }
 
-# refused CODE [curl options...]: sends a request and checks that it is refused with this error
-# code and "Bg-Ran: no". Records the request's id.
-refused()
+# expect_refusal CODE [curl options...]: sends a request and checks that it is refused with this
+# error code and "Bg-Ran: no". Records the request's id.
+expect_refusal()
 {
 	local want=$1
 
 	shift
-	ask "$@"
+	send_request "$@"
 	[ "$code" = "$want" ] || fail "expected $want, got '$code': $(cat "$dir/body")"
 	grep -qi '^Bg-Ran: no' "$dir/headers" || fail "$want without Bg-Ran: no"
 	tr -d '\r' <"$dir/headers" | sed -n 's/^Bg-Request: //p' >>"$dir/ids"
 	echo "$want" >>"$dir/seen"
 }
 
-becomes()
+# is_refused CODE [curl options...]: like expect_refusal, but in a subshell, so that a failed
+# check does not end the script.
+is_refused()
 {
-	(refused "$@")
+	(expect_refusal "$@")
 }
 
 url=http://$ENTRY_0/v1/completions
-refused bad_body "$url" -d '{'
-refused bad_argument "$url" -d "$body" -H 'Bg-Idempotent: maybe'
-token=farm.x refused unauthorized "$url" -d "$body"
-token=$TOKEN_1 refused forbidden "$url" -d "$body"
-refused not_found "http://$ENTRY_0/svc/none/x" -d "$body"
-refused bad_method "$url"
+expect_refusal bad_body "$url" -d '{'
+expect_refusal bad_argument "$url" -d "$body" -H 'Bg-Idempotent: maybe'
+token=farm.x expect_refusal unauthorized "$url" -d "$body"
+token=$TOKEN_1 expect_refusal forbidden "$url" -d "$body"
+expect_refusal not_found "http://$ENTRY_0/svc/none/x" -d "$body"
+expect_refusal bad_method "$url"
 head -c 2000000 /dev/zero | tr '\0' ' ' >"$dir/large"
-refused too_large "$url" -d "@$dir/large"
-ask "$url" -d "$body" -H 'Bg-Idempotent: no' -H 'Idempotency-Key: k'
+expect_refusal too_large "$url" -d "@$dir/large"
+send_request "$url" -d "$body" -H 'Bg-Idempotent: no' -H 'Idempotency-Key: k'
 [ -z "$code" ] || fail "the key's first request: $code"
-refused key_reused "$url" -d '{"model":"m1","prompt":"other"}' -H 'Bg-Idempotent: no' \
+expect_refusal key_reused "$url" -d '{"model":"m1","prompt":"other"}' -H 'Bg-Idempotent: no' \
 	-H 'Idempotency-Key: k'
 
 # The platform's log is unavailable.
-fault_platform '{"log":"out"}'
-refused claim_failed "$url" -d "$body" -H 'Bg-Idempotent: no' -H 'Idempotency-Key: k2'
-fault_platform '{"log":"ok"}'
+inject_platform_fault '{"log":"out"}'
+expect_refusal claim_failed "$url" -d "$body" -H 'Bg-Idempotent: no' -H 'Idempotency-Key: k2'
+inject_platform_fault '{"log":"ok"}'
 
 # An engine holds other layers than its home host assumes, and the retry budget is 0.
 e0=$(bgctl export | sed -n 's/^endpoint e0 address \([^ ]*\).*/\1/p')
-wrong_layers()
+is_refused_after_wrong_order()
 {
 	http -d '{"fence":0,"version":"v1","first":0,"last":3}' "http://$e0/orders" >/dev/null
-	becomes retry_budget "$url" -d "$body"
+	is_refused retry_budget "$url" -d "$body"
 }
-eventually "the engine's word and no budget" wrong_layers
-holds()
+eventually "refused with retry_budget after the engine rejected the layers" is_refused_after_wrong_order
+holds_all_layers()
 {
 	[ "$(http "http://$e0/load" | jq .last)" = 15 ]
 }
-eventually "e0 holds its layers again" holds
+eventually "e0 holds its layers again" holds_all_layers
 is_admitted()
 {
 	bgctl show endpoints | grep -q 'e0 .*admitted'
 }
-eventually "the home has seen that" is_admitted
+eventually "the home host admits e0 again" is_admitted
 
 # Both slots are occupied and twelve long requests are queued.
 bgctl --wait do "account farm queue 12 max-tokens 100000" "account mill models m1" >/dev/null
@@ -85,17 +88,17 @@
 {
 	[ "$(bgctl --json show accounts | jq '[.[].accounts[] | select(.account == "farm") | .waiting] | add')" = 12 ]
 }
-eventually "twelve wait" all_queued
-refused queue_full "$url" -d "$body"
+eventually "twelve requests are queued" all_queued
+expect_refusal queue_full "$url" -d "$body"
 bgctl --wait do "account farm queue 100" >/dev/null
-refused too_long_to_wait "$url" -d "$body" -H 'Bg-Deadline-Ms: 3000'
-token=$TOKEN_1 refused deadline_before_start "$url" -d "$body" -H 'Bg-Deadline-Ms: 300'
+expect_refusal too_long_to_wait "$url" -d "$body" -H 'Bg-Deadline-Ms: 3000'
+token=$TOKEN_1 expect_refusal deadline_before_start "$url" -d "$body" -H 'Bg-Deadline-Ms: 300'
 kill "${pids[@]}"
 wait "${pids[@]}" || true
 
 # An endpoint fails, so that no complete pipeline is left.
-fault_engine e1 die
-eventually "no pipeline" becomes no_pipeline "$url" -d "$body"
+inject_engine_fault e1 die
+eventually "no pipeline" is_refused no_pipeline "$url" -d "$body"
 
 # A new entry daemon has not received a configuration yet.
 sed "s/^listen = .*/listen = 127.0.0.1:$((${PLATFORM##*:} + 11))/; s/^peer = .*/peer = 127.0.0.1:$((${PLATFORM##*:} + 12))/; s/^control = .*/control = 127.0.0.1:$((${PLATFORM##*:} + 13))/" \
@@ -103,9 +106,9 @@
 "$bin/bgentryd" --config "$dir/entry-new.ini" >"$dir/entry-new.log" 2>&1 &
 echo "entry-new $!" >>"$dir/pids"
 new=http://127.0.0.1:$((${PLATFORM##*:} + 11))
-eventually "no configuration" becomes not_ready "$new/v1/completions" -d "$body"
+eventually "no configuration" is_refused not_ready "$new/v1/completions" -d "$body"
 
-[ "$(sort -u "$dir/seen" | wc -l)" = 15 ] || fail "not every refusal: $(sort -u "$dir/seen")"
+[ "$(sort -u "$dir/seen" | wc -l)" = 15 ] || fail "expected 15 refusal codes: $(sort -u "$dir/seen")"
 while read -r id; do
 	n=$(ledger --arg r "$id" '[.runs[] | select(.request == $r)] | length')
 	[ "$n" = 0 ] || fail "request $id was refused as not run, and ran"
