--- a/regress/proc/leaving.sh
+++ b/regress/proc/leaving.sh
@@ -71,7 +71,8 @@
 
 if grep -h frame_refused "$dir"/*.log; then fail "daemons refuse each other's frames"; fi
 
-# A drained host reports that it is not ready. Once it is admitted, it reports ready again.
+# A drained host reports that it is not ready, and is not the home of any request. Once it is
+# admitted, both are reversed.
 export BRONZEGAUGE_CONTROL=$CONTROL_1
 bgctl drain host host-2 >/dev/null
 readyz_is()
