--- a/adm/adm_test.cc
+++ b/adm/adm_test.cc
@@ -95,7 +95,7 @@
 	int requested_ = 0, served_ = 0, in_time_ = 0, refused_ = 0;
 };
 
-TEST(AdmTest, NobodyIsRefusedWhileEnginesKeepUp)
+TEST(AdmTest, NoRequestIsRefusedWhileEnginesHaveCapacity)
 {
 	Simulation managed(true);
 	managed.Run(30, 0.95);
@@ -109,7 +109,7 @@
  * all requests. The loss stalls all requests for 1.2 s, and the load is 0.97 of the remaining
  * capacity, so the queue of that moment must be drained by refusals.
  */
-TEST(AdmTest, AQueueThatALossLeftBehindGoesAway)
+TEST(AdmTest, TheQueueAfterALossOfAnEndpointIsDrained)
 {
 	int in_time[2];
 	for (int controlled = 0; controlled < 2; controlled++) {
@@ -120,15 +120,15 @@
 		managed.ResetCounts();
 		managed.Run(10, 0.97);
 		in_time[controlled] = managed.in_time_ * 100 / managed.requested_;
-		printf("%s: begun in time %d of 100 asked, from 6 s after the loss\n",
-		       controlled ? "refusing a part" : "queue as it is ", in_time[controlled]);
+		printf("%s: %d of 100 requests begun in time, from 6 s after the loss\n",
+		       controlled ? "with refusals" : "no refusals", in_time[controlled]);
 	}
 	EXPECT_LT(in_time[0], 10);
 	EXPECT_GT(in_time[1], 85);
 }
 
 /* The number of timely first tokens must not fall as load rises, and must recover after a loss. */
-TEST(AdmTest, MoreLoadNeverMeansFewerInTime)
+TEST(AdmTest, TimelyFirstTokensDoNotDecreaseWithLoad)
 {
 	int before = 0;
 	for (double load : {0.7, 1.0, 1.5, 3.0}) {
@@ -149,7 +149,7 @@
 	}
 }
 
-TEST(AdmTest, WhoIsAdmitted)
+TEST(AdmTest, AdmissionDependsOnWaitLatenessAndUrgency)
 {
 	const struct {
 		const char *name;
@@ -159,20 +159,20 @@
 		double less_urgent;
 		bool admitted;
 	} cases[] = {
-		{"nobody waits", 14, 0, {0, 0}, 0, true},
+		{"no request waits", 14, 0, {0, 0}, 0, true},
 		{"a host that has just started", 0, 5000 * MS, {2, 900 * MS}, 0, true},
-		{"a crowd that came at once", 1, 0, {40, 50 * MS}, 0, true},
-		{"late ones, for a moment", 14, 1000 * MS, {20, 900 * MS}, 0, true},
-		{"late ones, for an account that uses much",
+		{"a burst of requests", 1, 0, {40, 50 * MS}, 0, true},
+		{"late first tokens for one second", 14, 1000 * MS, {20, 900 * MS}, 0, true},
+		{"late first tokens for one second, least urgent request",
 		 14,
 		 1000 * MS,
 		 {20, 900 * MS},
 		 1,
 		 false},
-		{"more than callers wait for", 14, 1000 * MS, {40, 900 * MS}, 0, false},
-		{"late ones for seconds", 14, 3000 * MS, {20, 900 * MS}, 0, false},
-		{"a queue that is nearly gone", 14, 3000 * MS, {5, 400 * MS}, 0, true},
-		{"engines that begin nothing", 0, 700 * MS, {6, 700 * MS}, 0, false},
+		{"expected wait longer than callers wait", 14, 1000 * MS, {40, 900 * MS}, 0, false},
+		{"late first tokens for three seconds", 14, 3000 * MS, {20, 900 * MS}, 0, false},
+		{"a queue that is nearly drained", 14, 3000 * MS, {5, 400 * MS}, 0, true},
+		{"engines that begin no requests", 0, 700 * MS, {6, 700 * MS}, 0, false},
 	};
 	for (const auto &c : cases) {
 		int64_t now = 10000 * MS;
@@ -187,7 +187,7 @@
  * requests arrive all at once; a host without timely requests since its start must not treat them
  * as a persistent queue.
  */
-TEST(AdmTest, AStartIsNoQueue)
+TEST(AdmTest, AStartingHostDoesNotEnterStrictMode)
 {
 	adm a;
 	adm_init(&a, 100000 * MS);
@@ -198,7 +198,7 @@
 	EXPECT_FALSE(a.strict);
 }
 
-TEST(AdmTest, ThoseRefusedComeBackSpread)
+TEST(AdmTest, RetryDelaysOfRefusedCallersAreSpread)
 {
 	EXPECT_GE(adm_retry_delay_us(0), 1000 * MS);
 	EXPECT_GE(adm_retry_delay_us(1) - adm_retry_delay_us(0), 2000 * MS);
--- a/back/back_test.cc
+++ b/back/back_test.cc
@@ -11,7 +11,7 @@
 constexpr int64_t MS = 1000;
 constexpr int64_t SEC = 1000 * MS;
 
-TEST(BackTest, BadLuckComesBackSoon)
+TEST(BackTest, ARareRefusalGetsTheShortDelay)
 {
 	bk b{};
 	uint32_t seed = 1;
@@ -21,7 +21,7 @@
 	EXPECT_EQ(bk_retry_delay_us(&b, 20 * SEC, SEC, &seed), 300 * MS);
 }
 
-TEST(BackTest, WithoutRoomCallersAreSpread)
+TEST(BackTest, DelaysAreSpreadWhileCapacityIsMissing)
 {
 	bk b{};
 	uint32_t seed = 1;
@@ -39,7 +39,7 @@
 }
 
 /* Callers ignore a retry delay of more than a third of the time that they have left. */
-TEST(BackTest, NeverLaterThanCallersHeed)
+TEST(BackTest, TheDelayIsAtMostAThirdOfTheTimeLeft)
 {
 	bk b{};
 	uint32_t seed = 1;
@@ -94,7 +94,7 @@
 	return served;
 }
 
-TEST(BackTest, MoreAreServedAfterALossOfRoom)
+TEST(BackTest, SpreadRetriesServeMoreRequestsAfterALossOfCapacity)
 {
 	int served_at_once = CountServed(false), served_spread = CountServed(true);
 	RecordProperty("at_once", served_at_once);
@@ -108,7 +108,7 @@
  * store is unavailable; callers with 20 s left were refused 0.3 s before the host had its
  * configuration, and callers with 1.5 s left waited 1 s and had no time for a retry.
  */
-TEST(BackTest, HowLongARequestWaitsForAConfiguration)
+TEST(BackTest, TheWaitForAConfigurationDependsOnTheDeadline)
 {
 	const struct {
 		int64_t deadline_ms, wait_ms;
--- a/bud/bud.c
+++ b/bud/bud.c
@@ -18,7 +18,7 @@
 static void bud_reset_slot(struct bud *bud, int64_t slot)
 {
 	bud->requests[slot % BUD_SLOTS] = 0;
-	bud->repeats[slot % BUD_SLOTS] = 0;
+	bud->retries[slot % BUD_SLOTS] = 0;
 	bud->hosts[slot % BUD_SLOTS] = bud->limits.hosts;
 }
 
@@ -87,22 +87,22 @@
 double bud_retries_left(struct bud *bud, int64_t now_us)
 {
 	double requests = 0;
-	double repeats = 0;
+	double retries = 0;
 	double allowed;
 
 	bud_advance_slots(bud, now_us);
 	for (int i = 0; i < BUD_SLOTS; i++) {
 		requests += bud->requests[i];
-		repeats += bud->repeats[i];
+		retries += bud->retries[i];
 	}
 	allowed = bud->limits.ratio * requests + bud_fixed_share(bud, now_us);
-	return MAX(allowed * bud_safety_factor - repeats, 0);
+	return MAX(allowed * bud_safety_factor - retries, 0);
 }
 
 bool bud_charge_retry(struct bud *bud, int64_t now_us)
 {
 	if (bud_retries_left(bud, now_us) < 1)
 		return false;
-	bud->repeats[bud->slot % BUD_SLOTS]++;
+	bud->retries[bud->slot % BUD_SLOTS]++;
 	return true;
 }
--- a/bud/bud.h
+++ b/bud/bud.h
@@ -27,7 +27,7 @@
 };
 
 struct bud_limits {
-	/* Retries allowed for each request. */
+	/* Number of retries allowed for each request, which may be below 1. */
 	double ratio;
 	/* Additional retries allowed in each window, over all hosts. */
 	double fixed;
@@ -48,7 +48,7 @@
 	/* Number of requests in each slot. */
 	uint32_t requests[BUD_SLOTS];
 	/* Number of retries in each slot. */
-	uint32_t repeats[BUD_SLOTS];
+	uint32_t retries[BUD_SLOTS];
 	/* Highest number of hosts that shared the fixed number in each slot. */
 	int hosts[BUD_SLOTS];
 };
--- a/bud/bud_test.cc
+++ b/bud/bud_test.cc
@@ -43,11 +43,11 @@
 	return charged;
 }
 
-int Sum(const std::vector<int> &repeats, int from)
+int Sum(const std::vector<int> &retries, int from)
 {
 	int sum = 0;
 	for (int i = from; i < from + 10; i++)
-		sum += repeats[i];
+		sum += retries[i];
 	return sum;
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-TEST(BudTest, GrowsWithRequestsAndComesBackWithTime)
+TEST(BudTest, TheBudgetGrowsWithRequestsAndIsRestoredByNewOnes)
 {
 	bud b;
 	bud_limits limits = {0.2, 0, 10 * SEC, 1, 0};
@@ -81,7 +81,7 @@
 	EXPECT_EQ(ChargeRetries(&b, 1000, 12 * SEC), 16);
 }
 
-TEST(BudTest, Rate)
+TEST(BudTest, RequestRateIsMeasuredOverTheWindow)
 {
 	bud b;
 	bud_limits limits = {0.2, 0, 10 * SEC, 1, 0};
@@ -97,12 +97,12 @@
  * All requests of seven hosts fail for 30 s and are retried. In any 10 s, all hosts together may
  * send a fifth of the requests plus 198 retries.
  */
-TEST(BudTest, SevenHostsTogetherKeepToTheBoundInAnyWindow)
+TEST(BudTest, SevenHostsStayWithinTheBudgetInAnyWindow)
 {
 	const int hosts = 7, per_s = 13, seconds = 30;
 	bud b[hosts];
 	bud_limits limits = {0.2, 198, 10 * SEC, hosts, 0};
-	std::vector<int> repeats(seconds, 0);
+	std::vector<int> retries(seconds, 0);
 
 	for (auto &host_bud : b)
 		bud_init(&host_bud, &limits);
@@ -111,14 +111,14 @@
 			for (int i = 0; i < per_s; i++) {
 				int64_t now = s * SEC + i * SEC / per_s;
 				bud_on_request(&host_bud, now);
-				repeats[s] += bud_charge_retry(&host_bud, now);
+				retries[s] += bud_charge_retry(&host_bud, now);
 			}
 		}
 	}
 	for (int s = 0; s + 10 <= seconds; s++) {
 		int sum = 0;
 		for (int i = s; i < s + 10; i++)
-			sum += repeats[i];
+			sum += retries[i];
 		EXPECT_LE(sum, 0.2 * hosts * per_s * 10 + 198) << s;
 	}
 }
@@ -128,7 +128,7 @@
  * An engine is lost and all hosts use their shares of the fixed number. All hosts lose power,
  * restart within the window and use their shares again, because the retries are counted in memory.
  */
-TEST(BudTest, StartsOfAllHostsInsideAWindowKeepToTheBound)
+TEST(BudTest, RestartsOfAllHostsInAWindowStayWithinTheBudget)
 {
 	const struct {
 		const char *what;
@@ -138,7 +138,7 @@
 
 	for (const auto &c : cases) {
 		bud b[hosts];
-		std::vector<int> repeats(seconds, 0);
+		std::vector<int> retries(seconds, 0);
 
 		for (int s = 0; s < seconds; s++) {
 			bool starts = s == c.starts[0] || s == c.starts[1];
@@ -147,11 +147,11 @@
 				if (s == 0 || starts)
 					StartHost(&host_bud, hosts,
 						  s == 0 ? 0 : s * SEC + 10 * SEC);
-				repeats[s] += RetryForOneSecond(&host_bud, per_s, s);
+				retries[s] += RetryForOneSecond(&host_bud, per_s, s);
 			}
 		}
 		for (int s = 0; s + 10 <= seconds; s++)
-			EXPECT_LE(Sum(repeats, s), 0.2 * hosts * per_s * 10 + 198)
+			EXPECT_LE(Sum(retries, s), 0.2 * hosts * per_s * 10 + 198)
 				<< c.what << " " << s;
 	}
 }
@@ -162,7 +162,7 @@
  * window still contains the retries of the previous shares. The shares must be computed from the
  * highest number of hosts within the window.
  */
-TEST(BudTest, HostsThatComeAndGoInsideAWindowKeepToTheBound)
+TEST(BudTest, ChangesOfTheNumberOfHostsInAWindowStayWithinTheBudget)
 {
 	const struct {
 		int before, after, at;
@@ -172,7 +172,7 @@
 
 	for (const auto &c : cases) {
 		std::vector<bud> b(MAX(c.before, c.after));
-		std::vector<int> repeats(seconds, 0);
+		std::vector<int> retries(seconds, 0);
 		double requests = 0.2 * MAX(c.before, c.after) * per_s * 10;
 
 		for (int s = 0; s < seconds; s++) {
@@ -183,16 +183,16 @@
 					StartHost(&b[i], now, s == 0 ? 0 : s * SEC + 10 * SEC,
 						  fixed);
 				SetHosts(&b[i], now, s * SEC, fixed);
-				repeats[s] += RetryForOneSecond(&b[i], per_s, s);
+				retries[s] += RetryForOneSecond(&b[i], per_s, s);
 			}
 		}
 		for (int s = 0; s + 10 <= seconds; s++)
-			EXPECT_LE(Sum(repeats, s), requests + fixed)
+			EXPECT_LE(Sum(retries, s), requests + fixed)
 				<< c.before << " " << c.after << " " << s;
 	}
 }
 
-TEST(BudTest, TheFixedNumberComesAWindowAfterAStart)
+TEST(BudTest, AHostHasNoShareOfTheFixedNumberBeforeItsTime)
 {
 	const struct {
 		int64_t fixed_from, now;
--- a/lim/home.h
+++ b/lim/home.h
@@ -12,10 +12,11 @@
  * permits to the home. This module does no I/O.
  *
  * In any time T the endpoint receives at most the number of requests that the limit allows in T
- * plus the time for which a permit may be on its way and kept, plus the saved permits: those of
- * half a second, or one permit.
+ * plus the time for which a permit may be on its way and kept, plus the saved permits: at
+ * most those of half a second, or one permit if that is more.
  */
 struct lim_home {
+	/* Newest statement of the endpoint about its limit. */
 	struct lim_notice news;
 	/* Number of permits that may be granted now, including fractions. */
 	double saved;
--- a/lim/lim_sim_test.cc
+++ b/lim/lim_sim_test.cc
@@ -62,7 +62,7 @@
 };
 
 struct Host {
-	lim_permits part;
+	lim_permits held;
 	int64_t last_request = 0; /* Time of the last request for permits. */
 	/* Arrival times of the last messages, since a connection keeps their order. */
 	int64_t last_sent = 0;
@@ -87,18 +87,18 @@
 	Simulation(Method method, const Scenario &scenario, uint32_t seed)
 		: method_(method), scenario_(scenario), seed_(seed)
 	{
-		const lim_notice news = {true, scenario.limit, 1};
+		const lim_notice notice = {true, scenario.limit, 1};
 
 		lim_home_init(&home_, 0);
-		lim_home_set_limit(&home_, &news, 0);
+		lim_home_set_limit(&home_, &notice, 0);
 		lim_members_init(&members_);
 		hosts_.resize((size_t)scenario.hosts);
 		GPtrArray *names = g_ptr_array_new();
 		for (int i = 0; i < scenario.hosts; i++) {
 			names_.push_back("host-" + std::to_string(i));
 			number_[names_.back()] = i;
-			memset(&hosts_[(size_t)i].part, 0, sizeof(lim_permits));
-			lim_permits_update_limit(&hosts_[(size_t)i].part, &news);
+			memset(&hosts_[(size_t)i].held, 0, sizeof(lim_permits));
+			lim_permits_update_limit(&hosts_[(size_t)i].held, &notice);
 			/* Hosts must not save their first request all at the same time. */
 			hosts_[(size_t)i].saved = rnd_unit(&seed_);
 		}
@@ -156,7 +156,7 @@
 		/* Host 0 is the home; its loss is covered by another test. */
 		int i = 1 + (int)(rnd_unit(&seed_) * (scenario_.hosts - 1));
 		At(i).down_until = now_ + 2 * SECOND;
-		At(i).part.permits = At(i).part.returned = At(i).part.wanted = 0;
+		At(i).held.permits = At(i).held.returned = At(i).held.wanted = 0;
 		At(i).waiting.clear();
 		At(i).known_home_time = 0;
 		lim_home_remove_host(&home_, names_[(size_t)i].c_str());
@@ -217,14 +217,14 @@
 		}
 		host.known_home_time = std::max(host.known_home_time, m.stamp);
 		if (m.permits > 0)
-			lim_permits_add(&host.part, m.permits, host.last_request, now_);
+			lim_permits_add(&host.held, m.permits, host.last_request, now_);
 	}
 	bool UsePermit(Host &host)
 	{
 		if (method_ == PERMITS) {
-			if (!lim_permits_may_send(&host.part, now_))
+			if (!lim_permits_may_send(&host.held, now_))
 				return false;
-			lim_permits_use(&host.part, now_);
+			lim_permits_use(&host.held, now_);
 		} else {
 			if (host.saved < 1)
 				return false;
@@ -248,7 +248,7 @@
 		while (!host.waiting.empty() && now_ - host.waiting[0] > PERMIT_WAIT_MAX)
 			host.waiting.erase(host.waiting.begin());
 		if (rnd_unit(&seed_) < Rate(i) * STEP / 1e6) {
-			host.part.wanted++;
+			host.held.wanted++;
 			host.demand++;
 			if (!UsePermit(host) && host.waiting.size() < 2)
 				host.waiting.push_back(now_);
@@ -269,14 +269,14 @@
 			Send({0, i, true, (int)(host.demand * 100), 0, 0, 0, 0}, host.last_sent);
 			return;
 		}
-		lim_permits_may_send(&host.part, now_);
-		bool due = host.part.wanted > 0 || host.part.returned > 0;
+		lim_permits_may_send(&host.held, now_);
+		bool due = host.held.wanted > 0 || host.held.returned > 0;
 		if (now_ - host.last_request < (due ? REQUEST_INTERVAL_MIN : SECOND))
 			return;
 		host.last_request = now_;
-		Send({0, i, true, host.part.wanted, host.part.returned, 0, host.known_home_time, 0},
+		Send({0, i, true, host.held.wanted, host.held.returned, 0, host.known_home_time, 0},
 		     host.last_sent);
-		host.part.wanted = host.part.returned = 0;
+		host.held.wanted = host.held.returned = 0;
 	}
 	Result Measure() const
 	{
@@ -324,10 +324,10 @@
 {
 };
 
-TEST_P(LimitOverHosts, IsKeptAndUsed)
+TEST_P(LimitOverHosts, RequestsStayWithinTheLimitAndUseIt)
 {
 	const Scenario scenario = GetParam();
-	const char *methods[] = {"permits", "equal parts", "parts by need"};
+	const char *methods[] = {"permits", "equal parts", "by demand"};
 	Result results[3];
 
 	for (int method = PERMITS; method <= DEMAND_PARTS; method++) {
--- a/lim/lim_test.cc
+++ b/lim/lim_test.cc
@@ -15,12 +15,12 @@
 const int64_t MS = 1000;
 const int64_t SECOND = 1000 * MS;
 
-TEST(LimPartTest, TheNewestWordHolds)
+TEST(LimPermitsTest, TheNewestStatementOfTheLimitApplies)
 {
 	const struct {
 		const char *name;
-		lim_notice before, news;
-		bool is_news, named;
+		lim_notice before, notice;
+		bool changes, named;
 		double rate;
 	} cases[] = {
 		{"first", {false, 0, 0}, {true, 3, 10}, true, true, 3},
@@ -30,72 +30,72 @@
 		{"older", {true, 3, 10}, {true, 4, 9}, false, true, 3},
 		{"lifted", {true, 3, 10}, {false, 0, 20}, true, false, 3},
 		{"lifted, older", {true, 3, 10}, {false, 0, 9}, false, true, 3},
-		{"lifted, never named", {false, 0, 0}, {false, 0, 20}, false, false, 0},
+		{"lifted, never stated", {false, 0, 0}, {false, 0, 20}, false, false, 0},
 		{"lifted twice", {false, 3, 10}, {false, 0, 20}, false, false, 3},
-		{"named again", {false, 3, 10}, {true, 3, 20}, true, true, 3},
+		{"stated again", {false, 3, 10}, {true, 3, 20}, true, true, 3},
 		{"zero", {true, 3, 10}, {true, 0, 20}, true, true, 0},
 	};
 	for (const auto &c : cases) {
-		lim_permits part{};
-		part.news = c.before;
-		EXPECT_EQ(lim_permits_update_limit(&part, &c.news), c.is_news) << c.name;
-		EXPECT_EQ(part.news.named, c.named) << c.name;
-		EXPECT_DOUBLE_EQ(part.news.rate, c.rate) << c.name;
+		lim_permits held{};
+		held.news = c.before;
+		EXPECT_EQ(lim_permits_update_limit(&held, &c.notice), c.changes) << c.name;
+		EXPECT_EQ(held.news.named, c.named) << c.name;
+		EXPECT_DOUBLE_EQ(held.news.rate, c.rate) << c.name;
 	}
 }
 
-TEST(LimPartTest, NobodyIsSentToWithoutAPermit)
+TEST(LimPermitsTest, NoRequestIsSentToALimitedEndpointWithoutAPermit)
 {
-	const lim_notice news = {true, 2.9, SECOND};
-	lim_permits part{};
+	const lim_notice notice = {true, 2.9, SECOND};
+	lim_permits held{};
 	int64_t now = SECOND;
 
-	EXPECT_TRUE(lim_permits_may_send(&part, now));
-	lim_permits_update_limit(&part, &news);
-	EXPECT_FALSE(lim_permits_may_send(&part, now));
-	lim_permits_add(&part, 1, now, now);
-	EXPECT_TRUE(lim_permits_may_send(&part, now));
-	lim_permits_use(&part, now);
-	EXPECT_FALSE(lim_permits_may_send(&part, now));
-	EXPECT_EQ(part.returned, 0);
+	EXPECT_TRUE(lim_permits_may_send(&held, now));
+	lim_permits_update_limit(&held, &notice);
+	EXPECT_FALSE(lim_permits_may_send(&held, now));
+	lim_permits_add(&held, 1, now, now);
+	EXPECT_TRUE(lim_permits_may_send(&held, now));
+	lim_permits_use(&held, now);
+	EXPECT_FALSE(lim_permits_may_send(&held, now));
+	EXPECT_EQ(held.returned, 0);
 }
 
-TEST(LimPartTest, PermitsBecomeVoidAndAreGivenBack)
+TEST(LimPermitsTest, ExpiredPermitsAreReturned)
 {
-	const lim_notice news = {true, 2.9, 1};
-	lim_permits part{};
+	const lim_notice notice = {true, 2.9, 1};
+	lim_permits held{};
 	int64_t now = SECOND;
 
-	lim_permits_update_limit(&part, &news);
-	lim_permits_add(&part, 2, now, now);
-	EXPECT_FALSE(lim_permits_may_send(&part, now + 500 * MS));
-	EXPECT_EQ(part.returned, 2);
+	lim_permits_update_limit(&held, &notice);
+	lim_permits_add(&held, 2, now, now);
+	EXPECT_FALSE(lim_permits_may_send(&held, now + 500 * MS));
+	EXPECT_EQ(held.returned, 2);
 	/* Repeated grants must not extend the validity of older permits without bound. */
 	for (int i = 0; i < 5; i++)
-		lim_permits_add(&part, 1, now + i * 300 * MS, now + i * 300 * MS);
-	EXPECT_LE(part.permits, 4);
-	EXPECT_GE(part.returned, 3);
+		lim_permits_add(&held, 1, now + i * 300 * MS, now + i * 300 * MS);
+	EXPECT_LE(held.permits, 4);
+	EXPECT_GE(held.returned, 3);
 	/* A permit that arrives after seconds is counted as expired. */
-	int returned = part.returned;
-	lim_permits_may_send(&part, now + 10 * SECOND);
-	lim_permits_add(&part, 1, now, now + 10 * SECOND);
-	EXPECT_FALSE(lim_permits_may_send(&part, now + 10 * SECOND));
-	EXPECT_GT(part.returned, returned);
+	int returned = held.returned;
+	lim_permits_may_send(&held, now + 10 * SECOND);
+	lim_permits_add(&held, 1, now, now + 10 * SECOND);
+	EXPECT_FALSE(lim_permits_may_send(&held, now + 10 * SECOND));
+	EXPECT_GT(held.returned, returned);
 }
 
-TEST(LimPartTest, ALimitThatIsLiftedGrowsBeforeItIsForgotten)
+TEST(LimPermitsTest, ALiftedLimitGrowsBeforeItEnds)
 {
 	const lim_notice named = {true, 2, SECOND};
 	const lim_notice lifted = {false, 0, 2 * SECOND};
-	lim_permits part{};
-
-	lim_permits_update_limit(&part, &named);
-	lim_permits_update_limit(&part, &lifted);
-	EXPECT_FALSE(lim_permits_may_send(&part, 2 * SECOND));
-	EXPECT_DOUBLE_EQ(lim_current_rate(&part.news, 2 * SECOND), 2);
-	EXPECT_DOUBLE_EQ(lim_current_rate(&part.news, 3 * SECOND), 8);
-	EXPECT_FALSE(lim_permits_may_send(&part, 5 * SECOND));
-	EXPECT_TRUE(lim_permits_may_send(&part, 6 * SECOND));
+	lim_permits held{};
+
+	lim_permits_update_limit(&held, &named);
+	lim_permits_update_limit(&held, &lifted);
+	EXPECT_FALSE(lim_permits_may_send(&held, 2 * SECOND));
+	EXPECT_DOUBLE_EQ(lim_current_rate(&held.news, 2 * SECOND), 2);
+	EXPECT_DOUBLE_EQ(lim_current_rate(&held.news, 3 * SECOND), 8);
+	EXPECT_FALSE(lim_permits_may_send(&held, 5 * SECOND));
+	EXPECT_TRUE(lim_permits_may_send(&held, 6 * SECOND));
 }
 
 /*
@@ -129,7 +129,7 @@
 	return sum;
 }
 
-TEST(LimHomeTest, WhatIsGivenIsTheLimit)
+TEST(LimHomeTest, GrantedPermitsMatchTheLimit)
 {
 	const struct {
 		double rate, part;
@@ -140,11 +140,11 @@
 		{40, 1, 3900, 4020}, {2.9, 0, 0, 1},
 	};
 	for (const auto &c : cases) {
-		const lim_notice news = {true, c.rate, 1};
+		const lim_notice notice = {true, c.rate, 1};
 		lim_home home;
 
 		lim_home_init(&home, 0);
-		lim_home_set_limit(&home, &news, 0);
+		lim_home_set_limit(&home, &notice, 0);
 		int granted = Sum(GrantAll(&home, 0, 100 * SECOND, c.part, {{"a", 10}, {"b", 10}}));
 		EXPECT_GE(granted, c.least) << c.rate << " " << c.part;
 		EXPECT_LE(granted, c.most) << c.rate << " " << c.part;
@@ -152,13 +152,13 @@
 	}
 }
 
-TEST(LimHomeTest, HostsGetByNeed)
+TEST(LimHomeTest, HostsGetPermitsInProportionToDemand)
 {
-	const lim_notice news = {true, 12, 1};
+	const lim_notice notice = {true, 12, 1};
 	lim_home home;
 
 	lim_home_init(&home, 0);
-	lim_home_set_limit(&home, &news, 0);
+	lim_home_set_limit(&home, &notice, 0);
 	auto granted = GrantAll(&home, 0, 60 * SECOND, 1, {{"a", 20}, {"b", 10}, {"c", 0}});
 	EXPECT_EQ(granted["c"], 0);
 	EXPECT_NEAR((double)granted["a"] / granted["b"], 2, 0.2);
@@ -170,7 +170,7 @@
 	lim_home_finish(&home);
 }
 
-TEST(LimHomeTest, NothingIsSavedUpForLong)
+TEST(LimHomeTest, SavedPermitsAreBounded)
 {
 	const lim_notice high = {true, 40, 1};
 	const lim_notice low = {true, 2, 2};
@@ -186,14 +186,14 @@
 	lim_home_finish(&home);
 }
 
-TEST(LimHomeTest, WhatHostsGiveBackIsGivenAgain)
+TEST(LimHomeTest, ReturnedPermitsAreGrantedAgain)
 {
-	const lim_notice news = {true, 1, 1};
+	const lim_notice notice = {true, 1, 1};
 	lim_home home;
 	int granted = 0;
 
 	lim_home_init(&home, 0);
-	lim_home_set_limit(&home, &news, 0);
+	lim_home_set_limit(&home, &notice, 0);
 	for (int64_t now = 0; now < 10 * SECOND; now += 100 * MS) {
 		lim_home_report_demand(&home, "a", 1, 0, now);
 		while (lim_home_grant_next(&home, 1, now)) {
@@ -247,7 +247,7 @@
 	std::vector<lim_members> members_;
 };
 
-TEST(LimMembersTest, HomesThatSplitTheHostsSplitTheLimit)
+TEST(LimMembersTest, PartsOfTwoHomesAddUpToTheLimitUntilReclaimed)
 {
 	const struct {
 		int n, first; /* Number of all hosts, and of those that use the first home. */
@@ -273,7 +273,7 @@
 	}
 }
 
-TEST(LimMembersTest, APartThatNobodyHoldsComesBack)
+TEST(LimMembersTest, ThePartOfStoppedHostsIsReclaimed)
 {
 	Homes homes(7, 1, SECOND);
 
@@ -295,7 +295,7 @@
 	EXPECT_DOUBLE_EQ(homes.Part(0, 20 * SECOND), 1);
 }
 
-TEST(LimMembersTest, AHomeThatKnowsNoHostsDividesNothing)
+TEST(LimMembersTest, AHomeWithoutAListOfHostsGrantsNothing)
 {
 	lim_members members;
 
@@ -305,7 +305,7 @@
 	lim_members_finish(&members);
 }
 
-TEST(LimMembersTest, AHostThatChangesItsHomeCountsOnce)
+TEST(LimMembersTest, AHostThatChangesItsHomeIsCountedAtOneHome)
 {
 	Homes homes(4, 2, SECOND);
 	int64_t now = SECOND;
@@ -318,7 +318,7 @@
 	EXPECT_LE(homes.Part(0, now) + homes.Part(1, now), 1);
 }
 
-TEST(LimFairTest, WhoHasUsedLessGoesFirst)
+TEST(LimFairTest, AnAccountWaitsForAnotherThatUsedFewerPermits)
 {
 	lim_fair fair;
 	int64_t now = SECOND;
@@ -327,16 +327,16 @@
 	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now));
 	for (int i = 0; i < 5; i++)
 		lim_fair_count_permit(&fair, "flood", now);
-	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now)) << "no one else needs one";
+	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now)) << "no account waits";
 	lim_fair_count_shortage(&fair, "small", now);
 	EXPECT_FALSE(lim_fair_may_use_permit(&fair, "flood", now));
 	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "small", now));
 	EXPECT_TRUE(lim_fair_may_use_permit(&fair, "flood", now + SECOND))
-		<< "the other one is gone";
+		<< "the other account needs no permit any more";
 	lim_fair_finish(&fair);
 }
 
-TEST(LimFairTest, AFloodGetsNoMoreThanItsPortion)
+TEST(LimFairTest, AFloodingAccountGetsOnlyAnEqualShare)
 {
 	std::map<std::string, int> got;
 	lim_fair fair;
@@ -363,18 +363,18 @@
 	lim_fair_finish(&fair);
 }
 
-TEST(LimTurnTest, CallersAreToldTurnsAsFarApartAsTheLimitsAllow)
+TEST(LimRetryTest, RetryDelaysAreSpacedAtTheRateOfTheLimits)
 {
-	lim_retry turn{};
+	lim_retry retry{};
 	const int64_t now = 10 * SECOND;
 
-	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 500 * MS);
-	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), SECOND);
-	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 1500 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&retry, 2, 6 * SECOND, now), 500 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&retry, 2, 6 * SECOND, now), SECOND);
+	EXPECT_EQ(lim_retry_delay_us(&retry, 2, 6 * SECOND, now), 1500 * MS);
 	for (int i = 0; i < 100; i++)
-		EXPECT_LE(lim_retry_delay_us(&turn, 2, 6 * SECOND, now), 6 * SECOND);
-	EXPECT_EQ(lim_retry_delay_us(&turn, 2, 450 * MS, now + 60 * SECOND), 450 * MS);
-	EXPECT_EQ(lim_retry_delay_us(&turn, 0, SECOND, now + 90 * SECOND), SECOND);
+		EXPECT_LE(lim_retry_delay_us(&retry, 2, 6 * SECOND, now), 6 * SECOND);
+	EXPECT_EQ(lim_retry_delay_us(&retry, 2, 450 * MS, now + 60 * SECOND), 450 * MS);
+	EXPECT_EQ(lim_retry_delay_us(&retry, 0, SECOND, now + 90 * SECOND), SECOND);
 }
 
 } // namespace
--- a/lim/members.c
+++ b/lim/members.c
@@ -54,13 +54,13 @@
 	g_hash_table_destroy(listed);
 }
 
-void lim_members_renew_lease(struct lim_members *members, const char *name, int64_t heard_us)
+void lim_members_renew_lease(struct lim_members *members, const char *name, int64_t message_sent_us)
 {
 	struct lim_member *member = g_hash_table_lookup(members->hosts, name);
 
 	if (!member)
-		member = lim_members_add(members, name, heard_us);
-	member->lease_end_us = MAX(member->lease_end_us, heard_us + LIM_LEASE_US);
+		member = lim_members_add(members, name, message_sent_us);
+	member->lease_end_us = MAX(member->lease_end_us, message_sent_us + LIM_LEASE_US);
 }
 
 void lim_members_end_lease(struct lim_members *members, const char *name)
--- a/lim/members.h
+++ b/lim/members.h
@@ -46,10 +46,11 @@
 void lim_members_set_hosts(struct lim_members *members, const GPtrArray *names, int64_t now_us);
 
 /*
- * Renews the lease of a host that requested permits. heard_us is the time by the clock of this
- * home at which it sent the newest message that the host has received.
+ * Renews the lease of a host that requested permits. message_sent_us is the time by the clock of
+ * this home at which it sent the newest message that the host has received.
  */
-void lim_members_renew_lease(struct lim_members *members, const char *name, int64_t heard_us);
+void lim_members_renew_lease(struct lim_members *members, const char *name,
+			     int64_t message_sent_us);
 
 /* Ends the lease of a host. */
 void lim_members_end_lease(struct lim_members *members, const char *name);
--- a/lim/retry.h
+++ b/lim/retry.h
@@ -18,9 +18,10 @@
 
 /*
  * Returns the retry delay of the next caller in microseconds. rate is the number of requests per
- * second that the limits allow this host, most_us the longest delay that the caller obeys.
+ * second that the limits allow this host, max_delay_us the longest delay that the caller obeys.
  */
-int64_t lim_retry_delay_us(struct lim_retry *retry, double rate, int64_t most_us, int64_t now_us);
+int64_t lim_retry_delay_us(struct lim_retry *retry, double rate, int64_t max_delay_us,
+			   int64_t now_us);
 
 G_END_DECLS
 
--- a/share/share_test.cc
+++ b/share/share_test.cc
@@ -37,7 +37,7 @@
  * Ten accounts send two requests a second each; another one sends thirty times that rate for 20 s.
  * Only the flooding account must get a lower urgency, and it must recover after the flood.
  */
-TEST_F(ShareTest, AFloodOfOneAccountStandsBack)
+TEST_F(ShareTest, AFloodLowersOnlyTheUrgencyOfItsAccount)
 {
 	int flood = 0, others = 0;
 	int64_t now = 0;
@@ -53,14 +53,14 @@
 	EXPECT_EQ(Charge("flood", now), 4);
 }
 
-TEST_F(ShareTest, PriorityCounts)
+TEST_F(ShareTest, UrgencyFollowsThePriority)
 {
 	EXPECT_EQ(Charge("a", 0, 0), 3);
 	EXPECT_EQ(Charge("b", 0, 1), 4);
 	EXPECT_EQ(Charge("c", 0, 7), 5);
 }
 
-TEST_F(ShareTest, OneAccountAloneIsNotHeldBack)
+TEST_F(ShareTest, ASingleAccountKeepsItsUrgency)
 {
 	for (int i = 0; i < 300; i++)
 		EXPECT_EQ(Charge("a", i * 20 * MS), 4);
