--- a/adm/adm.h
+++ b/adm/adm.h
@@ -23,7 +23,7 @@
 	double begun;
 	/* Time to which the decay is applied, in microseconds. */
 	int64_t decayed_us;
-	/* Time at which a request last began in time, in microseconds. */
+	/* Time of the last first token that was timely (see target_us), in microseconds. */
 	int64_t last_timely_us;
 	/* Whether requests that would begin late are refused, because a queue has persisted. */
 	bool strict;
--- a/ep/ep.h
+++ b/ep/ep.h
@@ -71,7 +71,7 @@
 
 /* What is kept about an incarnation after it has announced that it leaves, or was removed. */
 struct ep_tombstone {
-	int64_t place;	   /* place of the removal in the store's log; 0 if it only leaves */
+	int64_t place;	   /* place of the removal in the store's log; 0 if not removed yet */
 	int64_t born_ms;   /* Unix time of the incarnation's start, in milliseconds */
 	int64_t heartbeat; /* latest known heartbeat number of the incarnation; 0 if none */
 	int64_t at_us;	   /* time at which this tombstone was created */
--- a/ep/penalty.h
+++ b/ep/penalty.h
@@ -17,7 +17,7 @@
 struct penalty {
 	double failures;    /* number of failures, decayed up to updated_us */
 	int64_t updated_us; /* time at which failures was last computed, in microseconds */
-	int passed_over; /* number of choices of another endpoint since the last choice of this */
+	int passed_over; /* number of choices of other endpoints since this one was last chosen */
 };
 
 enum {
--- a/ep/rest.h
+++ b/ep/rest.h
@@ -17,7 +17,7 @@
 struct rest_period {
 	int64_t until_us;     /* end of the rest; 0 if there was none, or its trial has ended */
 	int64_t send_from_us; /* time from which this host may send the trial request */
-	int64_t trial_us;     /* time at which the trial request was sent; 0 if it was not */
+	int64_t trial_us;     /* time at which the trial request was sent; 0 if none was sent */
 	int report_calls;     /* number of calls for reports and health checks during the rest */
 };
 
@@ -27,8 +27,9 @@
 };
 
 /*
- * The endpoint asked for a rest of for_us. spread: random part, 0 to 1, of REST_SPREAD_US by which
- * this host waits longer. Returns true if a rest begins, false if one is extended or unchanged.
+ * The endpoint asked for a rest of for_us. spread: random number from 0 to 1, the part of
+ * REST_SPREAD_US by which this host delays its trial request. Returns true if a rest begins, false
+ * if one is extended or unchanged.
  */
 bool rest_on_asked(struct rest_period *rest, int64_t for_us, int64_t now_us, double spread);
 
--- a/era/era.c
+++ b/era/era.c
@@ -47,17 +47,17 @@
 	return era_lower_bits(fence, ERA_GENERATION_BITS);
 }
 
-enum era_change era_update(struct era *era, int64_t told)
+enum era_change era_update(struct era *era, int64_t reported)
 {
 	bool first = !era->known;
 
-	if (told < 0 || told > ERA_MAX)
+	if (reported < 0 || reported > ERA_MAX)
 		return ERA_UNCHANGED;
-	if (!first && told < era->now)
+	if (!first && reported < era->now)
 		return ERA_OUTDATED;
-	if (!first && told == era->now)
+	if (!first && reported == era->now)
 		return ERA_UNCHANGED;
 	era->known = true;
-	era->now = told;
+	era->now = reported;
 	return first ? ERA_INITIAL : ERA_ADVANCED;
 }
--- a/era/era.h
+++ b/era/era.h
@@ -19,9 +19,9 @@
  * a later era are greater. Only this module composes and splits such numbers. It does no I/O.
  */
 enum {
-	ERA_OFFSET_BITS = 40,
-	ERA_GENERATION_BITS = 32,
-	/* A fencing number stays below 2^53, the limit for exact integers in JSON readers. */
+	ERA_OFFSET_BITS = 40,	  /* number of bits of the offset in a place */
+	ERA_GENERATION_BITS = 32, /* number of bits of the generation in a fencing number */
+	/* Highest era: fencing numbers stay below 2^53, the limit of exact integers in JSON. */
 	ERA_MAX = (1 << 21) - 1,
 	ERA_NONE = -1 /* an unknown place, fencing number or era */
 };
@@ -44,17 +44,17 @@
 
 /* How a reported era compares with the latest known one. */
 enum era_change {
-	ERA_UNCHANGED, /* the same, or no era was reported */
-	ERA_INITIAL,   /* the first one since the process started; existing data belong to it */
-	ERA_ADVANCED,  /* later: the store was restored from a copy, once or several times */
-	ERA_OUTDATED   /* earlier: the sender doesn't know of the restore yet */
+	ERA_UNCHANGED, /* the latest known era, or no era was reported */
+	ERA_INITIAL,   /* the first era since the process started; existing data belong to it */
+	ERA_ADVANCED,  /* a later era: the store was restored from a copy, once or several times */
+	ERA_OUTDATED   /* an earlier era: the sender doesn't know of the restore yet */
 };
 
 /*
- * Updates the latest known era with one that the store or another host reported. told: that era, or
- * ERA_NONE if the message contains none.
+ * Updates the latest known era with one that the store or another host reported. reported: that
+ * era, or ERA_NONE if the message contains none.
  */
-enum era_change era_update(struct era *era, int64_t told);
+enum era_change era_update(struct era *era, int64_t reported);
 
 G_END_DECLS
 
--- a/host/host.h
+++ b/host/host.h
@@ -34,8 +34,8 @@
 	bool leaving;		  /* whether the list or the configuration marks it as leaving */
 	bool listed_leaving;	  /* whether the list marks the host as leaving */
 	uint64_t seed;		  /* hash of the name */
-	int64_t suspect_until_us; /* time until which the host is no home, in microseconds */
-	int failures;		  /* failures in a row; more of them make suspicions longer */
+	int64_t suspect_until_us; /* time until which it isn't chosen as home, in microseconds */
+	int failures;		  /* number of failures in a row; each makes the suspicion longer */
 };
 
 /* Table of all hosts. */
--- a/lead/lead.h
+++ b/lead/lead.h
@@ -27,7 +27,7 @@
 	int64_t ttl_us;	       /* time to live of a lease in the store */
 	int64_t join_sent_us;  /* time at which the latest join was sent */
 	int64_t joined_us;     /* time at which the last answered join was sent; 0 if none */
-	int64_t wait_until_us; /* no orders before then: a lease from before a restore may last */
+	int64_t wait_until_us; /* time before which no order is sent, as an older lease may last */
 	int64_t fence;	       /* fencing number in the answer to the last join; -1 if none */
 	int64_t newest;	       /* highest fencing number known from any source; -1 if none */
 	int64_t refused_fence; /* highest fencing number that an engine refused; -1 if none */
--- a/path/hop.h
+++ b/path/hop.h
@@ -16,7 +16,7 @@
  */
 enum {
 	HOP_ZONES_MAX =
-		8, /* availability zones that are distinguished; later ones share a number */
+		8, /* maximum number of zones that are distinguished; later ones share a number */
 	HOP_PAIRS = HOP_ZONES_MAX * HOP_ZONES_MAX /* number of pairs of availability zones */
 };
 
@@ -44,7 +44,7 @@
 void hop_observe_pause(struct hop *hop, const struct hop_path *path, double pause_ms,
 		       int64_t now_us);
 
-/* Returns how many ms such a hop adds to the time of a token, besides the network's delay. */
+/* Returns the ms that a hop between two zones adds to a token besides the network's delay. */
 double hop_cost_ms(struct hop *hop, int zone_a, int zone_b, int64_t now_us);
 
 G_END_DECLS
--- a/path/path.h
+++ b/path/path.h
@@ -15,7 +15,7 @@
  * which decides between paths of similar cost.
  */
 enum {
-	PA_STAGES_MAX = 30 /* stages of a pipeline; engines accept up to 32 */
+	PA_STAGES_MAX = 30 /* maximum number of stages of a pipeline; engines accept up to 32 */
 };
 
 /* Errors. */
--- a/place/coverage.h
+++ b/place/coverage.h
@@ -13,8 +13,8 @@
  * are added and removed one by one, so that a search can try ranges for one node at little cost.
  */
 enum {
-	COV_ZONES_MAX = 32,  /* availability zones counted; further ones count as the first */
-	COV_LAYERS_MAX = 512 /* layers of a model; layers beyond that are not placed */
+	COV_ZONES_MAX = 32,  /* maximum number of availability zones; others count as the first */
+	COV_LAYERS_MAX = 512 /* maximum number of layers; layers beyond it are not placed */
 };
 
 /* Sums over the nodes that hold one layer. */
@@ -42,7 +42,7 @@
 	      const struct pl_node *nodes, int n);
 void cov_finish(struct coverage *coverage);
 
-/* Counts the node as a holder of the layers from..to-1, or no longer counts it there. */
+/* cov_add() counts the node as a holder of layers from..to-1; cov_remove() reverses that. */
 void cov_add(struct coverage *coverage, int node, int from, int to);
 void cov_remove(struct coverage *coverage, int node, int from, int to);
 
--- a/pool/pool.h
+++ b/pool/pool.h
@@ -80,9 +80,9 @@
 
 /* A pipeline granted to one attempt of a request. */
 struct pool_grant {
-	uint64_t id;
-	uint64_t entry;
-	uint64_t ask_id;
+	uint64_t id;	 /* number of the grant, unique at this home */
+	uint64_t entry;	 /* the caller's number for the entry's connection */
+	uint64_t ask_id; /* the entry's number for the request for this grant */
 	struct fair_account *account;
 	uint64_t tokens; /* estimated number of tokens */
 	struct pool_endpoint *stages[FLOW_STAGES_MAX];
@@ -113,15 +113,15 @@
 /* A path of the maximum flow for one version. */
 struct pool_path {
 	struct flow_path flow; /* its nodes are indices into the usable endpoints of the version */
-	struct pool_endpoint *stages[FLOW_STAGES_MAX];
-	const char *version;
+	struct pool_endpoint *stages[FLOW_STAGES_MAX]; /* endpoints of the path, in order */
+	const char *version;			       /* version of the model */
 	int64_t round_robin_credit; /* current weight in the smooth weighted round robin */
 	int inflight;		    /* requests in flight on exactly these stages */
 };
 
 struct pool {
-	char *name;
-	char *model;
+	char *name;	    /* name of the pool */
+	char *model;	    /* name of the model that its endpoints serve */
 	int layers;	    /* number of layers of the model; 0 if it is not configured */
 	int64_t activation; /* bytes that one token passes from stage to stage */
 	const struct pool_ops *ops;
--- a/req/code.h
+++ b/req/code.h
@@ -41,9 +41,9 @@
 };
 
 struct req_code_info {
-	const char *name; /* name of the code in responses, logs and metrics */
-	int status;	  /* HTTP status */
-	enum req_ran ran;
+	const char *name;     /* name of the code in responses, logs and metrics */
+	int status;	      /* HTTP status */
+	enum req_ran ran;     /* value of the header Bg-Ran */
 	const char *sentence; /* error message for the caller */
 };
 
--- a/req/req.h
+++ b/req/req.h
@@ -25,7 +25,7 @@
 	REQ_BACKOFF,	/* waits before it requests the next grant */
 	REQ_RESUMING,	/* tries to reattach to the run of a dispatched non-idempotent request */
 	REQ_JOINING,	/* waits for the answer of the entry host that runs the same key */
-	REQ_DONE
+	REQ_DONE	/* the request has ended */
 };
 
 /* Why a grant was refused. */
@@ -163,7 +163,7 @@
 	bool idempotent;
 	bool service;
 	int64_t deadline_us;
-	uint64_t seed; /* of the random numbers for backoff jitter */
+	uint64_t seed; /* seed of the random numbers for backoff jitter */
 };
 
 void req_budget_init(struct req_budget *budget, double burst, double per_request);
--- a/seam/seam.h
+++ b/seam/seam.h
@@ -66,7 +66,7 @@
 	char *culprit;	 /* address of the endpoint at fault; owned; NULL if not stated */
 	char *type;	 /* content type; owned; NULL if none */
 	GPtrArray *keep; /* headers to forward to the caller, names and values in turn; owned */
-	bool has_load;	 /* running and waiting are stated */
+	bool has_load;	 /* whether running and waiting are stated */
 	int running;	 /* number of requests that run at the endpoint */
 	int waiting;	 /* number of requests that wait at the endpoint */
 	enum seam_limit limit;
@@ -166,10 +166,11 @@
 
 /* Parsers for the configuration and the endpoints that the platform declares. */
 struct seam_decl {
-	/* Returns the configuration, or NULL with the reason in error; free with g_free(). */
+	/* Returns the configuration, or NULL with the reason in error, to be freed by g_free(). */
 	struct rt_conf *(*read_conf)(struct str text, char **error);
 
-	/* Returns the endpoint's record, or NULL with the reason in error; free with g_free(). */
+	/* Returns the endpoint's record, or NULL with the reason in error, to be freed by g_free().
+	 */
 	struct ep_rec *(*read_endpoint)(const char *id, struct str text, char **error);
 };
 
