--- a/ep/rest_sim_test.cc
+++ b/ep/rest_sim_test.cc
@@ -37,7 +37,7 @@
 
 enum Policy {
 	IGNORE, /* hosts ignore requests for rest */
-	OWN,	/* each host obeys those that it received itself */
+	OWN,	/* each host obeys the requests for rest that it received itself */
 	SHARED /* as OWN, and other hosts are notified and use the endpoint only as a last resort */
 };
 
--- a/lead/lead_era_test.cc
+++ b/lead/lead_era_test.cc
@@ -73,7 +73,7 @@
  */
 constexpr int HOSTS = 3;
 constexpr int TTL = 3;		 /* time to live of a lease, in ticks */
-constexpr int AGE_MAX = TTL + 1; /* largest age that is told apart, in ticks */
+constexpr int AGE_MAX = TTL + 1; /* largest age that is distinguished, in ticks */
 constexpr int NOBODY = HOSTS;
 constexpr int64_t NOW = 1000;
 
@@ -233,7 +233,7 @@
 struct Found {
 	size_t states = 0;
 	size_t several = 0;	/* number of states in which two or more hosts may send orders */
-	size_t one[2] = {0, 0}; /* number of hosts that may, over all states, by the host's era */
+	size_t one[2] = {0, 0}; /* hosts that may send orders, over all states, by era */
 };
 
 /* Without waits the search ends at the first state in which two hosts may send orders. */
--- a/lead/lead_test.cc
+++ b/lead/lead_test.cc
@@ -78,7 +78,7 @@
  * that the number of states is finite.
  */
 constexpr int TTL = 6;		  /* time to live of a lease, in ticks */
-constexpr int AGE_MAX = TTL + 2;  /* largest age that is told apart, in ticks */
+constexpr int AGE_MAX = TTL + 2;  /* largest age that is distinguished, in ticks */
 constexpr int JOIN_TICKS_MAX = 2; /* longest time that a join is on its way, in ticks */
 
 struct Message {
@@ -211,7 +211,7 @@
 struct Found {
 	size_t states = 0;
 	size_t both = 0; /* number of states in which both hosts may send orders */
-	size_t one = 0;	 /* number of states in which exactly one host may */
+	size_t one = 0;	 /* states in which exactly one host may send orders */
 };
 
 Found Search(bool from_answer)
--- a/once/once_test.cc
+++ b/once/once_test.cc
@@ -192,7 +192,7 @@
 TEST(Once, ClaimThatAppearsAfterAnUnavailableVerdictDoesNotRun)
 {
 	/*
-	 * Guards against running a claim that got the verdict "out" and appears in the log later.
+	 * Guards against running a claim that got ONCE_UNAVAILABLE and appears in the log later.
 	 * The append times out, the read does not show it, then the log applies it late. The entry
 	 * has not dispatched and never will; the next request for the key learns that from the
 	 * claim's entry and supersedes the claim.
