--- a/adm/adm_test.cc
+++ b/adm/adm_test.cc
@@ -54,7 +54,7 @@
 			refused_++;
 			if (may_retry)
 				retries_.push_back(
-					{now_ + adm_retry_delay_us(rnd_unit(&seed_)), arrived});
+					{now_ + adm_retry_delay_us(rnd_uniform(&seed_)), arrived});
 			return;
 		}
 		queue_.push_back({now_, arrived});
--- a/back/back.c
+++ b/back/back.c
@@ -74,7 +74,7 @@
 	    spread_end_us <= bk_spread_min_us)
 		return MIN(bk_short_delay_us, max_delay_us);
 	return bk_spread_min_us +
-	       (int64_t)((double)(spread_end_us - bk_spread_min_us) * rnd_unit(seed));
+	       (int64_t)((double)(spread_end_us - bk_spread_min_us) * rnd_uniform(seed));
 }
 
 int64_t bk_wait_max_us(int64_t deadline_ms)
--- a/base/addr.c
+++ b/base/addr.c
@@ -26,7 +26,7 @@
 	sin->sin_family = AF_INET;
 	if (inet_pton(AF_INET, ip, &sin->sin_addr) != 1)
 		return BASE_EADDR;
-	if (!str_to_u64(str_of(colon + 1), &port) || port > ADDR_PORT_MAX)
+	if (!str_to_u64(str_from_cstr(colon + 1), &port) || port > ADDR_PORT_MAX)
 		return BASE_EADDR;
 	sin->sin_port = htons((uint16_t)port);
 	return 0;
--- a/base/frm.c
+++ b/base/frm.c
@@ -26,7 +26,7 @@
 	const struct frm_ops *ops;
 	struct frm_limits limits;
 	void *ctx;
-	void *data;		   /* pointer stored by frm_set_data() */
+	void *data;		   /* pointer stored by frm_set_user_data() */
 	struct frm_server *server; /* server that accepted the connection; NULL: frm_connect() */
 	struct tmr heartbeat;	   /* next check of the connection */
 	GByteArray *in;		   /* received bytes that are not handled yet */
@@ -100,19 +100,19 @@
 	uint32_t n;
 	uint16_t k;
 
-	if (len < FRM_HEAD_LEN)
+	if (len < FRM_HEADER_LEN)
 		return 0;
 	memcpy(&n, data, sizeof(n));
 	memcpy(&k, data + sizeof(n), sizeof(k));
 	n = ntohl(n);
 	if (n > FRM_BODY_MAX)
 		return BASE_EFRAME;
-	if (len < FRM_HEAD_LEN + (size_t)n)
+	if (len < FRM_HEADER_LEN + (size_t)n)
 		return 0;
 	*kind = ntohs(k);
-	*body = data + FRM_HEAD_LEN;
+	*body = data + FRM_HEADER_LEN;
 	*body_len = n;
-	return FRM_HEAD_LEN + (int)n;
+	return FRM_HEADER_LEN + (int)n;
 }
 
 static struct frm_conn *frm_new(struct loop *loop, int fd, const struct frm_ops *ops,
@@ -236,7 +236,7 @@
 
 static void frm_append(struct frm_conn *conn, uint16_t kind, const uint8_t *body, size_t len)
 {
-	uint8_t head[FRM_HEAD_LEN];
+	uint8_t head[FRM_HEADER_LEN];
 	uint32_t n = htonl((uint32_t)len);
 	uint16_t k = htons(kind);
 
@@ -247,7 +247,7 @@
 	if (len > 0)
 		g_byte_array_append(conn->out, body, (guint)len);
 	frm_count(FRM_SENT, 1);
-	frm_count(FRM_BYTES_SENT, FRM_HEAD_LEN + len);
+	frm_count(FRM_BYTES_SENT, FRM_HEADER_LEN + len);
 }
 
 void frm_send(struct frm_conn *conn, uint16_t kind, const ProtobufCMessage *msg)
@@ -314,7 +314,7 @@
 
 static void frm_set_timer(struct frm_conn *conn)
 {
-	loop_after(conn->loop, &conn->heartbeat, frm_interval(conn), frm_on_heartbeat, conn);
+	loop_start_timer(conn->loop, &conn->heartbeat, frm_interval(conn), frm_on_heartbeat, conn);
 }
 
 void frm_set_active(struct frm_conn *conn, bool active)
@@ -365,7 +365,7 @@
 
 	if (frm_was_paused(conn, now_us))
 		conn->received_us = now_us;
-	if (frm_is_silent(conn, now_us) || frm_unsent(conn) > FRM_OUT_MAX) {
+	if (frm_is_silent(conn, now_us) || frm_unsent(conn) > FRM_UNSENT_MAX) {
 		frm_count(FRM_SILENT, 1);
 		frm_close_error(conn, BASE_ESILENT);
 		return;
@@ -452,12 +452,12 @@
 		frm_flush(conn);
 }
 
-void frm_set_data(struct frm_conn *conn, void *data)
+void frm_set_user_data(struct frm_conn *conn, void *data)
 {
 	conn->data = data;
 }
 
-void *frm_data(const struct frm_conn *conn)
+void *frm_user_data(const struct frm_conn *conn)
 {
 	return conn->data;
 }
--- a/base/frm.h
+++ b/base/frm.h
@@ -15,10 +15,10 @@
  * be called in the loop's thread.
  */
 enum {
-	FRM_HEAD_LEN = 6,	/* bytes of a frame before the message */
-	FRM_BODY_MAX = 8 << 20, /* largest message, in bytes */
-	FRM_KIND_HEARTBEAT = 0, /* kind of a frame without a message that checks the connection */
-	FRM_OUT_MAX = 64 << 20	/* unsent bytes above which a connection is closed */
+	FRM_HEADER_LEN = 6,	  /* bytes of a frame before the message */
+	FRM_BODY_MAX = 8 << 20,	  /* largest message, in bytes */
+	FRM_KIND_HEARTBEAT = 0,	  /* kind of a frame without a message that checks the connection */
+	FRM_UNSENT_MAX = 64 << 20 /* unsent bytes above which a connection is closed */
 };
 
 /* A framed connection. */
@@ -94,10 +94,10 @@
 void frm_close(struct frm_conn *conn);
 
 /* Stores a pointer of the caller with the connection. */
-void frm_set_data(struct frm_conn *conn, void *data);
+void frm_set_user_data(struct frm_conn *conn, void *data);
 
-/* Returns the pointer stored by frm_set_data(); NULL if none was stored. */
-void *frm_data(const struct frm_conn *conn);
+/* Returns the pointer stored by frm_set_user_data(); NULL if none was stored. */
+void *frm_user_data(const struct frm_conn *conn);
 
 G_END_DECLS
 
--- a/base/hc.c
+++ b/base/hc.c
@@ -86,7 +86,8 @@
 	if (timeout_ms < 0)
 		tmr_cancel(&hc->loop->tmr, &hc->timer);
 	else
-		loop_after(hc->loop, &hc->timer, timeout_ms * USEC_PER_MSEC, hc_on_timeout, hc);
+		loop_start_timer(hc->loop, &hc->timer, timeout_ms * USEC_PER_MSEC, hc_on_timeout,
+				 hc);
 	return 0;
 }
 
@@ -335,7 +336,7 @@
 	}
 	if (hc->in_callback) {
 		g_ptr_array_add(hc->deferred, call);
-		loop_after(hc->loop, &hc->deferred_timer, 0, hc_start_deferred, hc);
+		loop_start_timer(hc->loop, &hc->deferred_timer, 0, hc_start_deferred, hc);
 	} else {
 		curl_multi_add_handle(hc->multi, easy);
 	}
--- a/base/hd.c
+++ b/base/hd.c
@@ -115,7 +115,7 @@
 	g_free(hd);
 }
 
-unsigned int hd_open(const struct hd *hd)
+unsigned int hd_open_requests(const struct hd *hd)
 {
 	return ck_pr_load_uint(&hd->open_requests);
 }
@@ -181,7 +181,7 @@
 	ck_pr_store_uint(&hd->idle_s, idle_s);
 }
 
-void hd_set_closing(struct hd *hd)
+void hd_set_connection_close(struct hd *hd)
 {
 	ck_pr_store_uint(&hd->closing, 1);
 }
@@ -359,7 +359,7 @@
 	pthread_mutex_unlock(&call->lock);
 }
 
-void hd_begin(struct hd_call *call, int status, const char *type)
+void hd_reply_begin(struct hd_call *call, int status, const char *type)
 {
 	pthread_mutex_lock(&call->lock);
 	call->status = status;
@@ -370,7 +370,7 @@
 	pthread_mutex_unlock(&call->lock);
 }
 
-bool hd_write(struct hd_call *call, const char *data, size_t len)
+bool hd_reply_write(struct hd_call *call, const char *data, size_t len)
 {
 	bool ok;
 
@@ -383,7 +383,7 @@
 	return ok;
 }
 
-void hd_end(struct hd_call *call)
+void hd_reply_end(struct hd_call *call)
 {
 	pthread_mutex_lock(&call->lock);
 	call->ended = true;
@@ -404,7 +404,7 @@
  * The library doesn't poll the socket of a suspended connection, so a client that disconnects would
  * keep its endpoint busy until the next token. This checks the socket without consuming data.
  */
-bool hd_gone(struct hd_call *call)
+bool hd_client_closed(struct hd_call *call)
 {
 	char byte;
 	bool gone;
--- a/base/hd.h
+++ b/base/hd.h
@@ -27,7 +27,7 @@
 	const char *addr; /* listening address IP:PORT; NULL: only hd_adopt() adds connections */
 	unsigned int threads;  /* number of the library's threads */
 	size_t body_max;       /* largest request body in bytes; a larger one gets status 413 */
-	size_t pending_max;    /* unsent bytes of a response above which hd_write() fails */
+	size_t pending_max;    /* unsent bytes of a response above which hd_reply_write() fails */
 	const char *too_large; /* body of the response with status 413, JSON */
 	hd_handler handler;    /* called for each request */
 	void *ctx;	       /* first argument of handler */
@@ -44,7 +44,7 @@
  * the last byte of the response is in the kernel's socket buffer or the client has disconnected. A
  * daemon that stops must wait until the number is 0, or it truncates responses.
  */
-unsigned int hd_open(const struct hd *hd);
+unsigned int hd_open_requests(const struct hd *hd);
 
 /* Serves a connected socket that was accepted elsewhere. The server owns and closes fd. */
 void hd_adopt(struct hd *hd, int fd);
@@ -58,7 +58,7 @@
 void hd_set_limits(struct hd *hd, size_t body_max, unsigned int idle_s);
 
 /* Adds the header "Connection: close" to all further responses. Any thread may call this. */
-void hd_set_closing(struct hd *hd);
+void hd_set_connection_close(struct hd *hd);
 
 /* Stops accepting connections; open ones are served further. Any thread may call this. */
 void hd_quiesce(struct hd *hd);
@@ -96,7 +96,7 @@
 /* Returns the local TCP port of the connection; 0 if unknown. */
 int hd_local_port(const struct hd_call *call);
 
-/* Adds a header to the response. Only allowed before hd_reply() or hd_begin(). */
+/* Adds a header to the response. Only allowed before hd_reply() or hd_reply_begin(). */
 void hd_set_header(struct hd_call *call, const char *name, const char *value);
 
 /*
@@ -106,19 +106,19 @@
 void hd_reply(struct hd_call *call, int status, const char *type, const char *body, size_t len);
 
 /*
- * Starts a response in parts: hd_begin(), then any number of hd_write(), then hd_end(). type is the
- * Content-Type; it is copied and may be NULL.
+ * Starts a response in parts: hd_reply_begin(), then any number of hd_reply_write(), then
+ * hd_reply_end(). type is the Content-Type; it is copied and may be NULL.
  */
-void hd_begin(struct hd_call *call, int status, const char *type);
+void hd_reply_begin(struct hd_call *call, int status, const char *type);
 
 /*
  * Sends a part of the response. Returns false if the client has disconnected, or if more than
  * pending_max bytes would be unsent.
  */
-bool hd_write(struct hd_call *call, const char *data, size_t len);
+bool hd_reply_write(struct hd_call *call, const char *data, size_t len);
 
 /* Ends a response in parts. */
-void hd_end(struct hd_call *call);
+void hd_reply_end(struct hd_call *call);
 
 /*
  * Closes the connection without the last chunk, so that the client doesn't take a response in parts
@@ -130,7 +130,7 @@
  * Returns whether the client has closed the connection. This checks the socket itself, so it works
  * while the library doesn't poll it.
  */
-bool hd_gone(struct hd_call *call);
+bool hd_client_closed(struct hd_call *call);
 
 /* Releases a reference to call; the last one frees it. */
 void hd_unref(struct hd_call *call);
--- a/base/hd_test.cc
+++ b/base/hd_test.cc
@@ -108,10 +108,10 @@
 	hd_call *call = Send("GET /x?a=b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
 	EXPECT_STREQ(hd_path(call), "/x");
 	EXPECT_STREQ(hd_query(call, "a"), "b");
-	hd_begin(call, 200, "text/plain");
-	EXPECT_TRUE(hd_write(call, "one ", 4));
-	EXPECT_TRUE(hd_write(call, "two", 3));
-	hd_end(call);
+	hd_reply_begin(call, 200, "text/plain");
+	EXPECT_TRUE(hd_reply_write(call, "one ", 4));
+	EXPECT_TRUE(hd_reply_write(call, "two", 3));
+	hd_reply_end(call);
 	hd_unref(call);
 	std::string answer = ReadAll();
 	EXPECT_NE(answer.find("200 OK"), std::string::npos);
@@ -127,8 +127,8 @@
 	 * written before the abort must still arrive.
 	 */
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-	hd_begin(call, 200, "text/plain");
-	hd_write(call, "half", 4);
+	hd_reply_begin(call, 200, "text/plain");
+	hd_reply_write(call, "half", 4);
 	hd_abort(call);
 	hd_unref(call);
 	std::string answer = ReadAll();
@@ -140,15 +140,15 @@
 {
 	/*
 	 * Failure: the daemon's memory grows with each client that stops reading its response.
-	 * Cause: hd_write() had no limit on the bytes of a response that the library has not sent
-	 * yet.
+	 * Cause: hd_reply_write() had no limit on the bytes of a response that the library has not
+	 * sent yet.
 	 */
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
 	std::string part(1000, 'x');
 	bool ok = true;
-	hd_begin(call, 200, "text/plain");
+	hd_reply_begin(call, 200, "text/plain");
 	for (int i = 0; ok && i < 100000; i++)
-		ok = hd_write(call, part.data(), part.size());
+		ok = hd_reply_write(call, part.data(), part.size());
 	EXPECT_FALSE(ok);
 	hd_abort(call);
 	hd_unref(call);
@@ -157,10 +157,10 @@
 TEST_F(HdTest, ClientDisconnectIsDetectedBeforeResponse)
 {
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
-	EXPECT_FALSE(hd_gone(call));
+	EXPECT_FALSE(hd_client_closed(call));
 	close(client_);
 	client_ = -1;
-	while (!hd_gone(call))
+	while (!hd_client_closed(call))
 		usleep(1000);
 	hd_reply(call, 200, "text/plain", "", 0);
 	hd_unref(call);
@@ -173,14 +173,14 @@
 	 * Cause: the daemon exits because a request no longer counts as in progress once it has
 	 * been answered, although part of the response is still unsent.
 	 */
-	EXPECT_EQ(hd_open(hd_), 0u);
+	EXPECT_EQ(hd_open_requests(hd_), 0u);
 	hd_call *call = Send("GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
 	std::string large(4 << 20, 'x');
 	hd_reply(call, 200, "text/plain", large.data(), large.size());
 	hd_unref(call);
-	EXPECT_EQ(hd_open(hd_), 1u);
+	EXPECT_EQ(hd_open_requests(hd_), 1u);
 	EXPECT_GT(ReadAll().size(), large.size());
-	while (hd_open(hd_) > 0)
+	while (hd_open_requests(hd_) > 0)
 		usleep(1000);
 }
 
@@ -225,7 +225,7 @@
 	size_t len = 0;
 	hd_body(call, &len);
 	EXPECT_EQ(len, 150u);
-	hd_set_closing(hd_);
+	hd_set_connection_close(hd_);
 	hd_reply(call, 200, nullptr, "", 0);
 	hd_unref(call);
 	EXPECT_NE(ReadAll().find("Connection: close"), std::string::npos);
--- a/base/jl.c
+++ b/base/jl.c
@@ -83,7 +83,7 @@
 	uint64_t lost;
 
 	jl.len = 0;
-	jl.skip = level != JL_KEEP && jl_over_rate(now_us);
+	jl.skip = level != JL_UNLIMITED && jl_over_rate(now_us);
 	if (jl.skip) {
 		jl_count_dropped();
 		return;
--- a/base/jl.h
+++ b/base/jl.h
@@ -22,9 +22,9 @@
  * Any thread may write lines; each thread builds its line in its own buffer.
  */
 enum jl_level {
-	JL_KEEP, /* exempt from the limit on lines per second: failed request, start, stop or loss
-		    of a dependency */
-	JL_INFO	 /* dropped above the limit on lines per second */
+	JL_UNLIMITED, /* exempt from the limit on lines per second: failed request, start, stop or
+		    loss of a dependency */
+	JL_INFO	      /* dropped above the limit on lines per second */
 };
 
 enum {
--- a/base/jl_test.cc
+++ b/base/jl_test.cc
@@ -81,11 +81,11 @@
 {
 	uint64_t before = met_get(met_counter("bg_log_left_out_total", ""));
 	for (int i = 0; i < 5000; i++)
-		WriteLine("some text of a line", JL_KEEP);
+		WriteLine("some text of a line", JL_UNLIMITED);
 	EXPECT_GT(met_get(met_counter("bg_log_left_out_total", "")), before);
 	while (!Read().empty())
 		;
-	WriteLine("after", JL_KEEP);
+	WriteLine("after", JL_UNLIMITED);
 	EXPECT_NE(Read().find("left_out"), std::string::npos);
 }
 
@@ -94,7 +94,7 @@
 	jl_set_rate(0);
 	WriteLine("ordinary");
 	EXPECT_EQ(Read(), "");
-	WriteLine("bad ending", JL_KEEP);
+	WriteLine("bad ending", JL_UNLIMITED);
 	EXPECT_NE(Read().find("bad ending"), std::string::npos);
 }
 
--- a/base/loop.c
+++ b/base/loop.c
@@ -142,7 +142,7 @@
 	}
 }
 
-void loop_after(struct loop *loop, struct tmr *t, int64_t delay_us, tmr_fn fn, void *ctx)
+void loop_start_timer(struct loop *loop, struct tmr *t, int64_t delay_us, tmr_fn fn, void *ctx)
 {
 	tmr_set(&loop->tmr, t, tmr_now() + delay_us, fn, ctx);
 }
@@ -189,7 +189,7 @@
 	loop->stopping = true;
 }
 
-int64_t loop_cpu_us(void)
+int64_t loop_thread_cpu_us(void)
 {
 	struct timespec ts;
 
--- a/base/loop.h
+++ b/base/loop.h
@@ -72,10 +72,10 @@
 void loop_fd_del(struct loop *loop, struct loop_fd *lfd);
 
 /* Sets the timer t to call fn(ctx, now) after delay_us microseconds from now. */
-void loop_after(struct loop *loop, struct tmr *t, int64_t delay_us, tmr_fn fn, void *ctx);
+void loop_start_timer(struct loop *loop, struct tmr *t, int64_t delay_us, tmr_fn fn, void *ctx);
 
 /* Returns the CPU time that the calling thread has used, in microseconds. */
-int64_t loop_cpu_us(void);
+int64_t loop_thread_cpu_us(void);
 
 G_END_DECLS
 
--- a/base/prog.c
+++ b/base/prog.c
@@ -37,7 +37,7 @@
 	exit(PROG_EXIT_USAGE);
 }
 
-static void prog_load_settings(const char *program, const struct set_item *items, size_t n,
+static void prog_load_settings(const char *program, const struct settings_item *items, size_t n,
 			       void *settings)
 {
 	GString *errors = g_string_new(NULL);
@@ -46,7 +46,7 @@
 		prog_config = g_strdup(g_getenv("BRONZEGAUGE_CONFIG"));
 	if (!prog_config)
 		prog_usage_error(program, "--config FILE is missing");
-	if (set_load(prog_config, items, n, settings, errors) < 0) {
+	if (settings_load(prog_config, items, n, settings, errors) < 0) {
 		fputs(errors->str, stderr);
 		exit(PROG_EXIT_USAGE);
 	}
@@ -62,7 +62,7 @@
 	return prog_config;
 }
 
-void prog_start(int *argc, char ***argv, const char *summary, const struct set_item *items,
+void prog_start(int *argc, char ***argv, const char *summary, const struct settings_item *items,
 		size_t n, void *settings)
 {
 	GOptionContext *context = g_option_context_new(NULL);
@@ -140,7 +140,7 @@
 	hd_unref(call);
 }
 
-const char *prog_path_below(const char *path, const char *prefix)
+const char *prog_path_suffix(const char *path, const char *prefix)
 {
 	size_t len = strlen(prefix);
 
--- a/base/prog.h
+++ b/base/prog.h
@@ -3,7 +3,7 @@
 
 #include "base/hd.h"
 #include "base/loop.h"
-#include "base/set.h"
+#include "base/settings.h"
 
 #include <jansson.h>
 
@@ -22,7 +22,7 @@
  * --version, --help) and reads the settings file into settings. Without --config, the environment
  * variable BRONZEGAUGE_CONFIG names the file. Exits on an error, --check, --version or --help.
  */
-void prog_start(int *argc, char ***argv, const char *summary, const struct set_item *items,
+void prog_start(int *argc, char ***argv, const char *summary, const struct settings_item *items,
 		size_t n, void *settings);
 
 /* Returns the path of the settings file. Only valid after prog_start(). */
@@ -38,6 +38,6 @@
 void prog_reply_json(struct hd_call *call, int status, json_t *body);
 
 /* Returns the part of path after prefix, or NULL if path doesn't start with prefix. */
-const char *prog_path_below(const char *path, const char *prefix);
+const char *prog_path_suffix(const char *path, const char *prefix);
 
 #endif
--- a/base/set_test.cc
+++ b/base/settings_test.cc
@@ -1,4 +1,4 @@
-#include "base/set.h"
+#include "base/settings.h"
 
 #include <cstdio>
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 	double ratio;
 };
 
-const set_item ITEMS[] = {
-	{"host", "name", SET_TEXT, offsetof(settings, name), "h", 0, 0},
-	{"log", "lines", SET_INT, offsetof(settings, lines), "300", 0, 1000},
-	{"repeats", "ratio", SET_REAL, offsetof(settings, ratio), "0.2", 0, 1},
+const settings_item ITEMS[] = {
+	{"host", "name", SETTINGS_TEXT, offsetof(settings, name), "h", 0, 0},
+	{"log", "lines", SETTINGS_INT, offsetof(settings, lines), "300", 0, 1000},
+	{"repeats", "ratio", SETTINGS_REAL, offsetof(settings, ratio), "0.2", 0, 1},
 };
 const size_t N = sizeof(ITEMS) / sizeof(ITEMS[0]);
 
@@ -30,7 +30,7 @@
 
 	EXPECT_EQ(write(fd, text, strlen(text)), (ssize_t)strlen(text));
 	close(fd);
-	EXPECT_EQ(set_load(path, ITEMS, N, &s, errors), 0) << errors->str;
+	EXPECT_EQ(settings_load(path, ITEMS, N, &s, errors), 0) << errors->str;
 	unlink(path);
 	g_string_free(errors, TRUE);
 	return s;
@@ -54,15 +54,15 @@
 		settings one = Load(c.one), other = Load(c.other);
 		GString *keys = g_string_new(nullptr);
 
-		set_differing(ITEMS, N, &one, &other, keys);
+		settings_differing(ITEMS, N, &one, &other, keys);
 		EXPECT_STREQ(keys->str, c.differing) << c.one << "|" << c.other;
-		EXPECT_EQ(set_digest(ITEMS, N, &one, shared) ==
-				  set_digest(ITEMS, N, &other, shared),
+		EXPECT_EQ(settings_digest(ITEMS, N, &one, shared) ==
+				  settings_digest(ITEMS, N, &other, shared),
 			  c.same_digest)
 			<< c.one << "|" << c.other;
 		g_string_free(keys, TRUE);
-		set_clear(ITEMS, N, &one);
-		set_clear(ITEMS, N, &other);
+		settings_clear(ITEMS, N, &one);
+		settings_clear(ITEMS, N, &other);
 	}
 }
 
--- a/base/str.h
+++ b/base/str.h
@@ -16,7 +16,7 @@
 };
 
 /* Returns a view of a NUL-terminated string; cstr may be NULL. */
-static inline struct str str_of(const char *cstr)
+static inline struct str str_from_cstr(const char *cstr)
 {
 	struct str s = {cstr, cstr ? strlen(cstr) : 0};
 	return s;
@@ -36,9 +36,9 @@
 }
 
 /* Returns whether a holds the same bytes as the NUL-terminated string cstr. */
-static inline bool str_is(struct str a, const char *cstr)
+static inline bool str_eq_cstr(struct str a, const char *cstr)
 {
-	return str_eq(a, str_of(cstr));
+	return str_eq(a, str_from_cstr(cstr));
 }
 
 /* Returns a NUL-terminated copy that the caller frees with g_free(). */
--- a/base/tmr.h
+++ b/base/tmr.h
@@ -13,13 +13,13 @@
 };
 
 /* Converts milliseconds to microseconds, the unit of timers. */
-static inline int64_t tmr_ms(int64_t ms)
+static inline int64_t tmr_from_ms(int64_t ms)
 {
 	return ms * TMR_US_PER_MS;
 }
 
 /* Converts seconds to microseconds, the unit of timers. */
-static inline int64_t tmr_s(int64_t s)
+static inline int64_t tmr_from_s(int64_t s)
 {
 	return s * TMR_US_PER_S;
 }
--- a/conf/clog.c
+++ b/conf/clog.c
@@ -266,7 +266,7 @@
 	int err;
 
 	empty = conf_state_new();
-	state = conf_apply(empty, str_of(clog_json_text(snapshot, "state")), &problem, &err);
+	state = conf_apply(empty, str_from_cstr(clog_json_text(snapshot, "state")), &problem, &err);
 	conf_state_unref(empty);
 	if (!state)
 		return CONF_ERECORD;
--- a/conf/conf_test.cc
+++ b/conf/conf_test.cc
@@ -157,7 +157,7 @@
 	}
 	void Change(const char *id, int64_t expect, const char *statements)
 	{
-		Append(clog_change_record(id, expect, "op", str_of(statements)));
+		Append(clog_change_record(id, expect, "op", str_from_cstr(statements)));
 	}
 	clog_verdict Read(clog *node, size_t from, size_t to)
 	{
@@ -299,15 +299,15 @@
 	char *stale = clog_snapshot_record(&node_);
 	Change("c1", -1, "account a share 5");
 	Read(&node_, 1, 2);
-	EXPECT_EQ(clog_on_peer_state(&node_, str_of(stale)), 0);
+	EXPECT_EQ(clog_on_peer_state(&node_, str_from_cstr(stale)), 0);
 	EXPECT_EQ(node_.revision, 2);
 	char *newer = clog_snapshot_record(&node_);
 	clog fresh;
 	clog_init(&fresh);
-	EXPECT_EQ(clog_on_peer_state(&fresh, str_of(newer)), 1);
+	EXPECT_EQ(clog_on_peer_state(&fresh, str_from_cstr(newer)), 1);
 	EXPECT_EQ(Export(fresh.state), Export(node_.state));
-	EXPECT_EQ(clog_on_peer_state(&fresh, str_of(stale)), 0);
-	EXPECT_EQ(clog_on_peer_state(&fresh, str_of("{}")), CONF_ERECORD);
+	EXPECT_EQ(clog_on_peer_state(&fresh, str_from_cstr(stale)), 0);
+	EXPECT_EQ(clog_on_peer_state(&fresh, str_from_cstr("{}")), CONF_ERECORD);
 	EXPECT_EQ(fresh.revision, 2);
 	clog_finish(&fresh);
 	g_free(stale);
--- a/conf/parse.c
+++ b/conf/parse.c
@@ -92,7 +92,7 @@
 	const struct conf_schema *schema = conf_schema(kind);
 
 	for (int i = 0; i < schema->attr_count; i++) {
-		if (str_is(name, schema->attrs[i].name))
+		if (str_eq_cstr(name, schema->attrs[i].name))
 			return i;
 	}
 	return -1;
@@ -204,7 +204,7 @@
 		return conf_set_problem(problem, line, 2, "no such endpoint");
 	obj = old ? conf_obj_copy(old) : conf_obj_new(kind, line->words[2].text);
 	conf_attr_set(obj, kind == CONF_HOST ? (int)HOST_STATE : (int)ENDPOINT_STATE,
-		      str_of(value));
+		      str_from_cstr(value));
 	g_tree_replace(state->objs[kind], obj->name, obj);
 	return true;
 }
@@ -214,11 +214,11 @@
 {
 	struct str first = line->words[0].text;
 
-	if (str_is(first, conf_verbs[CONF_VERB_DELETE]))
+	if (str_eq_cstr(first, conf_verbs[CONF_VERB_DELETE]))
 		return conf_delete(state, line, problem);
-	if (str_is(first, conf_verbs[CONF_VERB_DRAIN]))
+	if (str_eq_cstr(first, conf_verbs[CONF_VERB_DRAIN]))
 		return conf_set_admission(state, line, "draining", problem);
-	if (str_is(first, conf_verbs[CONF_VERB_ADMIT]))
+	if (str_eq_cstr(first, conf_verbs[CONF_VERB_ADMIT]))
 		return conf_set_admission(state, line, "admitted", problem);
 	if (conf_kind_from_name(first) != CONF_KIND_COUNT)
 		return conf_declare(state, line, problem);
--- a/conf/schema.c
+++ b/conf/schema.c
@@ -107,7 +107,7 @@
 	int kind;
 
 	for (kind = 0; kind < CONF_KIND_COUNT; kind++) {
-		if (str_is(name, conf_schemas[kind].name))
+		if (str_eq_cstr(name, conf_schemas[kind].name))
 			break;
 	}
 	return kind;
@@ -218,7 +218,7 @@
 {
 	(void)obj;
 	(void)attr;
-	if (str_is(text, "*"))
+	if (str_eq_cstr(text, "*"))
 		return NULL;
 	return conf_check_list(text, conf_check_model_name);
 }
@@ -268,16 +268,16 @@
 
 static const char *conf_set_yes_no(struct conf_obj *obj, int attr, struct str text)
 {
-	if (!str_is(text, "yes") && !str_is(text, "no"))
+	if (!str_eq_cstr(text, "yes") && !str_eq_cstr(text, "no"))
 		return "yes or no";
-	obj->value[attr] = str_is(text, "yes");
+	obj->value[attr] = str_eq_cstr(text, "yes");
 	return NULL;
 }
 
 static const char *conf_set_state(struct conf_obj *obj, int attr, struct str text)
 {
-	if (!str_is(text, "admitted") && !str_is(text, "draining"))
+	if (!str_eq_cstr(text, "admitted") && !str_eq_cstr(text, "draining"))
 		return "admitted or draining";
-	obj->value[attr] = str_is(text, "draining");
+	obj->value[attr] = str_eq_cstr(text, "draining");
 	return NULL;
 }
--- a/conf/state.c
+++ b/conf/state.c
@@ -75,7 +75,7 @@
 	obj->name = str_dup(name);
 	for (int i = 0; i < schema->attr_count; i++) {
 		if (schema->attrs[i].default_text)
-			conf_attr_set(obj, i, str_of(schema->attrs[i].default_text));
+			conf_attr_set(obj, i, str_from_cstr(schema->attrs[i].default_text));
 	}
 	return obj;
 }
--- a/ep/rest_sim_test.cc
+++ b/ep/rest_sim_test.cc
@@ -99,7 +99,7 @@
 	int64_t NextGap()
 	{
 		/* On average 6 requests arrive per second at each host. */
-		return (int64_t)(2.0 * SEC / 6 * rnd_unit(&seed_));
+		return (int64_t)(2.0 * SEC / 6 * rnd_uniform(&seed_));
 	}
 	void Push(int64_t at, int host, int endpoint)
 	{
@@ -115,14 +115,15 @@
 	{
 		double best = 1e12;
 		int chosen = -1;
-		int first = endpoints_ > CANDIDATES_MAX ? (int)(rnd_unit(&seed_) * endpoints_) : 0;
+		int first =
+			endpoints_ > CANDIDATES_MAX ? (int)(rnd_uniform(&seed_) * endpoints_) : 0;
 		for (int i = 0; i < std::min(endpoints_, CANDIDATES_MAX); i++) {
 			int e = (first + i * CANDIDATES_STEP) % endpoints_;
 			if (policy_ != IGNORE &&
 			    !rest_allows_request(&rests_[Index(host, e)], now_))
 				continue;
 			double cost =
-				(in_flight_[Index(host, e)] + 1) * (1 + 0.2 * rnd_unit(&seed_));
+				(in_flight_[Index(host, e)] + 1) * (1 + 0.2 * rnd_uniform(&seed_));
 			if (now_ >= hints_[Index(host, e)].from && now_ < hints_[Index(host, e)].to)
 				cost += 1e6;
 			if (cost < best &&
@@ -148,7 +149,7 @@
 		out_.rejected++;
 		rest_asked_us_[at] = now_;
 		sent_in_rest_[at] = 0;
-		rest_on_asked(&rests_[at], REST_US, now_, rnd_unit(&seed_));
+		rest_on_asked(&rests_[at], REST_US, now_, rnd_uniform(&seed_));
 		for (int h = 0; policy_ == SHARED && h < hosts_; h++) {
 			if (h == host)
 				continue;
--- a/fake/engine.c
+++ b/fake/engine.c
@@ -29,14 +29,14 @@
 
 #define ENGINE_OFF(field) offsetof(struct engine_settings, field)
 
-static const struct set_item engine_items[] = {
-	{"engine", "admin", SET_ADDR, ENGINE_OFF(admin), NULL, 0, 0},
-	{"engine", "declarations", SET_TEXT, ENGINE_OFF(declarations), NULL, 1, 0},
-	{"engine", "link_delay_us", SET_INT, ENGINE_OFF(link_delay_us), "300", 0, 10000000},
-	{"engine", "load_lag_ms", SET_INT, ENGINE_OFF(load_lag_ms), "500", 0, 100000},
-	{"engine", "keep_s", SET_INT, ENGINE_OFF(keep_s), "120", 1, 100000},
-	{"engine", "prefill_divisor", SET_INT, ENGINE_OFF(prefill_divisor), "64", 1, 100000},
-	{"engine", "service_ms", SET_INT, ENGINE_OFF(service_ms), "20", 0, 100000},
+static const struct settings_item engine_items[] = {
+	{"engine", "admin", SETTINGS_ADDR, ENGINE_OFF(admin), NULL, 0, 0},
+	{"engine", "declarations", SETTINGS_TEXT, ENGINE_OFF(declarations), NULL, 1, 0},
+	{"engine", "link_delay_us", SETTINGS_INT, ENGINE_OFF(link_delay_us), "300", 0, 10000000},
+	{"engine", "load_lag_ms", SETTINGS_INT, ENGINE_OFF(load_lag_ms), "500", 0, 100000},
+	{"engine", "keep_s", SETTINGS_INT, ENGINE_OFF(keep_s), "120", 1, 100000},
+	{"engine", "prefill_divisor", SETTINGS_INT, ENGINE_OFF(prefill_divisor), "64", 1, 100000},
+	{"engine", "service_ms", SETTINGS_INT, ENGINE_OFF(service_ms), "20", 0, 100000},
 };
 
 static const struct sim_ops engine_sim_ops = {engine_on_run_changed};
@@ -54,7 +54,7 @@
 		     const struct engine_route *routes, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
-		const char *rest = prog_path_below(hd_path(call), routes[i].prefix);
+		const char *rest = prog_path_suffix(hd_path(call), routes[i].prefix);
 
 		if (rest && strcmp(hd_method(call), routes[i].method) == 0) {
 			routes[i].fn(engine, port, call, rest);
@@ -191,7 +191,7 @@
 		engine->sampled_us = now_us;
 		engine_sample_load(engine);
 	}
-	loop_after(&engine->loop, &engine->tick, ENGINE_TICK_US, engine_on_tick, engine);
+	loop_start_timer(&engine->loop, &engine->tick, ENGINE_TICK_US, engine_on_tick, engine);
 }
 
 static void engine_stop(void *ctx)
@@ -265,7 +265,7 @@
 	conf_each(engine.conf, CONF_SERVICE, engine_add_service, &engine);
 	log_msg(LOG_INFO, "started admin=%s endpoints=%u", engine.settings.admin,
 		engine.sim.endpoints->len);
-	loop_after(&engine.loop, &engine.tick, ENGINE_TICK_US, engine_on_tick, &engine);
+	loop_start_timer(&engine.loop, &engine.tick, ENGINE_TICK_US, engine_on_tick, &engine);
 	loop_run(&engine.loop);
 	log_msg(LOG_INFO, "stopped");
 	return PROG_EXIT_OK;
--- a/fake/engine_model.c
+++ b/fake/engine_model.c
@@ -51,7 +51,7 @@
 					     run->attempt, i + run->first_index,
 					     (char *)run->texts->pdata[i]);
 
-		if (!hd_write(stream->call, line, strlen(line)))
+		if (!hd_reply_write(stream->call, line, strlen(line)))
 			stream->muted = true;
 		g_free(line);
 	}
@@ -86,8 +86,8 @@
 			"data: {\"attempt\":%u,\"error\":\"%s\",\"endpoint\":\"%s\"}\n\n",
 			run->attempt, run->state == SIM_FAILED ? "failed" : "canceled",
 			run->failed_at ? run->failed_at : "");
-	hd_write(stream->call, line, strlen(line));
-	hd_end(stream->call);
+	hd_reply_write(stream->call, line, strlen(line));
+	hd_reply_end(stream->call);
 	g_free(line);
 }
 
@@ -115,7 +115,7 @@
 	stream->call = call;
 	stream->port = port;
 	stream->next = MAX(from, run->first_index);
-	hd_begin(call, 200, "text/event-stream");
+	hd_reply_begin(call, 200, "text/event-stream");
 	g_ptr_array_add(run->data, stream);
 	engine_send_tokens(stream, run);
 	if (run->state != SIM_RUNNING) {
@@ -328,7 +328,7 @@
 	for (guint i = streams ? streams->len : 0; i-- > 0;) {
 		struct engine_stream *stream = streams->pdata[i];
 
-		if (hd_gone(stream->call))
+		if (hd_client_closed(stream->call))
 			g_ptr_array_remove_index(streams, i);
 	}
 	if (run->state == SIM_RUNNING && !run->detached && streams && streams->len == 0)
--- a/fake/platform.c
+++ b/fake/platform.c
@@ -103,13 +103,13 @@
 
 #define PLATFORM_OFF(field) offsetof(struct platform_settings, field)
 
-static const struct set_item platform_items[] = {
-	{"platform", "listen", SET_ADDR, PLATFORM_OFF(listen), NULL, 0, 0},
-	{"platform", "retention_s", SET_INT, PLATFORM_OFF(retention_s), "3600", 1, 1000000},
-	{"platform", "host_ttl_ms", SET_INT, PLATFORM_OFF(host_ttl_ms), "5000", 10, 1000000},
-	{"platform", "host_lag_ms", SET_INT, PLATFORM_OFF(host_lag_ms), "500", 0, 1000000},
-	{"platform", "weight_bytes_per_s", SET_INT, PLATFORM_OFF(weight_bytes_per_s), "1000000000",
-	 1, INT64_MAX},
+static const struct settings_item platform_items[] = {
+	{"platform", "listen", SETTINGS_ADDR, PLATFORM_OFF(listen), NULL, 0, 0},
+	{"platform", "retention_s", SETTINGS_INT, PLATFORM_OFF(retention_s), "3600", 1, 1000000},
+	{"platform", "host_ttl_ms", SETTINGS_INT, PLATFORM_OFF(host_ttl_ms), "5000", 10, 1000000},
+	{"platform", "host_lag_ms", SETTINGS_INT, PLATFORM_OFF(host_lag_ms), "500", 0, 1000000},
+	{"platform", "weight_bytes_per_s", SETTINGS_INT, PLATFORM_OFF(weight_bytes_per_s),
+	 "1000000000", 1, INT64_MAX},
 };
 
 static const struct platform_route platform_routes[] = {
@@ -362,7 +362,7 @@
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(platform_routes); i++) {
 		const struct platform_route *route = &platform_routes[i];
-		const char *rest = prog_path_below(hd_path(call), route->prefix);
+		const char *rest = prog_path_suffix(hd_path(call), route->prefix);
 
 		if (rest && strcmp(hd_method(call), route->method) == 0) {
 			route->fn(p, call, rest);
@@ -444,7 +444,7 @@
 	platform_answer_waits(p);
 	platform_release_delayed(p, now_us);
 	platform_expire_records(p, now_us);
-	loop_after(&p->loop, &p->tick, PLATFORM_TICK_US, platform_on_tick, p);
+	loop_start_timer(&p->loop, &p->tick, PLATFORM_TICK_US, platform_on_tick, p);
 }
 
 static void platform_stop(void *ctx)
@@ -483,7 +483,7 @@
 		return PROG_EXIT_FAILED;
 	}
 	log_msg(LOG_INFO, "started listen=%s", p.settings.listen);
-	loop_after(&p.loop, &p.tick, PLATFORM_TICK_US, platform_on_tick, &p);
+	loop_start_timer(&p.loop, &p.tick, PLATFORM_TICK_US, platform_on_tick, &p);
 	loop_run(&p.loop);
 	log_msg(LOG_INFO, "stopped");
 	return PROG_EXIT_OK;
--- a/lim/lim_sim_test.cc
+++ b/lim/lim_sim_test.cc
@@ -100,7 +100,7 @@
 			memset(&hosts_[(size_t)i].held, 0, sizeof(lim_permits));
 			lim_permits_update_limit(&hosts_[(size_t)i].held, &notice);
 			/* Hosts must not save their first request all at the same time. */
-			hosts_[(size_t)i].saved = rnd_unit(&seed_);
+			hosts_[(size_t)i].saved = rnd_uniform(&seed_);
 		}
 		for (auto &name : names_)
 			g_ptr_array_add(names, (gpointer)name.c_str());
@@ -144,7 +144,7 @@
 	}
 	void Send(Message message, int64_t &last)
 	{
-		int64_t delay = 50 * MS + (int64_t)(rnd_unit(&seed_) * 450) * MS;
+		int64_t delay = 50 * MS + (int64_t)(rnd_uniform(&seed_) * 450) * MS;
 
 		message.at = last = std::max(now_ + delay, last);
 		messages_.insert({message.at, message});
@@ -154,7 +154,7 @@
 		if (!scenario_.churn || now_ % SECOND != 0)
 			return;
 		/* Host 0 is the home; its loss is covered by another test. */
-		int i = 1 + (int)(rnd_unit(&seed_) * (scenario_.hosts - 1));
+		int i = 1 + (int)(rnd_uniform(&seed_) * (scenario_.hosts - 1));
 		At(i).down_until = now_ + 2 * SECOND;
 		At(i).held.permits = At(i).held.returned = At(i).held.wanted = 0;
 		At(i).waiting.clear();
@@ -247,7 +247,7 @@
 			host.waiting.erase(host.waiting.begin());
 		while (!host.waiting.empty() && now_ - host.waiting[0] > PERMIT_WAIT_MAX)
 			host.waiting.erase(host.waiting.begin());
-		if (rnd_unit(&seed_) < Rate(i) * STEP / 1e6) {
+		if (rnd_uniform(&seed_) < Rate(i) * STEP / 1e6) {
 			host.held.wanted++;
 			host.demand++;
 			if (!UsePermit(host) && host.waiting.size() < 2)
--- a/once/once_test.cc
+++ b/once/once_test.cc
@@ -65,8 +65,8 @@
 		pending_read = -1;
 		if (!log->out) {
 			for (size_t i = (size_t)from; i < log->records.size(); i++)
-				once_on_record(&once, (int64_t)i, str_of(log->records[i].c_str()),
-					       now);
+				once_on_record(&once, (int64_t)i,
+					       str_from_cstr(log->records[i].c_str()), now);
 		}
 		once_on_read(&once, !log->out, (int64_t)log->records.size(), now);
 	}
--- a/order/order_test.cc
+++ b/order/order_test.cc
@@ -21,7 +21,7 @@
 	void Read(int64_t now)
 	{
 		for (size_t i = (size_t)order.next; i < log->size(); i++)
-			order_on_record(&order, (int64_t)i, str_of((*log)[i].c_str()), now);
+			order_on_record(&order, (int64_t)i, str_from_cstr((*log)[i].c_str()), now);
 	}
 	bool Ask(int64_t now)
 	{
--- a/path/hop_test.cc
+++ b/path/hop_test.cc
@@ -34,7 +34,8 @@
 	{
 		for (int64_t end = now_ + (int64_t)(seconds * 1e6); now_ < end; now_ += 25 * MS) {
 			for (const auto &path : paths_) {
-				double pause = 2 * path.cost_ms * (0.67 + 0.67 * rnd_unit(&seed_));
+				double pause =
+					2 * path.cost_ms * (0.67 + 0.67 * rnd_uniform(&seed_));
 				pause += path.hops[hop_pair_index(0, 1)] * slow01;
 				pause += path.hops[hop_pair_index(1, 2)] * slow12;
 				hop_observe_pause(&hop_, &path, pause, now_);
--- a/path/path.c
+++ b/path/path.c
@@ -88,7 +88,7 @@
 		cost *= 1 + pa_memory_pressure_cost * (full - pa_memory_pressure_from);
 	if (node->trust != PA_GOOD)
 		cost *= pa_untrusted_factor;
-	cost *= node->slowness * (1 + pa_random_part * rnd_unit(&s->seed));
+	cost *= node->slowness * (1 + pa_random_part * rnd_uniform(&s->seed));
 	return cost / e->layers;
 }
 
--- a/path/path_test.cc
+++ b/path/path_test.cc
@@ -198,10 +198,10 @@
 	for (int round = 0; round < 200; round++) {
 		std::vector<pa_node> nodes;
 		for (int i = 0; i < 14; i++) {
-			int from = (int)(rnd_unit(&seed) * 8) * 10;
-			int to = std::min(80, from + 10 + (int)(rnd_unit(&seed) * 4) * 10);
-			nodes.push_back(Node(1 + (int)(rnd_unit(&seed) * 3), from, to,
-					     1 + rnd_unit(&seed) * 15));
+			int from = (int)(rnd_uniform(&seed) * 8) * 10;
+			int to = std::min(80, from + 10 + (int)(rnd_uniform(&seed) * 4) * 10);
+			nodes.push_back(Node(1 + (int)(rnd_uniform(&seed) * 3), from, to,
+					     1 + rnd_uniform(&seed) * 15));
 		}
 		double least = LeastCost(nodes, 0, 1);
 		Choice c = Choose(nodes, (uint32_t)round);
--- a/pool/pool_test.cc
+++ b/pool/pool_test.cc
@@ -103,7 +103,7 @@
 		conf_problem problem;
 		int err;
 		conf_state *old = conf_ ? conf_ : conf_state_new();
-		conf_ = conf_apply(old, str_of(text.c_str()), &problem, &err);
+		conf_ = conf_apply(old, str_from_cstr(text.c_str()), &problem, &err);
 		conf_state_unref(old);
 		ASSERT_NE(conf_, nullptr) << problem.text;
 		pool_on_conf(&pool_, conf_, now_);
--- a/prog/control.c
+++ b/prog/control.c
@@ -20,32 +20,33 @@
 
 #define CONTROL_FIELD(field) offsetof(struct control_settings, field)
 
-static const struct set_item control_setting_items[] = {
-	{"host", "name", SET_TEXT, CONTROL_FIELD(name), NULL, 1, 0},
-	{"host", "zone", SET_TEXT, CONTROL_FIELD(zone), NULL, 1, 0},
-	{"host", "entry_peer", SET_ADDR, CONTROL_FIELD(peer_addr), NULL, 0, 0},
-	{"control", "listen", SET_ADDR, CONTROL_FIELD(listen), NULL, 0, 0},
-	{"control", "operators", SET_ADDR, CONTROL_FIELD(operator_addr), NULL, 0, 0},
-	{"control", "bootstrap", SET_TEXT, CONTROL_FIELD(bootstrap), "", 0, 0},
-	{"control", "policy", SET_TEXT, CONTROL_FIELD(policy), "flow", 1, 0},
-	{"control", "seed", SET_INT, CONTROL_FIELD(seed), "1", 0, INT32_MAX},
-	{"control", "drain_ms", SET_INT, CONTROL_FIELD(drain_ms), "1500", 0, 600000},
-	{"platform", "address", SET_ADDR, CONTROL_FIELD(platform), NULL, 0, 0},
-	{"platform", "retention_s", SET_INT, CONTROL_FIELD(retention_s), "3600", 1, 1000000},
-	{"platform", "hosts_ms", SET_INT, CONTROL_FIELD(hosts_ms), "1000", 10, 600000},
-	{"platform", "append_ms", SET_INT, CONTROL_FIELD(append_ms), "1000", 10, 600000},
-	{"peers", "heartbeat_ms", SET_INT, CONTROL_FIELD(heartbeat_ms), "300", 10, 600000},
-	{"peers", "silent_ms", SET_INT, CONTROL_FIELD(silent_ms), "900", 10, 600000},
-	{"peers", "idle_ms", SET_INT, CONTROL_FIELD(idle_ms), "5000", 10, 600000},
-	{"peers", "suspect_ms", SET_INT, CONTROL_FIELD(suspect_ms), "2000", 10, 600000},
-	{"peers", "gossip_ms", SET_INT, CONTROL_FIELD(gossip_ms), "1000", 10, 600000},
-	{"endpoints", "overlap_percent", SET_INT, CONTROL_FIELD(overlap_percent), "150", 1, 1000},
-	{"endpoints", "load_ms", SET_INT, CONTROL_FIELD(load_ms), "1000", 10, 600000},
-	{"endpoints", "load_timeout_ms", SET_INT, CONTROL_FIELD(load_timeout_ms), "400", 10,
+static const struct settings_item control_setting_items[] = {
+	{"host", "name", SETTINGS_TEXT, CONTROL_FIELD(name), NULL, 1, 0},
+	{"host", "zone", SETTINGS_TEXT, CONTROL_FIELD(zone), NULL, 1, 0},
+	{"host", "entry_peer", SETTINGS_ADDR, CONTROL_FIELD(peer_addr), NULL, 0, 0},
+	{"control", "listen", SETTINGS_ADDR, CONTROL_FIELD(listen), NULL, 0, 0},
+	{"control", "operators", SETTINGS_ADDR, CONTROL_FIELD(operator_addr), NULL, 0, 0},
+	{"control", "bootstrap", SETTINGS_TEXT, CONTROL_FIELD(bootstrap), "", 0, 0},
+	{"control", "policy", SETTINGS_TEXT, CONTROL_FIELD(policy), "flow", 1, 0},
+	{"control", "seed", SETTINGS_INT, CONTROL_FIELD(seed), "1", 0, INT32_MAX},
+	{"control", "drain_ms", SETTINGS_INT, CONTROL_FIELD(drain_ms), "1500", 0, 600000},
+	{"platform", "address", SETTINGS_ADDR, CONTROL_FIELD(platform), NULL, 0, 0},
+	{"platform", "retention_s", SETTINGS_INT, CONTROL_FIELD(retention_s), "3600", 1, 1000000},
+	{"platform", "hosts_ms", SETTINGS_INT, CONTROL_FIELD(hosts_ms), "1000", 10, 600000},
+	{"platform", "append_ms", SETTINGS_INT, CONTROL_FIELD(append_ms), "1000", 10, 600000},
+	{"peers", "heartbeat_ms", SETTINGS_INT, CONTROL_FIELD(heartbeat_ms), "300", 10, 600000},
+	{"peers", "silent_ms", SETTINGS_INT, CONTROL_FIELD(silent_ms), "900", 10, 600000},
+	{"peers", "idle_ms", SETTINGS_INT, CONTROL_FIELD(idle_ms), "5000", 10, 600000},
+	{"peers", "suspect_ms", SETTINGS_INT, CONTROL_FIELD(suspect_ms), "2000", 10, 600000},
+	{"peers", "gossip_ms", SETTINGS_INT, CONTROL_FIELD(gossip_ms), "1000", 10, 600000},
+	{"endpoints", "overlap_percent", SETTINGS_INT, CONTROL_FIELD(overlap_percent), "150", 1,
+	 1000},
+	{"endpoints", "load_ms", SETTINGS_INT, CONTROL_FIELD(load_ms), "1000", 10, 600000},
+	{"endpoints", "load_timeout_ms", SETTINGS_INT, CONTROL_FIELD(load_timeout_ms), "400", 10,
 	 600000},
-	{"endpoints", "lease_ms", SET_INT, CONTROL_FIELD(lease_ms), "5000", 100, 600000},
-	{"claims", "partitions", SET_INT, CONTROL_FIELD(claim_partitions), "64", 1, 4096},
-	{"claims", "life_s", SET_INT, CONTROL_FIELD(claim_life_s), "1800", 1, 1000000},
+	{"endpoints", "lease_ms", SETTINGS_INT, CONTROL_FIELD(lease_ms), "5000", 100, 600000},
+	{"claims", "partitions", SETTINGS_INT, CONTROL_FIELD(claim_partitions), "64", 1, 4096},
+	{"claims", "life_s", SETTINGS_INT, CONTROL_FIELD(claim_life_s), "1800", 1, 1000000},
 };
 
 static const control_msg_fn control_msg_handlers[MSG_KIND_COUNT] = {
@@ -62,14 +63,14 @@
 /* Returns the state of a connection; creates it at the connection's first message. */
 static struct control_conn *control_conn_get(struct control *c, struct frm_conn *conn)
 {
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 
 	if (peer)
 		return peer;
 	peer = g_new0(struct control_conn, 1);
 	peer->conn = conn;
 	peer->id = ++c->last_conn_id;
-	frm_set_data(conn, peer);
+	frm_set_user_data(conn, peer);
 	g_hash_table_insert(c->conns, &peer->id, peer);
 	return peer;
 }
@@ -93,7 +94,7 @@
 
 void control_conn_remove(struct control *c, struct frm_conn *conn)
 {
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 
 	control_gossip_peer_closed(c, conn);
 	if (!peer)
@@ -101,7 +102,7 @@
 	g_hash_table_remove(c->conns, &peer->id);
 	control_pools_conn_closed(c, peer->id);
 	control_once_conn_closed(c, peer->id);
-	frm_set_data(conn, NULL);
+	frm_set_user_data(conn, NULL);
 	g_free(peer);
 }
 
@@ -109,11 +110,11 @@
 {
 	struct control *c = ctx;
 
-	c->cpu_us = loop_cpu_us();
+	c->cpu_us = loop_thread_cpu_us();
 	control_pools_tick(c, now_us);
 	control_once_tick(c, now_us);
 	control_log_tick(c, now_us);
-	loop_after(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
+	loop_start_timer(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
 }
 
 static void control_on_stop_timer(void *ctx, int64_t now_us)
@@ -121,8 +122,9 @@
 	struct control *c = ctx;
 
 	(void)now_us;
-	if (hd_open(c->operators) > 0)
-		loop_after(&c->loop, &c->stop_timer, CONTROL_TICK_US, control_on_stop_timer, c);
+	if (hd_open_requests(c->operators) > 0)
+		loop_start_timer(&c->loop, &c->stop_timer, CONTROL_TICK_US, control_on_stop_timer,
+				 c);
 	else
 		loop_stop(&c->loop);
 }
@@ -142,8 +144,8 @@
 	log_msg(LOG_NOTICE, "stopping drain_ms=%d", (int)c->settings.drain_ms);
 	control_hosts_register(c);
 	control_push_updates_to_all(c);
-	loop_after(&c->loop, &c->stop_timer, c->settings.drain_ms * USEC_PER_MSEC,
-		   control_on_stop_timer, c);
+	loop_start_timer(&c->loop, &c->stop_timer, c->settings.drain_ms * USEC_PER_MSEC,
+			 control_on_stop_timer, c);
 }
 
 struct frm_limits control_frm_limits(const struct control *c)
@@ -207,7 +209,7 @@
 	control_log_start(c);
 	control_hosts_start(c);
 	control_order_start(c);
-	loop_after(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
+	loop_start_timer(&c->loop, &c->tick_timer, CONTROL_TICK_US, control_on_tick, c);
 	log_msg(LOG_INFO, "started host=%s listen=%s operators=%s", c->settings.name,
 		c->settings.listen, c->settings.operator_addr);
 	loop_run(&c->loop);
--- a/prog/control_hosts.c
+++ b/prog/control_hosts.c
@@ -97,8 +97,8 @@
 		control_hosts_register(c);
 	hc_start(c->hc, &request, &control_hosts_ops, c);
 	g_free(url);
-	loop_after(&c->loop, &c->hosts_timer, c->settings.hosts_ms * USEC_PER_MSEC,
-		   control_poll_hosts, c);
+	loop_start_timer(&c->loop, &c->hosts_timer, c->settings.hosts_ms * USEC_PER_MSEC,
+			 control_poll_hosts, c);
 }
 
 static void control_copy_member(char *to, size_t size, const json_t *json, const char *key)
@@ -268,8 +268,8 @@
 			frm_send(c->gossip_peers[i], MSG_CONF_REVISION, &msg.base);
 	}
 	c->gossip_round++;
-	loop_after(&c->loop, &c->gossip_timer, c->settings.gossip_ms * USEC_PER_MSEC,
-		   control_gossip, c);
+	loop_start_timer(&c->loop, &c->gossip_timer, c->settings.gossip_ms * USEC_PER_MSEC,
+			 control_gossip, c);
 }
 
 void control_gossip_peer_closed(struct control *c, const struct frm_conn *conn)
@@ -340,7 +340,7 @@
 	(void)conn;
 	if (!msg)
 		return BASE_EFRAME;
-	applied = clog_on_peer_state(&c->clog, str_of(msg->snapshot));
+	applied = clog_on_peer_state(&c->clog, str_from_cstr(msg->snapshot));
 	conf__state__free_unpacked(msg, NULL);
 	if (applied < 0)
 		return BASE_EFRAME;
@@ -357,7 +357,7 @@
 int control_on_in_force(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Conf__InForce *msg = conf__in_force__unpack(NULL, len, body);
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 	bool new_subscriber;
 
 	if (!msg)
--- a/prog/control_http.c
+++ b/prog/control_http.c
@@ -268,7 +268,7 @@
 static char *control_http_authenticate(const struct control *c, struct hd_call *call)
 {
 	const char *header = hd_header(call, "Authorization");
-	const char *token = header ? prog_path_below(header, "Bearer ") : NULL;
+	const char *token = header ? prog_path_suffix(header, "Bearer ") : NULL;
 	const char *dot = token ? strchr(token, '.') : NULL;
 	const struct conf_obj *operator;
 	char *name;
--- a/prog/control_log.c
+++ b/prog/control_log.c
@@ -181,7 +181,8 @@
 				base_strerror(err));
 		c->log_ok = false;
 		met_add(met_counter("bg_log_read_failures_total", ""), 1);
-		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow, c);
+		loop_start_timer(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow,
+				 c);
 		return;
 	}
 	if (!c->log_ok)
@@ -193,7 +194,8 @@
 	if (c->clog.ready)
 		control_log_follow(c, tmr_now());
 	else
-		loop_after(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow, c);
+		loop_start_timer(&c->loop, &c->follow_timer, CONTROL_RETRY_US, control_log_follow,
+				 c);
 }
 
 void control_conf_changed(struct control *c)
@@ -255,7 +257,8 @@
 		control_command_free(cmd);
 		return;
 	}
-	loop_after(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US, control_on_command_retry, cmd);
+	loop_start_timer(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US, control_on_command_retry,
+			 cmd);
 }
 
 static void control_on_command_retry(void *ctx, int64_t now_us)
@@ -276,8 +279,8 @@
 	if (cmd->append_uncertain)
 		control_command_check_log(cmd);
 	else
-		loop_after(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US, control_on_command_retry,
-			   cmd);
+		loop_start_timer(&c->loop, &cmd->retry_timer, CONTROL_RETRY_US,
+				 control_on_command_retry, cmd);
 }
 
 /* Reads the log to its end to find out whether an append without an answer took effect. */
@@ -303,8 +306,8 @@
 	else if (json)
 		control_command_append(cmd);
 	else
-		loop_after(&cmd->c->loop, &cmd->retry_timer, CONTROL_RETRY_US,
-			   control_on_command_retry, cmd);
+		loop_start_timer(&cmd->c->loop, &cmd->retry_timer, CONTROL_RETRY_US,
+				 control_on_command_retry, cmd);
 	json_decref(json);
 }
 
--- a/prog/control_once.c
+++ b/prog/control_once.c
@@ -162,7 +162,7 @@
 int control_on_claim(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Once__Claim *msg = once__claim__unpack(NULL, len, body);
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 	struct once_claim claim;
 	struct once_requester asker;
 
--- a/prog/control_order.c
+++ b/prog/control_order.c
@@ -61,7 +61,7 @@
 	order_init(&c->order, holder, c->settings.lease_ms * USEC_PER_MSEC);
 	c->order_next_endpoints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_free(holder);
-	loop_after(&c->loop, &c->order_timer, CONTROL_ORDER_TICK_US, control_order_tick, c);
+	loop_start_timer(&c->loop, &c->order_timer, CONTROL_ORDER_TICK_US, control_order_tick, c);
 }
 
 /*
@@ -99,7 +99,7 @@
 	struct control_order_scan found = {.c = c};
 
 	(void)now_us;
-	loop_after(&c->loop, &c->order_timer, CONTROL_ORDER_TICK_US, control_order_tick, c);
+	loop_start_timer(&c->loop, &c->order_timer, CONTROL_ORDER_TICK_US, control_order_tick, c);
 	conf_each(c->clog.state, CONF_MODEL, control_order_find_candidate, &found);
 	if (!c->clog.ready || c->order_reading || !found.model)
 		return;
--- a/prog/control_pool.c
+++ b/prog/control_pool.c
@@ -228,7 +228,7 @@
 			delay = 0;
 	}
 	json_decref(json);
-	loop_after(&c->loop, &poll->timer, delay, control_poll_send, poll);
+	loop_start_timer(&c->loop, &poll->timer, delay, control_poll_send, poll);
 }
 
 static void control_probe(void *ctx, const struct pool_endpoint *endpoint)
@@ -237,7 +237,7 @@
 	struct control_poll *poll = g_hash_table_lookup(cp->polls, endpoint->name);
 
 	if (poll && !poll->call)
-		loop_after(&cp->c->loop, &poll->timer, 0, control_poll_send, poll);
+		loop_start_timer(&cp->c->loop, &poll->timer, 0, control_poll_send, poll);
 }
 
 static struct control_conn *control_conn_find(struct control *c, uint64_t id)
@@ -311,7 +311,7 @@
 int control_on_ask(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Ask *msg = pool__ask__unpack(NULL, len, body);
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 	int64_t now = tmr_now();
 	struct pool_grant_request ask;
 	char **exclude;
@@ -340,7 +340,7 @@
 int control_on_withdraw(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Withdraw *msg = pool__withdraw__unpack(NULL, len, body);
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 
 	if (!msg)
 		return BASE_EFRAME;
@@ -369,7 +369,7 @@
 int control_on_holding(struct control *c, struct frm_conn *conn, const uint8_t *body, size_t len)
 {
 	Pool__Holding *msg = pool__holding__unpack(NULL, len, body);
-	struct control_conn *peer = frm_data(conn);
+	struct control_conn *peer = frm_user_data(conn);
 	Pool__Held answer = POOL__HELD__INIT;
 	struct pool_grant_request ask;
 	char **stages;
--- a/prog/ctl.c
+++ b/prog/ctl.c
@@ -244,7 +244,7 @@
 	struct conf_state *empty = conf_state_new();
 	struct conf_problem problem;
 	int err;
-	struct conf_state *state = conf_apply(empty, str_of(text), &problem, &err);
+	struct conf_state *state = conf_apply(empty, str_from_cstr(text), &problem, &err);
 
 	conf_state_unref(empty);
 	if (!state)
--- a/prog/entry_answer.c
+++ b/prog/entry_answer.c
@@ -111,7 +111,7 @@
 {
 	char *text = json_dumps(json, JSON_COMPACT);
 	char *line = g_strdup_printf("data: %s\n\n", text);
-	bool ok = hd_write(call->http, line, strlen(line));
+	bool ok = hd_reply_write(call->http, line, strlen(line));
 
 	g_free(line);
 	free(text);
@@ -132,7 +132,7 @@
 		call->answer_begun = true;
 		entry_set_headers(call->http, call->request, req_ran_name(REQ_RAN_YES), 0);
 		entry_set_route(call);
-		hd_begin(call->http, 200, "text/event-stream");
+		hd_reply_begin(call->http, 200, "text/event-stream");
 	}
 	if (!entry_answer_event(call,
 				entry_answer_object(call, entry_formats[call->kind].chunk_object,
@@ -161,8 +161,8 @@
 				   entry_answer_choice(call, "", 0, "length"));
 	json_object_set_new(last, "usage", entry_answer_usage(call));
 	entry_answer_event(call, last);
-	hd_write(call->http, done, sizeof(done) - 1);
-	hd_end(call->http);
+	hd_reply_write(call->http, done, sizeof(done) - 1);
+	hd_reply_end(call->http);
 }
 
 static void entry_finish_whole(struct entry_call *call)
@@ -205,7 +205,7 @@
 {
 	call->answer_begun = true;
 	entry_set_headers(call->http, call->request, req_ran_name(REQ_RAN_YES), 0);
-	hd_begin(call->http, 200, "text/event-stream");
+	hd_reply_begin(call->http, 200, "text/event-stream");
 }
 
 void entry_answer_finish(struct entry_call *call, enum req_code code, int64_t retry_us)
--- a/prog/entry_call.c
+++ b/prog/entry_call.c
@@ -330,7 +330,7 @@
 
 		if (call->finished || !call->http)
 			continue;
-		if (!call->too_slow && !hd_gone(call->http))
+		if (!call->too_slow && !hd_client_closed(call->http))
 			continue;
 		hd_abort(call->http);
 		hd_unref(call->http);
@@ -340,9 +340,9 @@
 	}
 	g_list_free(calls);
 	entry_remove_expired_calls(e, now_us);
-	e->traffic.cpu_us = loop_cpu_us();
-	loop_after(&e->traffic.loop, &e->traffic.sweep_timer, ENTRY_SWEEP_US, entry_on_sweep_timer,
-		   e);
+	e->traffic.cpu_us = loop_thread_cpu_us();
+	loop_start_timer(&e->traffic.loop, &e->traffic.sweep_timer, ENTRY_SWEEP_US,
+			 entry_on_sweep_timer, e);
 }
 
 static void *entry_traffic_main(void *ctx)
@@ -390,7 +390,7 @@
 			base_strerror(err));
 		return err;
 	}
-	loop_after(&t->loop, &t->sweep_timer, ENTRY_SWEEP_US, entry_on_sweep_timer, e);
+	loop_start_timer(&t->loop, &t->sweep_timer, ENTRY_SWEEP_US, entry_on_sweep_timer, e);
 	if (pthread_create(&t->thread, NULL, entry_traffic_main, e) != 0)
 		return BASE_ESYS;
 	return 0;
--- a/prog/entry_http.c
+++ b/prog/entry_http.c
@@ -135,7 +135,7 @@
 	call->tokens = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	call->claim_ids = g_ptr_array_new_with_free_func(g_free);
 	call->joiners = g_ptr_array_new_with_free_func(g_free);
-	token = token ? prog_path_below(token, "Bearer ") : NULL;
+	token = token ? prog_path_suffix(token, "Bearer ") : NULL;
 	/* The bearer token takes the place of the name until entry_call_authorize() has run. */
 	call->account = g_strdup(token);
 	return call;
@@ -161,7 +161,7 @@
 	if (idempotent)
 		call->idempotent = strcmp(idempotent, "yes") == 0;
 	if (deadline) {
-		if (!str_to_u64(str_of(deadline), &ms) || ms == 0 || ms > G_MAXINT32)
+		if (!str_to_u64(str_from_cstr(deadline), &ms) || ms == 0 || ms > G_MAXINT32)
 			return "Bg-Deadline-Ms";
 		call->deadline_us = call->began_us + (int64_t)ms * USEC_PER_MSEC;
 	}
@@ -273,7 +273,7 @@
 static void entry_http_service(struct entry *e, struct hd_call *http)
 {
 	struct entry_call *call = entry_call_new(e, http, ENTRY_SERVICE);
-	const char *path = prog_path_below(hd_path(http), "/svc/");
+	const char *path = prog_path_suffix(hd_path(http), "/svc/");
 	const char *slash = strchr(path, '/');
 	const char *type = hd_header(http, "Content-Type");
 	const char *body = hd_body(http, &call->body_len);
@@ -299,7 +299,7 @@
 	struct entry *e = ctx;
 	bool known = false;
 
-	if (prog_path_below(hd_path(http), "/svc/")) {
+	if (prog_path_suffix(hd_path(http), "/svc/")) {
 		entry_http_service(e, http);
 		return;
 	}
--- a/prog/entry_stream.c
+++ b/prog/entry_stream.c
@@ -210,7 +210,7 @@
 	g_string_append_len(call->sse_buffer, data, (gssize)len);
 	while (call->hc == stream && (end = strstr(call->sse_buffer->str, "\n\n"))) {
 		gsize used = (gsize)(end - call->sse_buffer->str) + 2;
-		const char *payload = prog_path_below(call->sse_buffer->str, "data: ");
+		const char *payload = prog_path_suffix(call->sse_buffer->str, "data: ");
 		json_t *json = NULL;
 
 		if (payload)
--- a/prog/entry_view.c
+++ b/prog/entry_view.c
@@ -88,7 +88,8 @@
 		log_msg(LOG_WARNING, "control_lost reason=\"%s\"", base_strerror(err));
 	e->view.conn = NULL;
 	e->view.failures++;
-	loop_after(&e->loop, &e->view.retry_timer, ENTRY_VIEW_RETRY_US, entry_view_connect, e);
+	loop_start_timer(&e->loop, &e->view.retry_timer, ENTRY_VIEW_RETRY_US, entry_view_connect,
+			 e);
 }
 
 static int entry_view_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -119,7 +120,7 @@
 
 	if (!msg)
 		return BASE_EFRAME;
-	taken = clog_on_peer_state(&e->view.clog, str_of(msg->snapshot));
+	taken = clog_on_peer_state(&e->view.clog, str_from_cstr(msg->snapshot));
 	conf__state__free_unpacked(msg, NULL);
 	if (taken < 0)
 		return BASE_EFRAME;
--- a/prog/load.c
+++ b/prog/load.c
@@ -21,25 +21,25 @@
 
 #define LOAD_OFFSET(field) offsetof(struct load_settings, field)
 
-static const struct set_item load_items[] = {
-	{"load", "entries", SET_TEXT, LOAD_OFFSET(entries), NULL, 1, 0},
-	{"load", "accounts", SET_TEXT, LOAD_OFFSET(accounts), NULL, 1, 0},
-	{"load", "rates", SET_TEXT, LOAD_OFFSET(rates), "1", 1, 0},
-	{"load", "tokens", SET_TEXT, LOAD_OFFSET(tokens), "16-16", 1, 0},
-	{"load", "model", SET_TEXT, LOAD_OFFSET(model), NULL, 1, 0},
-	{"load", "declarations", SET_TEXT, LOAD_OFFSET(declarations), "", 0, 0},
-	{"load", "service", SET_TEXT, LOAD_OFFSET(service), "", 0, 0},
-	{"load", "out", SET_TEXT, LOAD_OFFSET(out), "", 0, 0},
-	{"load", "closed", SET_INT, LOAD_OFFSET(closed), "0", 0, 1},
-	{"load", "direct", SET_INT, LOAD_OFFSET(direct), "0", 0, 100},
-	{"load", "service_percent", SET_INT, LOAD_OFFSET(service_percent), "0", 0, 100},
-	{"load", "once_percent", SET_INT, LOAD_OFFSET(once_percent), "0", 0, 100},
-	{"load", "prompt_chars", SET_INT, LOAD_OFFSET(prompt_chars), "200", 1, 1000000},
-	{"load", "duration_ms", SET_INT, LOAD_OFFSET(duration_ms), "5000", 1, 3600000},
-	{"load", "drain_ms", SET_INT, LOAD_OFFSET(drain_ms), "30000", 0, 3600000},
-	{"load", "deadline_ms", SET_INT, LOAD_OFFSET(deadline_ms), "60000", 1, 3600000},
-	{"load", "seed", SET_INT, LOAD_OFFSET(seed), "1", 0, INT32_MAX},
-	{"load", "retry", SET_INT, LOAD_OFFSET(retry), "0", 0, 100},
+static const struct settings_item load_items[] = {
+	{"load", "entries", SETTINGS_TEXT, LOAD_OFFSET(entries), NULL, 1, 0},
+	{"load", "accounts", SETTINGS_TEXT, LOAD_OFFSET(accounts), NULL, 1, 0},
+	{"load", "rates", SETTINGS_TEXT, LOAD_OFFSET(rates), "1", 1, 0},
+	{"load", "tokens", SETTINGS_TEXT, LOAD_OFFSET(tokens), "16-16", 1, 0},
+	{"load", "model", SETTINGS_TEXT, LOAD_OFFSET(model), NULL, 1, 0},
+	{"load", "declarations", SETTINGS_TEXT, LOAD_OFFSET(declarations), "", 0, 0},
+	{"load", "service", SETTINGS_TEXT, LOAD_OFFSET(service), "", 0, 0},
+	{"load", "out", SETTINGS_TEXT, LOAD_OFFSET(out), "", 0, 0},
+	{"load", "closed", SETTINGS_INT, LOAD_OFFSET(closed), "0", 0, 1},
+	{"load", "direct", SETTINGS_INT, LOAD_OFFSET(direct), "0", 0, 100},
+	{"load", "service_percent", SETTINGS_INT, LOAD_OFFSET(service_percent), "0", 0, 100},
+	{"load", "once_percent", SETTINGS_INT, LOAD_OFFSET(once_percent), "0", 0, 100},
+	{"load", "prompt_chars", SETTINGS_INT, LOAD_OFFSET(prompt_chars), "200", 1, 1000000},
+	{"load", "duration_ms", SETTINGS_INT, LOAD_OFFSET(duration_ms), "5000", 1, 3600000},
+	{"load", "drain_ms", SETTINGS_INT, LOAD_OFFSET(drain_ms), "30000", 0, 3600000},
+	{"load", "deadline_ms", SETTINGS_INT, LOAD_OFFSET(deadline_ms), "60000", 1, 3600000},
+	{"load", "seed", SETTINGS_INT, LOAD_OFFSET(seed), "1", 0, INT32_MAX},
+	{"load", "retry", SETTINGS_INT, LOAD_OFFSET(retry), "0", 0, 100},
 };
 
 static const struct hc_ops load_ops = {.on_data = load_on_data, .on_done = load_on_done};
@@ -84,8 +84,8 @@
 	struct load *load = account->load;
 	double wait = -log(1 - g_rand_double(load->rand)) / account->rate;
 
-	loop_after(&load->loop, &account->arrival_timer, (int64_t)(wait * USEC_PER_SEC),
-		   load_on_arrival, account);
+	loop_start_timer(&load->loop, &account->arrival_timer, (int64_t)(wait * USEC_PER_SEC),
+			 load_on_arrival, account);
 }
 
 static void load_on_arrival(void *ctx, int64_t now_us)
@@ -274,7 +274,7 @@
 	if (call->service)
 		return;
 	while ((end = strstr(call->sse_buffer->str, "\n\n"))) {
-		const char *payload = prog_path_below(call->sse_buffer->str, "data: ");
+		const char *payload = prog_path_suffix(call->sse_buffer->str, "data: ");
 
 		if (payload)
 			load_on_event(call, payload, (size_t)(end - payload));
@@ -341,8 +341,8 @@
 			       call->path == LOAD_DIRECT ? "direct" : "router", status, result,
 			       call->received_tokens, call->first_token_us, all);
 	if (result != LOAD_OK && call->retries++ < load->settings.retry) {
-		loop_after(&load->loop, &call->retry_timer, LOAD_RETRY_DELAY_US, load_on_retry,
-			   call);
+		loop_start_timer(&load->loop, &call->retry_timer, LOAD_RETRY_DELAY_US,
+				 load_on_retry, call);
 		return;
 	}
 	load->open_calls--;
@@ -369,8 +369,8 @@
 	load->stopping = true;
 	if (load->open_calls == 0)
 		loop_stop(&load->loop);
-	loop_after(&load->loop, &load->end_timer, load->settings.drain_ms * USEC_PER_MSEC,
-		   load_on_drain_timeout, load);
+	loop_start_timer(&load->loop, &load->end_timer, load->settings.drain_ms * USEC_PER_MSEC,
+			 load_on_drain_timeout, load);
 }
 
 static void load_on_progress(void *ctx, int64_t now_us)
@@ -379,8 +379,8 @@
 
 	fprintf(stderr, "\r%5.1f s  started %" G_GUINT64_FORMAT "  open %" G_GUINT64_FORMAT "   ",
 		(double)(now_us - load->start_us) / USEC_PER_SEC, load->last_id, load->open_calls);
-	loop_after(&load->loop, &load->progress_timer, LOAD_PROGRESS_INTERVAL_US, load_on_progress,
-		   load);
+	loop_start_timer(&load->loop, &load->progress_timer, LOAD_PROGRESS_INTERVAL_US,
+			 load_on_progress, load);
 }
 
 /* Returns the i-th item (from 0) of a comma-separated list, or the last if there are fewer. */
@@ -462,7 +462,7 @@
 	if (!load->settings.declarations[0])
 		return;
 	if (!g_file_get_contents(load->settings.declarations, &text, NULL, NULL) ||
-	    !(load->conf = conf_apply(empty, str_of(text), &problem, &err))) {
+	    !(load->conf = conf_apply(empty, str_from_cstr(text), &problem, &err))) {
 		fprintf(stderr, "bgload: %s: cannot be read or is not valid\n",
 			load->settings.declarations);
 		exit(PROG_EXIT_USAGE);
@@ -483,10 +483,10 @@
 		if (!load->settings.closed)
 			load_schedule_arrival(account);
 	}
-	loop_after(&load->loop, &load->end_timer, load->settings.duration_ms * USEC_PER_MSEC,
-		   load_on_end, load);
-	loop_after(&load->loop, &load->progress_timer, LOAD_PROGRESS_INTERVAL_US, load_on_progress,
-		   load);
+	loop_start_timer(&load->loop, &load->end_timer, load->settings.duration_ms * USEC_PER_MSEC,
+			 load_on_end, load);
+	loop_start_timer(&load->loop, &load->progress_timer, LOAD_PROGRESS_INTERVAL_US,
+			 load_on_progress, load);
 	loop_run(&load->loop);
 	fputc('\n', stderr);
 }
--- a/prog/router.c
+++ b/prog/router.c
@@ -39,27 +39,27 @@
 		section, key, type, offsetof(struct router_settings, field), initial, min, max     \
 	}
 
-const struct set_item router_setting_items[] = {
-	ITEM("host", "name", SET_TEXT, name, NULL, 1, 0),
-	ITEM("host", "zone", SET_TEXT, zone, NULL, 1, 0),
-	ITEM("host", "first_start", SET_INT, first_start, "0", 0, 1),
-	ITEM("host", "link_mbps", SET_REAL, link_mbps, "1000", 0, 1000000),
-	ITEM("host", "cores", SET_REAL, cores, "1", 0, 1024),
-	ITEM("listen", "front", SET_ADDR, front, NULL, 0, 0),
-	ITEM("listen", "ready", SET_ADDR, ready, NULL, 0, 0),
-	ITEM("listen", "metrics", SET_ADDR, metrics, NULL, 0, 0),
-	ITEM("listen", "control", SET_ADDR, control, NULL, 0, 0),
-	ITEM("listen", "control_known_as", SET_ADDR, control_known_as, "", 0, 0),
-	ITEM("hosts", "seeds", SET_TEXT, seeds, "", 0, 0),
-	ITEM("store", "address", SET_ADDR, store, NULL, 0, 0),
-	ITEM("store", "apply_ms", SET_INT, apply_ms, "2000", 10, 600000),
-	ITEM("endpoints", "drain_ms", SET_INT, drain_ms, "2000", 10, 600000),
-	ITEM("endpoints", "heartbeat_ms", SET_INT, heartbeat_ms, "1200", 10, 600000),
-	ITEM("repeats", "ratio", SET_REAL, repeat_ratio, "0.2", 0, 1000),
-	ITEM("repeats", "window_s", SET_REAL, repeat_window_s, "10", 1, 3600),
-	ITEM("repeats", "fixed", SET_REAL, repeat_fixed, "10", 0, 1000000),
-	ITEM("stop", "grace_s", SET_INT, grace_s, "8", 1, 3600),
-	ITEM("log", "lines_per_s", SET_INT, log_lines, "300", 0, 1000000),
+const struct settings_item router_setting_items[] = {
+	ITEM("host", "name", SETTINGS_TEXT, name, NULL, 1, 0),
+	ITEM("host", "zone", SETTINGS_TEXT, zone, NULL, 1, 0),
+	ITEM("host", "first_start", SETTINGS_INT, first_start, "0", 0, 1),
+	ITEM("host", "link_mbps", SETTINGS_REAL, link_mbps, "1000", 0, 1000000),
+	ITEM("host", "cores", SETTINGS_REAL, cores, "1", 0, 1024),
+	ITEM("listen", "front", SETTINGS_ADDR, front, NULL, 0, 0),
+	ITEM("listen", "ready", SETTINGS_ADDR, ready, NULL, 0, 0),
+	ITEM("listen", "metrics", SETTINGS_ADDR, metrics, NULL, 0, 0),
+	ITEM("listen", "control", SETTINGS_ADDR, control, NULL, 0, 0),
+	ITEM("listen", "control_known_as", SETTINGS_ADDR, control_known_as, "", 0, 0),
+	ITEM("hosts", "seeds", SETTINGS_TEXT, seeds, "", 0, 0),
+	ITEM("store", "address", SETTINGS_ADDR, store, NULL, 0, 0),
+	ITEM("store", "apply_ms", SETTINGS_INT, apply_ms, "2000", 10, 600000),
+	ITEM("endpoints", "drain_ms", SETTINGS_INT, drain_ms, "2000", 10, 600000),
+	ITEM("endpoints", "heartbeat_ms", SETTINGS_INT, heartbeat_ms, "1200", 10, 600000),
+	ITEM("repeats", "ratio", SETTINGS_REAL, repeat_ratio, "0.2", 0, 1000),
+	ITEM("repeats", "window_s", SETTINGS_REAL, repeat_window_s, "10", 1, 3600),
+	ITEM("repeats", "fixed", SETTINGS_REAL, repeat_fixed, "10", 0, 1000000),
+	ITEM("stop", "grace_s", SETTINGS_INT, grace_s, "8", 1, 3600),
+	ITEM("log", "lines_per_s", SETTINGS_INT, log_lines, "300", 0, 1000000),
 };
 const size_t router_setting_items_n = G_N_ELEMENTS(router_setting_items);
 
@@ -138,7 +138,7 @@
 
 	if (hd)
 		return hd;
-	jl_begin(JL_KEEP, "listen_failed");
+	jl_begin(JL_UNLIMITED, "listen_failed");
 	jl_str("addr", addr);
 	jl_end();
 	exit(PROG_EXIT_FAILED);
@@ -150,7 +150,7 @@
 	const struct router *router = &router_main.router;
 	const struct router_settings *s = &router->settings;
 
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("zone", s->zone);
 	jl_str("front", s->front);
 	jl_str("store", s->store);
@@ -166,8 +166,8 @@
 static void router_set_origin(struct router *router, const char *cause)
 {
 	router_origin_set(&router->settings_origin,
-			  set_digest(router_setting_items, router_setting_items_n,
-				     &router->settings, router_shared_sections),
+			  settings_digest(router_setting_items, router_setting_items_n,
+					  &router->settings, router_shared_sections),
 			  cause);
 }
 
@@ -188,8 +188,8 @@
 	router->settings.grace_s = fresh->grace_s;
 	fresh->first_start = router->settings.first_start;
 	jl_set_rate(fresh->log_lines);
-	set_differing(router_setting_items, router_setting_items_n, &router->settings, fresh,
-		      waiting);
+	settings_differing(router_setting_items, router_setting_items_n, &router->settings, fresh,
+			   waiting);
 	router->settings_waiting = g_string_free(waiting, FALSE);
 	router_set_origin(router, cause);
 	changed = digest != router->settings_origin.digest ||
@@ -209,8 +209,8 @@
 	GString *errors = g_string_new(NULL);
 
 	memset(&fresh, 0, sizeof(fresh));
-	if (set_load(prog_config_path(), router_setting_items, router_setting_items_n, &fresh,
-		     errors) < 0) {
+	if (settings_load(prog_config_path(), router_setting_items, router_setting_items_n, &fresh,
+			  errors) < 0) {
 		g_strdelimit(errors->str, "\n", ' ');
 		router_log_event("reload_failed", errors->str);
 	} else if (router_apply_settings(&m->router, &fresh, cause) || requested) {
@@ -218,7 +218,7 @@
 	} else {
 		m->router.settings_origin = before;
 	}
-	set_clear(router_setting_items, router_setting_items_n, &fresh);
+	settings_clear(router_setting_items, router_setting_items_n, &fresh);
 	g_string_free(errors, TRUE);
 }
 
@@ -255,8 +255,8 @@
 	(void)now_us;
 	if (router_file_changed(&m->settings_file))
 		router_reload(m, "file", false);
-	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_POLL_MS),
-		   router_on_settings_timer, m);
+	loop_start_timer(&m->loop, &m->settings_timer, tmr_from_ms(ROUTER_SETTINGS_POLL_MS),
+			 router_on_settings_timer, m);
 }
 
 /*
@@ -268,7 +268,7 @@
 {
 	struct router_main *m = ctx;
 	int64_t since_ms = (now_us - m->router.stop_us) / TMR_US_PER_MS;
-	bool open = traf_open_requests(m->router.traf) > 0 || hd_open(m->router.front) > 0;
+	bool open = traf_open_requests(m->router.traf) > 0 || hd_open_requests(m->router.front) > 0;
 
 	m->idle_polls = open ? 0 : m->idle_polls + 1;
 	if ((since_ms >= ROUTER_STOP_SERVE_MS && m->idle_polls >= ROUTER_STOP_IDLE_POLLS) ||
@@ -276,7 +276,8 @@
 		loop_stop(&m->loop);
 		return;
 	}
-	loop_after(&m->loop, &m->stop_timer, tmr_ms(ROUTER_STOP_POLL_MS), router_on_stop_timer, m);
+	loop_start_timer(&m->loop, &m->stop_timer, tmr_from_ms(ROUTER_STOP_POLL_MS),
+			 router_on_stop_timer, m);
 }
 
 static void router_on_stop(void *ctx)
@@ -288,9 +289,9 @@
 	m->router.stop_us = tmr_now();
 	router_log_event("stopping", NULL);
 	g_atomic_int_set(&m->router.stopping, 1);
-	hd_set_closing(m->router.front);
+	hd_set_connection_close(m->router.front);
 	ctrl_stop(m->router.ctrl);
-	loop_after(&m->loop, &m->stop_timer, 0, router_on_stop_timer, m);
+	loop_start_timer(&m->loop, &m->stop_timer, 0, router_on_stop_timer, m);
 }
 
 int main(int argc, char **argv)
@@ -313,8 +314,8 @@
 		router_listen(router->settings.metrics, router_on_metrics_call, router);
 	router->ctrl = ctrl_start(router, &m->loop);
 	router_set_origin(router, "start");
-	loop_after(&m->loop, &m->settings_timer, tmr_ms(ROUTER_SETTINGS_POLL_MS),
-		   router_on_settings_timer, m);
+	loop_start_timer(&m->loop, &m->settings_timer, tmr_from_ms(ROUTER_SETTINGS_POLL_MS),
+			 router_on_settings_timer, m);
 	router_log_event("start", PROG_VERSION);
 	loop_run(&m->loop);
 	router_log_event("stop", NULL);
--- a/prog/script.c
+++ b/prog/script.c
@@ -99,21 +99,21 @@
 
 #define SCRIPT_FIELD(field) offsetof(struct script_settings, field)
 
-static const struct set_item script_setting_items[] = {
-	{"script", "platform", SET_ADDR, SCRIPT_FIELD(platform), NULL, 0, 0},
-	{"script", "target", SET_ADDR, SCRIPT_FIELD(target), NULL, 0, 0},
-	{"script", "listen", SET_ADDR, SCRIPT_FIELD(listen), NULL, 0, 0},
-	{"script", "pools", SET_INT, SCRIPT_FIELD(pools), "1", 1, 10000},
-	{"script", "version", SET_TEXT, SCRIPT_FIELD(version), "v1", 1, 0},
-	{"script", "hosts", SET_INT, SCRIPT_FIELD(hosts), "10", 0, 10000},
-	{"script", "entries", SET_INT, SCRIPT_FIELD(entries), "1", 0, 1000},
-	{"script", "accounts", SET_INT, SCRIPT_FIELD(accounts), "1", 1, 10000},
-	{"script", "asks", SET_INT, SCRIPT_FIELD(asks), "0", 0, 100000},
-	{"script", "claims", SET_INT, SCRIPT_FIELD(claims), "0", 0, 100000},
-	{"script", "hold_ms", SET_INT, SCRIPT_FIELD(hold_ms), "1000", 0, 100000},
-	{"script", "tokens", SET_INT, SCRIPT_FIELD(tokens), "460", 1, 1000000},
-	{"script", "duration_ms", SET_INT, SCRIPT_FIELD(duration_ms), "10000", 1, 3600000},
-	{"script", "seed", SET_INT, SCRIPT_FIELD(seed), "1", 0, INT32_MAX},
+static const struct settings_item script_setting_items[] = {
+	{"script", "platform", SETTINGS_ADDR, SCRIPT_FIELD(platform), NULL, 0, 0},
+	{"script", "target", SETTINGS_ADDR, SCRIPT_FIELD(target), NULL, 0, 0},
+	{"script", "listen", SETTINGS_ADDR, SCRIPT_FIELD(listen), NULL, 0, 0},
+	{"script", "pools", SETTINGS_INT, SCRIPT_FIELD(pools), "1", 1, 10000},
+	{"script", "version", SETTINGS_TEXT, SCRIPT_FIELD(version), "v1", 1, 0},
+	{"script", "hosts", SETTINGS_INT, SCRIPT_FIELD(hosts), "10", 0, 10000},
+	{"script", "entries", SETTINGS_INT, SCRIPT_FIELD(entries), "1", 0, 1000},
+	{"script", "accounts", SETTINGS_INT, SCRIPT_FIELD(accounts), "1", 1, 10000},
+	{"script", "asks", SETTINGS_INT, SCRIPT_FIELD(asks), "0", 0, 100000},
+	{"script", "claims", SETTINGS_INT, SCRIPT_FIELD(claims), "0", 0, 100000},
+	{"script", "hold_ms", SETTINGS_INT, SCRIPT_FIELD(hold_ms), "1000", 0, 100000},
+	{"script", "tokens", SETTINGS_INT, SCRIPT_FIELD(tokens), "460", 1, 1000000},
+	{"script", "duration_ms", SETTINGS_INT, SCRIPT_FIELD(duration_ms), "10000", 1, 3600000},
+	{"script", "seed", SETTINGS_INT, SCRIPT_FIELD(seed), "1", 0, INT32_MAX},
 };
 
 static const struct frm_ops script_ops = {script_on_msg, script_on_close};
@@ -156,7 +156,7 @@
 		g_free(url);
 		g_free(body);
 	}
-	loop_after(&s->loop, &s->register_timer, SCRIPT_REGISTER_US, script_register, s);
+	loop_start_timer(&s->loop, &s->register_timer, SCRIPT_REGISTER_US, script_register, s);
 }
 
 /*
@@ -182,7 +182,7 @@
 		frm_send(s->gossip[i], MSG_CONF_REVISION, &msg.base);
 	}
 	s->gossip_round++;
-	loop_after(&s->loop, &s->gossip_timer, SCRIPT_GOSSIP_US, script_gossip, s);
+	loop_start_timer(&s->loop, &s->gossip_timer, SCRIPT_GOSSIP_US, script_gossip, s);
 }
 
 static void script_send_done(void *ctx, int64_t now_us)
@@ -208,8 +208,8 @@
 	held->grant_id = msg->grant_id;
 	held->pool = g_hash_table_lookup(s->asked_pools, &msg->ask_id);
 	g_hash_table_remove(s->asked_pools, &msg->ask_id);
-	loop_after(&s->loop, &held->timer, s->settings.hold_ms * USEC_PER_MSEC, script_send_done,
-		   held);
+	loop_start_timer(&s->loop, &held->timer, s->settings.hold_ms * USEC_PER_MSEC,
+			 script_send_done, held);
 }
 
 static int script_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
@@ -297,8 +297,8 @@
 	g_hash_table_insert(s->asked_pools, g_memdup2(&id, sizeof(id)), pool);
 	frm_send(script_random_entry(s), MSG_POOL_ASK, &msg.base);
 	g_free(account);
-	loop_after(&s->loop, &s->ask_timer, script_poisson_interval(s, s->settings.asks),
-		   script_send_ask, s);
+	loop_start_timer(&s->loop, &s->ask_timer, script_poisson_interval(s, s->settings.asks),
+			 script_send_ask, s);
 }
 
 static void script_send_claim(void *ctx, int64_t now_us)
@@ -318,8 +318,8 @@
 	msg.digest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 	frm_send(script_random_entry(s), MSG_ONCE_CLAIM, &msg.base);
 	g_free(key);
-	loop_after(&s->loop, &s->claim_timer, script_poisson_interval(s, s->settings.claims),
-		   script_send_claim, s);
+	loop_start_timer(&s->loop, &s->claim_timer, script_poisson_interval(s, s->settings.claims),
+			 script_send_claim, s);
 }
 
 static void script_on_end(void *ctx, int64_t now_us)
@@ -345,8 +345,8 @@
 		script_send_ask(s, 0);
 	if (s->settings.claims > 0)
 		script_send_claim(s, 0);
-	loop_after(&s->loop, &s->end_timer, s->settings.duration_ms * USEC_PER_MSEC, script_on_end,
-		   s);
+	loop_start_timer(&s->loop, &s->end_timer, s->settings.duration_ms * USEC_PER_MSEC,
+			 script_on_end, s);
 }
 
 int main(int argc, char **argv)
--- a/req/matrix_test.cc
+++ b/req/matrix_test.cc
@@ -252,7 +252,8 @@
 	w->ToHome(index, 5 * kMs, [h, w, from]() {
 		bool ok = w->log_mode == kLogOk || w->log_mode == kLogLosesAnswer;
 		for (size_t i = (size_t)from; ok && i < w->log.size(); i++)
-			once_on_record(&h->once, (int64_t)i, str_of(w->log[i].c_str()), w->now);
+			once_on_record(&h->once, (int64_t)i, str_from_cstr(w->log[i].c_str()),
+				       w->now);
 		once_on_read(&h->once, ok, (int64_t)w->log.size(), w->now);
 	});
 }
--- a/router/crash.c
+++ b/router/crash.c
@@ -228,7 +228,7 @@
 
 static void crash_log(const struct crash_check *check, enum crash_finding finding, int err)
 {
-	jl_begin(crash_is_end(finding) ? JL_KEEP : JL_INFO, "cut_checked");
+	jl_begin(crash_is_end(finding) ? JL_UNLIMITED : JL_INFO, "cut_checked");
 	jl_str("endpoint", check->ep->rec->incarnation);
 	jl_str("addr", check->ep->rec->addr);
 	jl_str("finding", crash_findings[finding]);
@@ -256,7 +256,7 @@
 		if (!crash_is_suspect(cut))
 			continue;
 		quar_key_format(&cut->key, content);
-		jl_begin(JL_KEEP, "cut_when_begun");
+		jl_begin(JL_UNLIMITED, "cut_when_begun");
 		jl_str("id", cut->id);
 		jl_str("content", content);
 		jl_str("account", cut->account);
@@ -267,7 +267,8 @@
 
 static void crash_probe_later(struct crash_check *check, int64_t delay_ms)
 {
-	loop_after(&check->traf->loop, &check->timer, tmr_ms(delay_ms), crash_on_timer, check);
+	loop_start_timer(&check->traf->loop, &check->timer, tmr_from_ms(delay_ms), crash_on_timer,
+			 check);
 }
 
 /* Sends the next probe. If the endpoint has requested a rest, waits until that is over. */
@@ -342,7 +343,7 @@
 {
 	const char *endpoint = check->ep->rec->incarnation;
 
-	traf_mark_faulty(check->traf, check->ep, tmr_ms(CRASH_ENDED_MS), SUSPECT_ENDED, NULL);
+	traf_mark_faulty(check->traf, check->ep, tmr_from_ms(CRASH_ENDED_MS), SUSPECT_ENDED, NULL);
 	suspect_post(check->traf->router->ctrl, endpoint, CRASH_ENDED_MS, SUSPECT_ENDED);
 }
 
--- a/router/ctrl.c
+++ b/router/ctrl.c
@@ -32,7 +32,7 @@
  */
 static void ctrl_on_store_restored(struct ctrl *ctrl, int64_t before, const char *from)
 {
-	jl_begin(JL_KEEP, "store_returned");
+	jl_begin(JL_UNLIMITED, "store_returned");
 	jl_int("era", ctrl->era.now);
 	jl_int("before", before);
 	jl_str("from", from);
@@ -105,7 +105,7 @@
 	ctrl->limits = limits_new(ctrl);
 	ctrl_set_store_reading(ctrl, true);
 	member_start(ctrl);
-	loop_after(loop, &ctrl->tick_timer, tmr_ms(CTRL_TICK_MS), ctrl_on_tick, ctrl);
+	loop_start_timer(loop, &ctrl->tick_timer, tmr_from_ms(CTRL_TICK_MS), ctrl_on_tick, ctrl);
 	return ctrl;
 }
 
@@ -187,7 +187,7 @@
 static void ctrl_log_conf(const struct ctrl *ctrl, const struct rt_conf *conf, int64_t before,
 			  const char *from)
 {
-	jl_begin(JL_KEEP, "configuration");
+	jl_begin(JL_UNLIMITED, "configuration");
 	jl_int("version", conf->version);
 	jl_int("before", before);
 	jl_str("from", from);
@@ -199,7 +199,7 @@
 
 static void ctrl_log_not_packed(const struct rt_conf *conf)
 {
-	jl_begin(JL_KEEP, "configuration_not_packed");
+	jl_begin(JL_UNLIMITED, "configuration_not_packed");
 	jl_int("version", conf->version);
 	jl_end();
 }
@@ -226,7 +226,7 @@
 	uint64_t digest = str_hash(text.data, text.len, 0);
 
 	if (!conf) {
-		jl_begin(JL_KEEP, "configuration_unreadable");
+		jl_begin(JL_UNLIMITED, "configuration_unreadable");
 		jl_str("from", from);
 		jl_str("error", error);
 		jl_end();
@@ -264,7 +264,7 @@
 		g_free(error);
 		return;
 	}
-	jl_begin(JL_KEEP, "endpoint_unreadable");
+	jl_begin(JL_UNLIMITED, "endpoint_unreadable");
 	jl_str("endpoint", id);
 	jl_str("error", error);
 	jl_end();
@@ -282,7 +282,7 @@
 			      const struct ep_rec *last)
 {
 	if (last && last->text)
-		feed_on_record(ctrl->feed, place, id, str_of(last->text));
+		feed_on_record(ctrl->feed, place, id, str_from_cstr(last->text));
 	feed_on_record(ctrl->feed, place, id, str_make(NULL, 0));
 }
 
@@ -381,7 +381,7 @@
 	if (!follow_is_fed(ctrl->follow) && !reader_is_current(ctrl))
 		return;
 	ctrl->synced_us = now_us;
-	if (now_us - ctrl->synced_posted_us < tmr_ms(CTRL_SYNCED_MS))
+	if (now_us - ctrl->synced_posted_us < tmr_from_ms(CTRL_SYNCED_MS))
 		return;
 	ctrl->synced_posted_us = now_us;
 	traf_post_synced(ctrl->router->traf, now_us);
@@ -407,7 +407,8 @@
 		ctrl_post_view(ctrl);
 	feed_flush(ctrl->feed);
 	state_update_gauges(ctrl, now_us);
-	loop_after(ctrl->loop, &ctrl->tick_timer, tmr_ms(CTRL_TICK_MS), ctrl_on_tick, ctrl);
+	loop_start_timer(ctrl->loop, &ctrl->tick_timer, tmr_from_ms(CTRL_TICK_MS), ctrl_on_tick,
+			 ctrl);
 }
 
 static void ctrl_post_view(struct ctrl *ctrl)
@@ -433,7 +434,7 @@
 {
 	const struct router_settings *s = &ctrl->router->settings;
 
-	return tmr_ms(MIN(s->drain_ms, s->apply_ms));
+	return tmr_from_ms(MIN(s->drain_ms, s->apply_ms));
 }
 
 void ctrl_fill_rank_host(const struct ctrl *ctrl, struct rank_state *host)
--- a/router/feed.c
+++ b/router/feed.c
@@ -71,8 +71,9 @@
 
 struct feed *feed_new(struct ctrl *ctrl)
 {
-	const struct frm_limits limits = {tmr_ms(FEED_HEARTBEAT_MS), tmr_ms(FEED_SILENT_MS),
-					  tmr_ms(FEED_HEARTBEAT_MS)};
+	const struct frm_limits limits = {tmr_from_ms(FEED_HEARTBEAT_MS),
+					  tmr_from_ms(FEED_SILENT_MS),
+					  tmr_from_ms(FEED_HEARTBEAT_MS)};
 	struct feed *feed = g_new0(struct feed, 1);
 	int err;
 
@@ -83,7 +84,7 @@
 			 &limits, feed);
 	feed->listening = err == 0;
 	if (err < 0) {
-		jl_begin(JL_KEEP, "feed_not_listening");
+		jl_begin(JL_UNLIMITED, "feed_not_listening");
 		jl_str("addr", ctrl->router->settings.control);
 		jl_str("error", base_strerror(err));
 		jl_end();
@@ -121,12 +122,12 @@
 /* Returns the follower of a connection, which is allocated at its first message. */
 static struct feed_follower *feed_get_follower(struct feed *feed, struct frm_conn *conn)
 {
-	struct feed_follower *follower = frm_data(conn);
+	struct feed_follower *follower = frm_user_data(conn);
 
 	if (!follower) {
 		follower = g_new0(struct feed_follower, 1);
 		follower->conn = conn;
-		frm_set_data(conn, follower);
+		frm_set_user_data(conn, follower);
 		g_ptr_array_add(feed->followers, follower);
 	}
 	return follower;
@@ -210,7 +211,7 @@
 static void feed_on_close(void *ctx, struct frm_conn *conn, int err)
 {
 	struct feed *feed = ctx;
-	struct feed_follower *follower = frm_data(conn);
+	struct feed_follower *follower = frm_user_data(conn);
 
 	(void)err;
 	limit_home_on_close(limits_get_home(feed->ctrl->limits), conn);
@@ -243,13 +244,13 @@
 	const struct ctrl *ctrl = feed->ctrl;
 	int64_t since_us = tmr_now() - follower->place_sent_us;
 
-	if (!ctrl->listed || since_us < tmr_ms(ctrl_endpoints_delay_ms(ctrl)))
+	if (!ctrl->listed || since_us < tmr_from_ms(ctrl_endpoints_delay_ms(ctrl)))
 		return false;
 	if (follower->listing != feed->endpoints.listing ||
 	    fpack_has_records(&feed->endpoints, follower->endpoints_next))
 		return true;
 	return follower->endpoints_next < ctrl->endpoints.next &&
-	       since_us >= tmr_ms(FEED_PLACE_INTERVAL_MS);
+	       since_us >= tmr_from_ms(FEED_PLACE_INTERVAL_MS);
 }
 
 /*
--- a/router/feed_pack_test.cc
+++ b/router/feed_pack_test.cc
@@ -33,7 +33,7 @@
 		rec->addr = g_strdup(("10.0.0." + id).c_str());
 		rec->zone = g_strdup("a");
 		rec->text = g_strdup(text.c_str());
-		fpack_add_record(&pack_, offset, id.c_str(), str_of(text.c_str()));
+		fpack_add_record(&pack_, offset, id.c_str(), str_from_cstr(text.c_str()));
 		ep_on_record(&list_, offset, id.c_str(), rec, 0);
 	}
 
@@ -134,7 +134,7 @@
 		fpack_set_max_records(&pack, endpoints);
 		for (int i = 0; i < 5 * endpoints; i++)
 			fpack_add_record(&pack, place++, std::to_string(i % endpoints).c_str(),
-					 str_of("x"));
+					 str_from_cstr("x"));
 		/* The follower lacks one record of each endpoint. */
 		EXPECT_FALSE(fpack_needs_full_list(&pack, pack.listing, place - endpoints))
 			<< hosts;
@@ -170,7 +170,7 @@
 				rec->layer_to = beat >= 5 && i == 7 ? 8 : 0;
 				if (ep_on_record(&list, place, id.c_str(), rec, 0) == EP_CHANGED) {
 					fpack_add_record(&pack, place, id.c_str(),
-							 str_of(id.c_str()));
+							 str_from_cstr(id.c_str()));
 					queued++;
 				}
 				place++;
--- a/router/follow.c
+++ b/router/follow.c
@@ -86,8 +86,8 @@
 	struct follow *follow = g_new0(struct follow, 1);
 
 	follow->ctrl = ctrl;
-	follow->settle_us = tmr_now() + tmr_ms(FOLLOW_SETTLE_MS);
-	host_table_init(&follow->table, tmr_ms(FOLLOW_SUSPECT_MS));
+	follow->settle_us = tmr_now() + tmr_from_ms(FOLLOW_SETTLE_MS);
+	host_table_init(&follow->table, tmr_from_ms(FOLLOW_SUSPECT_MS));
 	return follow;
 }
 
@@ -165,8 +165,9 @@
 
 static void follow_connect(struct follow *follow, const char *name, const char *addr)
 {
-	const struct frm_limits limits = {tmr_ms(FOLLOW_HEARTBEAT_MS), tmr_ms(FOLLOW_SILENT_MS),
-					  tmr_ms(FOLLOW_HEARTBEAT_MS)};
+	const struct frm_limits limits = {tmr_from_ms(FOLLOW_HEARTBEAT_MS),
+					  tmr_from_ms(FOLLOW_SILENT_MS),
+					  tmr_from_ms(FOLLOW_HEARTBEAT_MS)};
 	struct ctrl *ctrl = follow->ctrl;
 	Feed__Ask ask = FEED__ASK__INIT;
 
@@ -229,7 +230,7 @@
 {
 	int64_t limit_ms = follow_stale_limit_ms(follow);
 
-	return follow->stale_us > 0 && now_us - follow->stale_us > tmr_ms(limit_ms);
+	return follow->stale_us > 0 && now_us - follow->stale_us > tmr_from_ms(limit_ms);
 }
 
 static void follow_disconnect(struct follow *follow)
@@ -250,7 +251,8 @@
 static bool follow_should_move(struct follow *follow, const struct host *feeder, int64_t now_us)
 {
 	const char *name = follow->ctrl->router->settings.name;
-	int64_t after_us = tmr_ms(FOLLOW_MOVE_DELAY_MS + g_str_hash(name) % FOLLOW_MOVE_SPREAD_MS);
+	int64_t after_us =
+		tmr_from_ms(FOLLOW_MOVE_DELAY_MS + g_str_hash(name) % FOLLOW_MOVE_SPREAD_MS);
 
 	if (!follow->ctrl->rank.follows_relay || !follow->fed || !feeder ||
 	    follow_is_connected_to(follow, feeder)) {
@@ -275,7 +277,7 @@
 		follow_disconnect(follow);
 	if (follow->conn || now_us < follow->next_try_us)
 		return;
-	follow->next_try_us = now_us + tmr_ms(FOLLOW_RETRY_MS);
+	follow->next_try_us = now_us + tmr_from_ms(FOLLOW_RETRY_MS);
 	if (feeder)
 		follow_connect(follow, feeder->name, feeder->control_addr);
 	else if (!reader_is_current(follow->ctrl))
@@ -307,7 +309,7 @@
 
 static void follow_log(const struct follow *follow, const char *event, const char *error)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("feeder", follow->host);
 	jl_str("error", error);
 	jl_end();
@@ -364,7 +366,7 @@
 	if (self && text)
 		ctrl->feed_lacks_self = false;
 	if (!self || text)
-		ctrl_apply_host(ctrl, host->name, text ? str_of(text) : str_make(NULL, 0));
+		ctrl_apply_host(ctrl, host->name, text ? str_from_cstr(text) : str_make(NULL, 0));
 	g_free(text);
 }
 
--- a/router/hosts.c
+++ b/router/hosts.c
@@ -134,7 +134,7 @@
 	if (!g_hash_table_contains(hosts->in_store, name))
 		hosts_schedule_write(hosts, name, HOSTS_ADD);
 	hosts_set_removed(hosts, name, false);
-	if (ctrl_apply_host(hosts->ctrl, name, str_of(text)))
+	if (ctrl_apply_host(hosts->ctrl, name, str_from_cstr(text)))
 		follow_announce_host(hosts->ctrl->follow, name, host);
 	g_free(text);
 }
@@ -159,7 +159,7 @@
 	const struct ctrl_host *host = g_hash_table_lookup(hosts->ctrl->hosts, name);
 	char *text = op == HOSTS_ADD && host ? ctrl_host_format(host) : NULL;
 	GString *record = hosts->ctrl->router->seam->store.make_record(
-		name, text ? str_of(text) : str_make(NULL, 0));
+		name, text ? str_from_cstr(text) : str_make(NULL, 0));
 
 	g_string_append_len(body, record->str, (gssize)record->len);
 	g_string_free(record, TRUE);
@@ -196,8 +196,8 @@
 	bool good = answer->status == HTTP_OK;
 
 	hosts->write = NULL;
-	hosts->next_write_us = tmr_now() + tmr_ms(HOSTS_RETRY_MS);
-	jl_begin(JL_KEEP, good ? "hosts_written_again" : "hosts_not_written");
+	hosts->next_write_us = tmr_now() + tmr_from_ms(HOSTS_RETRY_MS);
+	jl_begin(JL_UNLIMITED, good ? "hosts_written_again" : "hosts_not_written");
 	jl_int("status", answer->status);
 	jl_str("error", answer->err < 0 ? store_strerror(answer->err) : NULL);
 	jl_int("hosts", g_hash_table_size(hosts->pending));
--- a/router/limit_ask.c
+++ b/router/limit_ask.c
@@ -108,7 +108,7 @@
 
 static void limit_ask_log(const struct limit_ask *ask, const char *event, const char *error)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("home", ask->home);
 	jl_str("error", error);
 	jl_end();
@@ -116,9 +116,9 @@
 
 static void limit_ask_connect(struct limit_ask *ask, const struct host *home)
 {
-	const struct frm_limits limits = {tmr_ms(LIMIT_ASK_HEARTBEAT_MS),
-					  tmr_ms(LIMIT_ASK_SILENT_MS),
-					  tmr_ms(LIMIT_ASK_HEARTBEAT_MS)};
+	const struct frm_limits limits = {tmr_from_ms(LIMIT_ASK_HEARTBEAT_MS),
+					  tmr_from_ms(LIMIT_ASK_SILENT_MS),
+					  tmr_from_ms(LIMIT_ASK_HEARTBEAT_MS)};
 
 	ask->home = g_strdup(home->name);
 	if (!limit_ask_is_local(ask)) {
@@ -184,7 +184,7 @@
 
 	if (ask->asked_us == 0)
 		return 0;
-	return ask->asked_us + tmr_ms(ask->scheduled ? wait_ms : LIMIT_ASK_IDLE_MS);
+	return ask->asked_us + tmr_from_ms(ask->scheduled ? wait_ms : LIMIT_ASK_IDLE_MS);
 }
 
 static void limit_ask_on_timer(void *ctx, int64_t now_us)
@@ -210,7 +210,7 @@
 		return;
 	ask->scheduled = true;
 	wait_us = MAX(limit_ask_due_us(ask) - tmr_boot_now(), 0);
-	loop_after(ask->ctrl->loop, &ask->timer, wait_us, limit_ask_on_timer, ask);
+	loop_start_timer(ask->ctrl->loop, &ask->timer, wait_us, limit_ask_on_timer, ask);
 }
 
 static int limit_ask_on_msg(void *ctx, struct frm_conn *conn, uint16_t kind, const uint8_t *body,
--- a/router/limit_home.c
+++ b/router/limit_home.c
@@ -165,7 +165,7 @@
 			next_us = wait_us;
 	}
 	if (next_us >= 0)
-		loop_after(home->ctrl->loop, &home->timer, next_us, limit_home_issue, home);
+		loop_start_timer(home->ctrl->loop, &home->timer, next_us, limit_home_issue, home);
 }
 
 void limit_home_on_ask(struct limit_home *home, const char *host, int64_t sent_us,
@@ -265,14 +265,14 @@
 
 	if (now_us < home->update_us)
 		return;
-	home->update_us = now_us + tmr_ms(LIMIT_HOME_UPDATE_MS);
+	home->update_us = now_us + tmr_from_ms(LIMIT_HOME_UPDATE_MS);
 	if (home->ctrl->hosts_known)
 		limit_home_update_members(home, now_us);
 	g_hash_table_iter_init(&iter, home->divided);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct limit_divided *divided = value;
 
-		if (now_us - divided->asked_us > tmr_ms(LIMIT_HOME_KEEP_MS))
+		if (now_us - divided->asked_us > tmr_from_ms(LIMIT_HOME_KEEP_MS))
 			g_hash_table_iter_remove(&iter);
 	}
 	met_set(met_gauge("bg_limits_divided", ""), g_hash_table_size(home->divided));
--- a/router/limit_msg.c
+++ b/router/limit_msg.c
@@ -45,7 +45,7 @@
 	update->limit.named = from->named;
 	update->limit.rate = readable ? from->rate : 0;
 	/* A limit announced before this host was booted is valid; 0 would mean that none was. */
-	update->limit.stated_us = MAX(now_us - tmr_ms(MAX(from->age_ms, 0)), 1);
+	update->limit.stated_us = MAX(now_us - tmr_from_ms(MAX(from->age_ms, 0)), 1);
 	update->wanted = CLAMP(from->wanted, 0, LIMIT_COUNT_MAX);
 	update->returned = CLAMP(from->returned, 0, LIMIT_COUNT_MAX);
 	update->permits = CLAMP(from->permits, 0, LIMIT_COUNT_MAX);
--- a/router/limits.c
+++ b/router/limits.c
@@ -286,7 +286,7 @@
 		if (g_hash_table_contains(listed, name) &&
 		    lim_permits_are_required(&known->part, now_us))
 			continue;
-		if (now_us - known->touched_us > tmr_ms(LIMITS_KEEP_MS))
+		if (now_us - known->touched_us > tmr_from_ms(LIMITS_KEEP_MS))
 			g_hash_table_iter_remove(&iter);
 	}
 	g_hash_table_destroy(listed);
@@ -298,7 +298,7 @@
 	limit_home_on_tick(limits->home, now_us);
 	if (now_us < limits->prune_us)
 		return;
-	limits->prune_us = now_us + tmr_ms(LIMITS_PRUNE_MS);
+	limits->prune_us = now_us + tmr_from_ms(LIMITS_PRUNE_MS);
 	limits_prune(limits, now_us);
 }
 
@@ -307,7 +307,7 @@
 	const struct limit_known *known = g_hash_table_lookup(limits->known, endpoint);
 
 	return known && known->since_us > 0 &&
-	       tmr_boot_now() - known->since_us > tmr_ms(LIMITS_PERSISTENT_MS);
+	       tmr_boot_now() - known->since_us > tmr_from_ms(LIMITS_PERSISTENT_MS);
 }
 
 struct limit_home *limits_get_home(const struct limits *limits)
--- a/router/loads.c
+++ b/router/loads.c
@@ -104,7 +104,7 @@
  */
 void loads_publish_round(struct ctrl *ctrl, GArray *loads)
 {
-	bool again = tmr_now() - ctrl->loads_us >= tmr_ms(LOADS_AGAIN_MS);
+	bool again = tmr_now() - ctrl->loads_us >= tmr_from_ms(LOADS_AGAIN_MS);
 	GArray *changed = loads_new();
 
 	rank_round_ended(&ctrl->round);
--- a/router/member.c
+++ b/router/member.c
@@ -84,7 +84,8 @@
 	const struct seam_store *store = &ctrl->router->seam->store;
 	const struct ctrl_host self = {(char *)member_control_addr(s), member_capacity(s), s->zone};
 	char *text = ctrl_host_format(&self);
-	GString *record = store->make_record(s->name, listed ? str_of(text) : str_make(NULL, 0));
+	GString *record =
+		store->make_record(s->name, listed ? str_from_cstr(text) : str_make(NULL, 0));
 	struct store_request request = {
 		.path = store->append_path(SEAM_TOPIC_HOSTS),
 		.body = record,
@@ -118,12 +119,12 @@
 /* Returns whether a copy of the store may still name this host as a member of the group. */
 static bool member_has_left_recently(const struct ctrl *ctrl)
 {
-	return ctrl->left_us > 0 && tmr_now() - ctrl->left_us < tmr_ms(MEMBER_COPY_MS);
+	return ctrl->left_us > 0 && tmr_now() - ctrl->left_us < tmr_from_ms(MEMBER_COPY_MS);
 }
 
 static void member_log_failure(const char *event, const struct store_answer *answer)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_int("status", answer->status);
 	jl_str("error", answer->err < 0 ? store_strerror(answer->err) : NULL);
 	jl_end();
@@ -150,9 +151,9 @@
 	if (!ctrl->self_entry_failed)
 		return;
 	if (!ctrl->stopping)
-		loop_after(ctrl->loop, &ctrl->self_entry_timer,
-			   tmr_ms(MEMBER_LIST_RETRY_MS + member_write_offset_ms(ctrl)),
-			   member_on_list_timer, ctrl);
+		loop_start_timer(ctrl->loop, &ctrl->self_entry_timer,
+				 tmr_from_ms(MEMBER_LIST_RETRY_MS + member_write_offset_ms(ctrl)),
+				 member_on_list_timer, ctrl);
 	member_log_failure("host_not_listed", answer);
 }
 
@@ -206,13 +207,14 @@
 	int64_t fence;
 
 	ctrl->join = NULL;
-	loop_after(ctrl->loop, &ctrl->join_timer, tmr_ms(MEMBER_JOIN_MS), member_join, ctrl);
+	loop_start_timer(ctrl->loop, &ctrl->join_timer, tmr_from_ms(MEMBER_JOIN_MS), member_join,
+			 ctrl);
 	if (answer->status != HTTP_OK ||
 	    ctrl->router->seam->store.parse_join(answer->body, &generation, &leader) < 0)
 		return;
 	fence = era_make_fence(ctrl->era.now, generation);
 	if (lead_on_join_answered(&ctrl->lead, fence, leader)) {
-		jl_begin(JL_KEEP, "group");
+		jl_begin(JL_UNLIMITED, "group");
 		jl_int("era", ctrl->era.now);
 		jl_int("generation", generation);
 		jl_int("leader", leader);
@@ -226,7 +228,7 @@
 	lead_on_fence_reported(&ctrl->lead, fence);
 	ctrl_schedule_view(ctrl);
 	if (ctrl->candidate && !ctrl->join)
-		loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
+		loop_start_timer(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 }
 
 void member_on_store_restored(struct ctrl *ctrl)
@@ -239,7 +241,7 @@
 	if (ctrl->join)
 		store_call_cancel(ctrl->join);
 	ctrl->join = NULL;
-	loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
+	loop_start_timer(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 }
 
 /* Uses a clock that also runs while the machine is suspended, so that a lease ends in time. */
@@ -254,7 +256,7 @@
 		return;
 	ctrl->candidate = candidate;
 	if (candidate) {
-		loop_after(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
+		loop_start_timer(ctrl->loop, &ctrl->join_timer, 0, member_join, ctrl);
 		return;
 	}
 	tmr_cancel(&ctrl->loop->tmr, &ctrl->join_timer);
@@ -278,12 +280,12 @@
 	int64_t delay_us = reg_delay_us(ctrl->router->settings.name, g_hash_table_size(ctrl->hosts),
 					tmr_now() - ctrl->start_us);
 
-	loop_after(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
+	loop_start_timer(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
 }
 
 void member_start(struct ctrl *ctrl)
 {
-	lead_init(&ctrl->lead, tmr_ms(MEMBER_LEASE_MS));
+	lead_init(&ctrl->lead, tmr_from_ms(MEMBER_LEASE_MS));
 	if (member_is_first_start(ctrl))
 		member_schedule_first_write(ctrl);
 }
@@ -304,13 +306,14 @@
 	if (tmr_is_set(&ctrl->self_entry_timer))
 		return;
 	if (ctrl->self_entry_us > 0)
-		delay_us = tmr_ms(member_write_offset_ms(ctrl));
+		delay_us = tmr_from_ms(member_write_offset_ms(ctrl));
 	else
-		delay_us = MAX(ctrl->start_us + tmr_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
-			       tmr_ms(member_write_offset_ms(ctrl)));
+		delay_us = MAX(ctrl->start_us + tmr_from_ms(MEMBER_LIST_BY_FEEDER_MS) - tmr_now(),
+			       tmr_from_ms(member_write_offset_ms(ctrl)));
 	if (ctrl->self_entry_us > 0 && ctrl->self_entry_era == ctrl->era.now)
-		delay_us += MAX(ctrl->self_entry_us + tmr_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
-	loop_after(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
+		delay_us +=
+			MAX(ctrl->self_entry_us + tmr_from_ms(MEMBER_LIST_PAUSE_MS) - tmr_now(), 0);
+	loop_start_timer(ctrl->loop, &ctrl->self_entry_timer, delay_us, member_on_list_timer, ctrl);
 }
 
 void member_stop(struct ctrl *ctrl)
--- a/router/notice.c
+++ b/router/notice.c
@@ -128,7 +128,7 @@
 /* Logs a notice from another host; the traffic thread logs those that this host receives. */
 static void notice_log_leaving(const char *endpoint, int hops)
 {
-	jl_begin(JL_KEEP, "endpoint_leaving");
+	jl_begin(JL_UNLIMITED, "endpoint_leaving");
 	jl_str("endpoint", endpoint);
 	jl_str("from", "another host");
 	jl_int("hops", hops);
--- a/router/pick.c
+++ b/router/pick.c
@@ -204,7 +204,7 @@
 	pick->ask.answer = pick_answer_tokens(service, request);
 	pick->ask.cross_zone_ms =
 		pick_zone_crossing_ms(traf, service, pick_usual_prompt_tokens(service));
-	pick->ask.seed = rnd_step(&traf->seed);
+	pick->ask.seed = rnd_next(&traf->seed);
 	g_hash_table_iter_init(&iter, traf->eps);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (!pick_is_usable(value, service) || pick_is_avoided(avoid, value))
--- a/router/pick_plain.c
+++ b/router/pick_plain.c
@@ -24,7 +24,7 @@
 	load *= 1 + pick_plain_failure * penalty_value(&ep->failing, now_us);
 	if (strcmp(ep->rec->zone, traf->router->settings.zone) != 0)
 		load *= pick_plain_other_zone;
-	return load * (1 + pick_plain_spread * rnd_unit(&traf->seed));
+	return load * (1 + pick_plain_spread * rnd_uniform(&traf->seed));
 }
 
 /* The best endpoint found so far; ep is NULL if there is none. */
--- a/router/placer.c
+++ b/router/placer.c
@@ -138,7 +138,7 @@
 	if (!placer->plan_due && now_us < placer->next_plan_us)
 		return;
 	placer->plan_due = false;
-	placer->next_plan_us = now_us + tmr_ms(PLACER_REPLAN_MS);
+	placer->next_plan_us = now_us + tmr_from_ms(PLACER_REPLAN_MS);
 	g_hash_table_iter_init(&iter, ctrl->conf->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (rt_is_layered(value))
@@ -150,7 +150,7 @@
 {
 	int64_t heartbeat_ms = placer->ctrl->router->settings.heartbeat_ms;
 
-	return tmr_ms(MAX((int64_t)PLACER_REPEAT_MS, PLACER_HEARTBEATS * heartbeat_ms));
+	return tmr_from_ms(MAX((int64_t)PLACER_REPEAT_MS, PLACER_HEARTBEATS * heartbeat_ms));
 }
 
 /* Returns the number of orders that wait for an answer. */
@@ -295,7 +295,7 @@
 	order->begun_us = now_us;
 	order->fence = ctrl->lead.fence;
 	g_hash_table_replace(placer->orders, order->incarnation, order);
-	jl_begin(JL_KEEP, "place");
+	jl_begin(JL_UNLIMITED, "place");
 	jl_str("endpoint", rec->id);
 	jl_str("addr", rec->addr);
 	jl_str("kind", rec->kind);
@@ -382,7 +382,7 @@
 	order->call = NULL;
 	if (status == HTTP_OK || status == HTTP_ACCEPTED)
 		return;
-	jl_begin(JL_KEEP, "place_failed");
+	jl_begin(JL_UNLIMITED, "place_failed");
 	jl_str("endpoint", order->incarnation);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? base_strerror(err) : NULL);
--- a/router/poll.c
+++ b/router/poll.c
@@ -96,7 +96,7 @@
 		.url = url,
 		.connect_ms = POLL_CALL_MS,
 		.total_ms = POLL_CALL_MS,
-		.close = pass_duration_us(poll->pass_engines) > tmr_ms(POLL_KEEPALIVE_MS),
+		.close = pass_duration_us(poll->pass_engines) > tmr_from_ms(POLL_KEEPALIVE_MS),
 	};
 
 	call->poll = poll;
@@ -196,7 +196,7 @@
 {
 	if (poll->last_silent == g_hash_table_size(poll->misses))
 		return;
-	jl_begin(JL_KEEP, "reports");
+	jl_begin(JL_UNLIMITED, "reports");
 	jl_int("asked", poll->asked);
 	jl_int("answered", answered);
 	jl_int("silent", g_hash_table_size(poll->misses));
--- a/router/quar_msg.c
+++ b/router/quar_msg.c
@@ -57,10 +57,10 @@
 	entry->epoch = item->epoch;
 	entry->base = CLAMP(item->points, 0, QUAR_REFUSAL_POINTS);
 	entry->terms = MAX(item->terms, 0);
-	entry->lasted_us = tmr_ms(MAX(item->lasted_ms, 0));
-	entry->last_us = now_us - tmr_ms(MAX(item->age_ms, 0));
+	entry->lasted_us = tmr_from_ms(MAX(item->lasted_ms, 0));
+	entry->last_us = now_us - tmr_from_ms(MAX(item->age_ms, 0));
 	if (item->left_ms > 0)
-		entry->until_us = now_us + tmr_ms(item->left_ms);
+		entry->until_us = now_us + tmr_from_ms(item->left_ms);
 	for (size_t i = 0; i < item->n_crashes && entry->n < QUAR_CRASHES_MAX; i++)
 		entry->crashes[entry->n++] = (struct quar_crash){
 			item->crashes[i]->endpoint,
--- a/router/quar_msg_test.cc
+++ b/router/quar_msg_test.cc
@@ -72,7 +72,7 @@
 	const char *texts[] = {"x", "\xff\xff\xff", "\x32"};
 
 	for (const char *text : texts)
-		EXPECT_EQ(quar_msg_unpack_record(str_of(text), 0, 0), nullptr);
+		EXPECT_EQ(quar_msg_unpack_record(str_from_cstr(text), 0, 0), nullptr);
 	EXPECT_EQ(quar_msg_unpack((const uint8_t *)"\xff", 1, 0), nullptr);
 }
 
--- a/router/quar_store.c
+++ b/router/quar_store.c
@@ -86,7 +86,7 @@
 
 static void quar_store_log(const char *event, int status, int err, int64_t n)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? store_strerror(err) : NULL);
 	jl_int("entries", n);
@@ -174,7 +174,7 @@
 		       answer->err, store->writing->len);
 	if (good)
 		return;
-	store->write_us = tmr_now() + tmr_ms(QUAR_STORE_RETRY_MS);
+	store->write_us = tmr_now() + tmr_from_ms(QUAR_STORE_RETRY_MS);
 	quar_store_reschedule(store);
 }
 
@@ -199,7 +199,7 @@
 		g_ptr_array_add(ctx, entry);
 		return;
 	}
-	jl_begin(JL_KEEP, "quarantine_unreadable");
+	jl_begin(JL_UNLIMITED, "quarantine_unreadable");
 	jl_int("key_bytes", (int64_t)key.len);
 	jl_int("value_bytes", (int64_t)value.len);
 	jl_end();
@@ -233,7 +233,7 @@
 	store->read = NULL;
 	if (answer->status == HTTP_OK && quar_store_read_page(store, answer->body))
 		return;
-	store->read_us = tmr_now() + tmr_ms(QUAR_STORE_RETRY_MS);
+	store->read_us = tmr_now() + tmr_from_ms(QUAR_STORE_RETRY_MS);
 	quar_store_log("quarantine_not_read", answer->status, answer->err, 0);
 }
 
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -64,7 +64,7 @@
 	char content[QUAR_KEY_TEXT_LEN + 1];
 
 	quar_key_format(&entry->key, content);
-	jl_begin(JL_KEEP, entry->until_us > 0 ? "quarantined" : "quarantine_cleared");
+	jl_begin(JL_UNLIMITED, entry->until_us > 0 ? "quarantined" : "quarantine_cleared");
 	jl_str("content", content);
 	jl_str("account", entry->account);
 	jl_int("crashes", entry->n);
@@ -263,7 +263,7 @@
 	quar_store_on_tick(quarantine->store, now_us);
 	if (now_us < quarantine->expire_us)
 		return;
-	quarantine->expire_us = now_us + tmr_ms(QUARANTINE_EXPIRE_MS);
+	quarantine->expire_us = now_us + tmr_from_ms(QUARANTINE_EXPIRE_MS);
 	quar_expire(&quarantine->table, now_us, quarantine_on_expired, quarantine);
 	quar_foreach(&quarantine->table, quarantine_count_refused, &refused);
 	met_set(met_gauge("bg_quarantined", ""), refused);
--- a/router/recall.c
+++ b/router/recall.c
@@ -93,7 +93,7 @@
 
 static void recall_log(const char *event, int status, int err, int64_t endpoints)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? store_strerror(err) : NULL);
 	jl_int("endpoints", endpoints);
@@ -158,7 +158,7 @@
 {
 	if (!recall_is_due(recall, now_us))
 		return;
-	recall->next_write_us = now_us + tmr_ms(RECALL_PAUSE_MS);
+	recall->next_write_us = now_us + tmr_from_ms(RECALL_PAUSE_MS);
 	recall_write(recall);
 }
 
@@ -185,7 +185,7 @@
 /* Logs that the saved list can't be read: it is damaged or from another version of the program. */
 static void recall_log_unreadable(const char *id, const char *error)
 {
-	jl_begin(JL_KEEP, "note_unreadable");
+	jl_begin(JL_UNLIMITED, "note_unreadable");
 	jl_str("endpoint", id);
 	jl_str("error", error);
 	jl_end();
--- a/router/router.h
+++ b/router/router.h
@@ -4,7 +4,7 @@
 #include "base/hc.h"
 #include "base/hd.h"
 #include "base/loop.h"
-#include "base/set.h"
+#include "base/settings.h"
 #include "bud/bud.h"
 #include "ep/ep.h"
 #include "rt/rt.h"
@@ -128,7 +128,7 @@
 };
 
 /* Definitions of the settings: section, key, type, default value and range. */
-extern const struct set_item router_setting_items[];
+extern const struct settings_item router_setting_items[];
 extern const size_t router_setting_items_n;
 
 /* Control thread: ctrl.c, with store_reader.c, feed.c, follow.c and placer.c. */
--- a/router/store_reader.c
+++ b/router/store_reader.c
@@ -157,8 +157,8 @@
 		t->read_us = 0;
 		t->failures = 0;
 		t->wait_ms = reader_intervals[i].wait_ms;
-		t->pause_us = tmr_ms(reader_intervals[i].pause_ms);
-		reader_schedule(t, tmr_ms(reader_start_delay_ms(t)));
+		t->pause_us = tmr_from_ms(reader_intervals[i].pause_ms);
+		reader_schedule(t, tmr_from_ms(reader_start_delay_ms(t)));
 	}
 }
 
@@ -237,7 +237,7 @@
 /* Whether to wait for the list of endpoints from a feed instead of reading it. */
 static bool reader_awaits_list_by_feed(const struct ctrl *ctrl, int64_t now_us)
 {
-	if (ctrl->listed || now_us - ctrl->start_us >= tmr_ms(READER_LIST_WAIT_MS))
+	if (ctrl->listed || now_us - ctrl->start_us >= tmr_from_ms(READER_LIST_WAIT_MS))
 		return false;
 	return !ctrl->hosts_known || g_hash_table_size(ctrl->hosts) >= READER_MANY_HOSTS;
 }
@@ -252,7 +252,7 @@
 {
 	const struct ctrl *ctrl = t->ctrl;
 	bool first_start = ctrl->router->settings.first_start &&
-			   now_us - ctrl->start_us < tmr_ms(READER_FIRST_START_WAIT_MS);
+			   now_us - ctrl->start_us < tmr_from_ms(READER_FIRST_START_WAIT_MS);
 
 	if (ctrl->rank.reader || !reader_last_call_failed(t))
 		return false;
@@ -280,7 +280,7 @@
 	struct reader_topic *t = ctx;
 
 	if (reader_is_postponed(t, now_us) || reader_gets_hosts_by_feed(t))
-		reader_schedule(t, tmr_ms(READER_POSTPONED_MS));
+		reader_schedule(t, tmr_from_ms(READER_POSTPONED_MS));
 	else
 		reader_call(t);
 }
@@ -288,7 +288,7 @@
 static void reader_schedule(struct reader_topic *t, int64_t delay_us)
 {
 	if (!t->ctrl->stopping || t->topic != SEAM_TOPIC_HOSTS)
-		loop_after(t->ctrl->loop, &t->timer, delay_us, reader_on_timer, t);
+		loop_start_timer(t->ctrl->loop, &t->timer, delay_us, reader_on_timer, t);
 }
 
 static void reader_on_record(void *ctx, int64_t offset, struct str key, struct str value)
@@ -322,7 +322,7 @@
 	int64_t delay_ms = reader_retry_ms(t);
 
 	if (t->failures++ == 0) {
-		jl_begin(JL_KEEP, "store_lost");
+		jl_begin(JL_UNLIMITED, "store_lost");
 		jl_str("topic", reader_topic_names[t->topic]);
 		jl_int("status", status);
 		jl_str("error", err < 0 ? store_strerror(err) : NULL);
@@ -333,14 +333,14 @@
 	    !follow_is_fed(t->ctrl->follow))
 		ep_on_store_failure(&t->ctrl->endpoints);
 	feed_flush(t->ctrl->feed);
-	reader_schedule(t, tmr_ms(delay_ms));
+	reader_schedule(t, tmr_from_ms(delay_ms));
 }
 
 static void reader_on_success(struct reader_topic *t)
 {
 	if (t->failures == 0)
 		return;
-	jl_begin(JL_KEEP, "store_regained");
+	jl_begin(JL_UNLIMITED, "store_regained");
 	jl_str("topic", reader_topic_names[t->topic]);
 	jl_int("failures", t->failures);
 	jl_end();
@@ -350,18 +350,18 @@
 static int64_t reader_endpoints_pause_us(const struct ctrl *ctrl)
 {
 	if (!ctrl->rank.reader && !ctrl->settled)
-		return tmr_ms(READER_ENDPOINTS_PAUSE_START_MS);
-	return tmr_ms(READER_ENDPOINTS_PAUSE_MS + ctrl_endpoints_delay_ms(ctrl));
+		return tmr_from_ms(READER_ENDPOINTS_PAUSE_START_MS);
+	return tmr_from_ms(READER_ENDPOINTS_PAUSE_MS + ctrl_endpoints_delay_ms(ctrl));
 }
 
 static int64_t reader_pause_us(struct reader_topic *t)
 {
 	if (t->topic == SEAM_TOPIC_HOSTS && t->reads < READER_HOSTS_EARLY_READS)
-		return tmr_ms(READER_HOSTS_EARLY_MS);
+		return tmr_from_ms(READER_HOSTS_EARLY_MS);
 	if (t->topic == SEAM_TOPIC_ENDPOINTS)
 		return reader_endpoints_pause_us(t->ctrl);
 	if (t->topic == SEAM_TOPIC_CONF && !t->ctrl->rank.reader && t->reads == 0)
-		return tmr_ms(READER_CONF_PAUSE_START_MS);
+		return tmr_from_ms(READER_CONF_PAUSE_START_MS);
 	return t->pause_us;
 }
 
@@ -370,7 +370,7 @@
 {
 	if (!ep_may_lack_entries(&ctrl->endpoints, tmr_now()))
 		return;
-	jl_begin(JL_KEEP, "endpoints_compared");
+	jl_begin(JL_UNLIMITED, "endpoints_compared");
 	jl_int("era", ctrl->era.now);
 	jl_int("known", g_hash_table_size(ctrl->endpoints.entries));
 	jl_int("missing", ep_count_lapsed(&ctrl->endpoints));
--- a/router/suspect.c
+++ b/router/suspect.c
@@ -23,7 +23,7 @@
 	suspect->to = to;
 	suspect->endpoint = g_strdup(endpoint);
 	suspect->why = g_strdup(why);
-	suspect->until_us = tmr_now() + tmr_ms(for_ms);
+	suspect->until_us = tmr_now() + tmr_from_ms(for_ms);
 	return suspect;
 }
 
@@ -58,7 +58,7 @@
 static void suspect_set_time(GHashTable *table, const char *endpoint, int64_t time_us)
 {
 	int64_t *value = g_hash_table_lookup(table, endpoint);
-	int64_t before_us = tmr_now() - tmr_ms(SUSPECT_KEEP_MS);
+	int64_t before_us = tmr_now() - tmr_from_ms(SUSPECT_KEEP_MS);
 
 	if (g_hash_table_size(table) > SUSPECT_PRUNE_COUNT)
 		g_hash_table_foreach_remove(table, suspect_is_old, &before_us);
@@ -92,7 +92,7 @@
 	const int64_t *last = g_hash_table_lookup(ctrl->suspect_passed_us, endpoint);
 	bool may_skip = !suspect_proves_dead(suspect) || suspect_is_dead(ctrl, endpoint, now_us);
 
-	if (may_skip && last && now_us - *last < tmr_ms(SUSPECT_REPEAT_MS))
+	if (may_skip && last && now_us - *last < tmr_from_ms(SUSPECT_REPEAT_MS))
 		return false;
 	suspect_set_time(ctrl->suspect_passed_us, endpoint, now_us);
 	return true;
@@ -113,7 +113,7 @@
 /* Logs that the placer no longer counts the layers of the endpoint as loaded. */
 static void suspect_log_dead(const struct suspect *suspect)
 {
-	jl_begin(JL_KEEP, "endpoint_dead");
+	jl_begin(JL_UNLIMITED, "endpoint_dead");
 	jl_str("endpoint", suspect->endpoint);
 	jl_str("why", suspect->why);
 	jl_int("for_ms", suspect->for_ms);
@@ -131,7 +131,7 @@
 		if (!suspect_is_dead(ctrl, suspect->endpoint, tmr_now()))
 			suspect_log_dead(suspect);
 		suspect_set_time(ctrl->dead, suspect->endpoint,
-				 tmr_now() + tmr_ms(suspect->for_ms));
+				 tmr_now() + tmr_from_ms(suspect->for_ms));
 		placer_on_change(ctrl->placer);
 	}
 	if (source)
--- a/router/traffic.c
+++ b/router/traffic.c
@@ -78,7 +78,8 @@
 	hop_init(&traf->hop);
 	loop_init(&traf->loop);
 	traf->hc = hc_new(&traf->loop);
-	loop_after(&traf->loop, &traf->sweep, tmr_ms(TRAF_SWEEP_MS), traf_on_sweep, traf);
+	loop_start_timer(&traf->loop, &traf->sweep, tmr_from_ms(TRAF_SWEEP_MS), traf_on_sweep,
+			 traf);
 	pthread_create(&traf->thread, NULL, traf_main, traf);
 	return traf;
 }
@@ -124,7 +125,8 @@
 	traf_rest_on_sweep(traf);
 	for (guint i = traf->reqs->len; i > 0; i--)
 		txn_on_sweep(traf->reqs->pdata[i - 1]);
-	loop_after(&traf->loop, &traf->sweep, tmr_ms(TRAF_SWEEP_MS), traf_on_sweep, traf);
+	loop_start_timer(&traf->loop, &traf->sweep, tmr_from_ms(TRAF_SWEEP_MS), traf_on_sweep,
+			 traf);
 }
 
 void router_view_free(struct router_view *view)
@@ -366,7 +368,7 @@
 		GList *next = link->next;
 		struct traf_parked *parked = link->data;
 
-		if (parked->until_us <= now_us || hd_gone(parked->call)) {
+		if (parked->until_us <= now_us || hd_client_closed(parked->call)) {
 			g_queue_delete_link(traf->parked, link);
 			txn_start(traf, parked->call, parked->received_us);
 			g_free(parked);
@@ -402,7 +404,7 @@
 {
 	if ((ep->pace >= traf_slow_pace) == (pace >= traf_slow_pace))
 		return;
-	jl_begin(JL_KEEP, pace >= traf_slow_pace ? "endpoint_slow" : "endpoint_fast");
+	jl_begin(JL_UNLIMITED, pace >= traf_slow_pace ? "endpoint_slow" : "endpoint_fast");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 	jl_real("pace", pace);
--- a/router/traffic_fault.c
+++ b/router/traffic_fault.c
@@ -15,7 +15,7 @@
 static void traf_log_fault(const struct traf_ep *ep, const char *event, int64_t for_us,
 			   const char *why, const char *request)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 	jl_str("why", why);
--- a/router/traffic_head.c
+++ b/router/traffic_head.c
@@ -25,7 +25,7 @@
 
 static void traf_head_log_begin(const char *event, const struct traf_ep *ep)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 }
--- a/router/traffic_limit.c
+++ b/router/traffic_limit.c
@@ -24,7 +24,7 @@
 static void traf_limit_log(const struct traf_ep *ep, const char *event, double before,
 			   const char *request, const char *from)
 {
-	jl_begin(JL_KEEP, event);
+	jl_begin(JL_UNLIMITED, event);
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 	jl_str("service", ep->rec->service);
@@ -59,7 +59,7 @@
 	if (ep->limit_unreadable_logged)
 		return;
 	ep->limit_unreadable_logged = true;
-	jl_begin(JL_KEEP, "limit_unreadable");
+	jl_begin(JL_UNLIMITED, "limit_unreadable");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_str("addr", ep->rec->addr);
 	jl_int("values", answer->limit_value_count);
@@ -214,7 +214,7 @@
 static void traf_limit_log_refused(const char *service, const char *request, double rate,
 				   int64_t back_us)
 {
-	jl_begin(JL_KEEP, "limit_refused");
+	jl_begin(JL_UNLIMITED, "limit_refused");
 	jl_str("id", request);
 	jl_str("service", service);
 	jl_real("rate_of_host", rate);
--- a/router/traffic_quarantine.c
+++ b/router/traffic_quarantine.c
@@ -129,7 +129,7 @@
 
 	quar_on_endpoint_alive(&traf->quar, traf_quar_endpoint_hash(ep), tmr_now(),
 			       traf_quar_add_shared, shared);
-	jl_begin(JL_KEEP, "endpoint_lives");
+	jl_begin(JL_UNLIMITED, "endpoint_lives");
 	jl_str("endpoint", ep->rec->incarnation);
 	jl_int("taken_back", shared->len);
 	jl_end();
@@ -201,6 +201,6 @@
 {
 	if (now_us < traf->quar_expire_us)
 		return;
-	traf->quar_expire_us = now_us + tmr_ms(TRAF_QUAR_EXPIRE_MS);
+	traf->quar_expire_us = now_us + tmr_from_ms(TRAF_QUAR_EXPIRE_MS);
 	quar_expire(&traf->quar, now_us, NULL, NULL);
 }
--- a/router/traffic_rest.c
+++ b/router/traffic_rest.c
@@ -33,7 +33,7 @@
 {
 	int64_t now_us = tmr_now();
 	int64_t until_us = ep->rest.until_us;
-	bool is_new = rest_on_asked(&ep->rest, for_us, now_us, rnd_unit(&traf->seed));
+	bool is_new = rest_on_asked(&ep->rest, for_us, now_us, rnd_uniform(&traf->seed));
 
 	if (is_new) {
 		traf_rest_log(ep, "rest_asked", for_us, request);
@@ -53,7 +53,7 @@
 	if (rest_is_active(&ep->rest, tmr_now()))
 		return;
 	met_add(met_counter("bg_rest_hints_total", ""), 1);
-	for_us += (int64_t)(rnd_unit(&traf->seed) * REST_SPREAD_US);
+	for_us += (int64_t)(rnd_uniform(&traf->seed) * REST_SPREAD_US);
 	avoid_extend(&ep->doubt, for_us, tmr_now());
 }
 
@@ -70,9 +70,10 @@
 int64_t traf_rest_retry_us(struct traf *traf, const char *service, const char *request,
 			   int64_t left_us)
 {
-	int64_t retry_us = left_us + (int64_t)(rnd_unit(&traf->seed) * TRAF_REST_RETRY_SPREAD_US);
+	int64_t retry_us =
+		left_us + (int64_t)(rnd_uniform(&traf->seed) * TRAF_REST_RETRY_SPREAD_US);
 
-	jl_begin(JL_KEEP, "rest_refused");
+	jl_begin(JL_UNLIMITED, "rest_refused");
 	jl_str("id", request);
 	jl_str("service", service);
 	jl_int("back_ms", retry_us / TMR_US_PER_MS);
--- a/router/txn.c
+++ b/router/txn.c
@@ -119,7 +119,7 @@
 	txn_fill_rules(txn, &txn->fwd.rules);
 	txn->body = (char *)hd_body(call, &len);
 	txn->body_len = len;
-	txn->key = quar_key_of(str_of(txn_account_name(txn)), str_of(hd_target(call)),
+	txn->key = quar_key_of(str_from_cstr(txn_account_name(txn)), str_from_cstr(hd_target(call)),
 			       str_make(txn->body, len));
 	if (txn_deny_if_quarantined(txn))
 		return;
@@ -315,7 +315,7 @@
 {
 	struct txn *txn = ctx;
 
-	jl_begin(JL_KEEP, "stream_waits");
+	jl_begin(JL_UNLIMITED, "stream_waits");
 	jl_str("id", txn->request.id);
 	jl_str("why", fwd_cause_name(txn->fwd.failure));
 	jl_int("waits", txn->fwd.waits);
@@ -398,7 +398,7 @@
  */
 static void txn_update_gap_limit(struct txn *txn, int64_t now_us)
 {
-	int64_t most_us = tmr_ms(MAX(TXN_GAP_MIN_MS, txn->route->target_gap_ms * 6 / 10));
+	int64_t most_us = tmr_from_ms(MAX(TXN_GAP_MIN_MS, txn->route->target_gap_ms * 6 / 10));
 	int64_t limit_us;
 
 	if (txn->fwd.parts < 1)
@@ -408,7 +408,7 @@
 				  (double)(now_us - txn->last_activity_us) / TMR_US_PER_MS, now_us);
 	txn->gap_us += (now_us - txn->last_activity_us - txn->gap_us) / TXN_GAP_MEAN_DIVISOR;
 	limit_us = txn->gap_us * TXN_GAP_SILENCE_FACTOR;
-	txn->fwd.rules.gap_us = CLAMP(limit_us, tmr_ms(TXN_GAP_FLOOR_MS), most_us);
+	txn->fwd.rules.gap_us = CLAMP(limit_us, tmr_from_ms(TXN_GAP_FLOOR_MS), most_us);
 }
 
 static void txn_on_data(void *ctx, const char *data, size_t len)
@@ -436,7 +436,7 @@
 	txn->attempt = NULL;
 	txn_cancel(txn);
 	if (failed) {
-		jl_begin(JL_KEEP, "attempt_failed");
+		jl_begin(JL_UNLIMITED, "attempt_failed");
 		jl_str("id", txn->request.id);
 		jl_str("endpoint",
 		       txn->target.count > 0 ? txn->target.stages[0].ep->rec->id : NULL);
@@ -472,7 +472,7 @@
 
 void txn_on_sweep(struct txn *txn)
 {
-	if (txn->fwd.state != FWD_ENDED && hd_gone(txn->call))
+	if (txn->fwd.state != FWD_ENDED && hd_client_closed(txn->call))
 		fwd_on_caller_disconnected(&txn->fwd);
 }
 
@@ -504,7 +504,7 @@
 	bool bad = cause != FWD_OK && cause != FWD_CALLER_DISCONNECTED;
 	char labels[64];
 
-	jl_begin(bad ? JL_KEEP : JL_INFO, "ended");
+	jl_begin(bad ? JL_UNLIMITED : JL_INFO, "ended");
 	jl_str("id", txn->request.id);
 	jl_str("cause", fwd_cause_name(cause));
 	jl_int("status", txn->status);
@@ -524,5 +524,5 @@
 	snprintf(labels, sizeof(labels), "cause=\"%s\"", fwd_cause_name(cause));
 	met_add(met_counter("bg_requests_total", labels), 1);
 	txn_record_times(txn, now_us);
-	loop_after(&txn->traf->loop, &txn->timer, 0, txn_on_free, txn);
+	loop_start_timer(&txn->traf->loop, &txn->timer, 0, txn_on_free, txn);
 }
--- a/router/txn_admit.c
+++ b/router/txn_admit.c
@@ -52,7 +52,7 @@
 	rules->may_repeat = rt_may_repeat(route);
 	rules->streaming = route->type == RT_STREAMING;
 	rules->runs_max = (int)route->attempts;
-	rules->deadline_us = txn->began_us + tmr_ms(deadline_ms);
+	rules->deadline_us = txn->began_us + tmr_from_ms(deadline_ms);
 	rules->first_us = MAX(TXN_FIRST_MIN_MS, route->target_latency_ms / 2) * TMR_US_PER_MS;
 	rules->gap_us = MAX(TXN_GAP_MIN_MS, route->target_gap_ms * 6 / 10) * TMR_US_PER_MS;
 	rules->limit_wait_until_us =
@@ -128,17 +128,17 @@
 {
 	const struct rt_route *route = txn->route;
 
-	limits->target_us = tmr_ms(route->target_latency_ms);
-	limits->patience_us =
-		tmr_ms(MAX(TXN_PATIENCE_MS, MAX(TXN_PATIENCE_TARGETS * route->target_latency_ms,
-						TXN_PATIENCE_GAPS * route->target_gap_ms)));
+	limits->target_us = tmr_from_ms(route->target_latency_ms);
+	limits->patience_us = tmr_from_ms(
+		MAX(TXN_PATIENCE_MS, MAX(TXN_PATIENCE_TARGETS * route->target_latency_ms,
+					 TXN_PATIENCE_GAPS * route->target_gap_ms)));
 }
 
 static void txn_log_overload(const struct txn *txn, const struct adm_queue *queue)
 {
 	const struct adm *adm = traf_admission(txn->traf, txn->service->name);
 
-	jl_begin(JL_KEEP, "overload");
+	jl_begin(JL_UNLIMITED, "overload");
 	jl_str("id", txn->request.id);
 	jl_str("service", txn->service->name);
 	jl_int("waiting", queue->waiting);
@@ -165,7 +165,7 @@
 		return true;
 	txn_log_overload(txn, &queue);
 	txn_deny(txn, STATUS_UNAVAILABLE, "overload",
-		 adm_retry_delay_us(rnd_unit(&txn->traf->seed)));
+		 adm_retry_delay_us(rnd_uniform(&txn->traf->seed)));
 	return false;
 }
 
--- a/router/txn_answer.c
+++ b/router/txn_answer.c
@@ -27,7 +27,7 @@
 	const struct router_view *view = txn->traf->view;
 
 	txn_reply_error(txn, status, code, retry_us);
-	jl_begin(JL_KEEP, "denied");
+	jl_begin(JL_UNLIMITED, "denied");
 	jl_str("id", txn->request.id);
 	jl_int("status", status);
 	jl_str("code", code);
@@ -66,19 +66,19 @@
 	txn_fill_limits(txn, &limits);
 	adm_on_first_token(traf_admission(txn->traf, txn->service->name), &limits,
 			   txn->first_us - txn->sent_us, txn->first_us);
-	hd_begin(txn->call, txn->status, txn->answer.type);
+	hd_reply_begin(txn->call, txn->status, txn->answer.type);
 }
 
 void txn_answer_data(void *ctx, const char *data, size_t len)
 {
 	struct txn *txn = ctx;
 
-	hd_write(txn->call, data, len);
+	hd_reply_write(txn->call, data, len);
 }
 
 void txn_answer_end(void *ctx)
 {
-	hd_end(((struct txn *)ctx)->call);
+	hd_reply_end(((struct txn *)ctx)->call);
 }
 
 void txn_answer_abort(void *ctx)
--- a/router/txn_repair.c
+++ b/router/txn_repair.c
@@ -62,7 +62,7 @@
 
 static void txn_log_silent(const struct txn *txn, const char *finding, const char *culprit)
 {
-	jl_begin(JL_KEEP, "silent");
+	jl_begin(JL_UNLIMITED, "silent");
 	jl_str("id", txn->request.id);
 	jl_str("finding", finding);
 	jl_str("culprit", culprit);
@@ -130,7 +130,7 @@
 /* Sends the request to other endpoints, to continue after the last event that the caller has. */
 static void txn_resume(struct txn *txn, const char *why)
 {
-	jl_begin(JL_KEEP, "resume");
+	jl_begin(JL_UNLIMITED, "resume");
 	jl_str("id", txn->request.id);
 	jl_str("why", why);
 	jl_int("parts", (int64_t)txn->fwd.parts);
@@ -249,7 +249,7 @@
 
 	(void)sent;
 	txn->order = NULL;
-	jl_begin(JL_KEEP, "repaired");
+	jl_begin(JL_UNLIMITED, "repaired");
 	jl_str("id", txn->request.id);
 	jl_int("status", status);
 	jl_str("error", err < 0 ? base_strerror(err) : NULL);
