--- a/conf/clog.c
+++ b/conf/clog.c
@@ -34,7 +34,7 @@
 	clog->state = conf_state_new();
 	clog->pending = g_ptr_array_new_with_free_func((GDestroyNotify)clog_record_free);
 	clog->recent = g_queue_new();
-	clog->snapshot_at = -1;
+	clog->snapshot_covers = -1;
 }
 
 void clog_finish(struct clog *clog)
@@ -68,7 +68,7 @@
  * starts over at the oldest retained record, and applies nothing until a snapshot covers the gap.
  * The old state stays in force meanwhile.
  */
-int clog_on_first(struct clog *clog, int64_t first)
+int clog_on_oldest_offset(struct clog *clog, int64_t first)
 {
 	if (clog->next >= first)
 		return 0;
@@ -108,7 +108,7 @@
  * after those that it covers have expired, since they would be skipped, or if its revision is lower
  * than this node's.
  */
-int clog_on_end(struct clog *clog)
+int clog_on_log_end(struct clog *clog)
 {
 	int64_t first = clog->next;
 	struct clog_verdict verdict;
@@ -161,9 +161,9 @@
 	int64_t covers = json_integer_value(json_object_get(record, "covers"));
 	int64_t revision = clog_revision_of(record);
 
-	if (covers <= clog->snapshot_at)
+	if (covers <= clog->snapshot_covers)
 		return;
-	clog->snapshot_at = covers;
+	clog->snapshot_covers = covers;
 	if (revision > clog->revision)
 		clog->divergences++;
 	clog->changes_since_snapshot = clog->revision - revision;
@@ -273,7 +273,7 @@
 	conf_state_unref(clog->state);
 	clog->state = state;
 	clog->revision = revision;
-	clog->snapshot_at = MAX(clog->snapshot_at, covers);
+	clog->snapshot_covers = MAX(clog->snapshot_covers, covers);
 	clog->changes_since_snapshot = 0;
 	clog_load_verdicts(clog, json_object_get(snapshot, "recent"));
 	return 1;
--- a/conf/clog.h
+++ b/conf/clog.h
@@ -11,15 +11,15 @@
  * computes the same state and the same verdict for each command.
  *
  * A node that starts reads from the oldest record that the log still retains. A snapshot may follow
- * later in the log, so the node keeps the records until clog_on_end() reports the end of the log.
- * A node is one daemon that holds a copy of the configuration.
+ * later in the log, so the node keeps the records until clog_on_log_end() reports the end of the
+ * log. A node is one daemon that holds a copy of the configuration.
  */
 
 /* Outcome of reading one record. */
 enum clog_outcome {
-	CLOG_NONE,     /* the record is no change or a repeated one, or the node is not ready */
-	CLOG_ACCEPTED, /* the change was applied */
-	CLOG_REJECTED, /* the change was not applied; err and problem give the reason */
+	CLOG_NO_VERDICT, /* the record is no change or a repeated one, or the node is not ready */
+	CLOG_ACCEPTED,	 /* the change was applied */
+	CLOG_REJECTED,	 /* the change was not applied; err and problem give the reason */
 };
 
 /* Result of one command that was read from the log. */
@@ -39,7 +39,7 @@
 	bool ready;		  /* the state is complete and may be used */
 	GPtrArray *pending;	  /* struct clog_record: records read while not ready */
 	GQueue *recent;		  /* struct clog_verdict of the latest commands, oldest first */
-	int64_t snapshot_at;	  /* last offset covered by the newest snapshot; -1 if none */
+	int64_t snapshot_covers;  /* last offset covered by the newest snapshot; -1 if none */
 	int64_t changes_since_snapshot; /* number of changes accepted since that snapshot */
 	uint64_t divergences; /* number of snapshots read with a higher revision than this node's */
 };
@@ -53,11 +53,11 @@
  * returns. Returns 0, or CONF_EGAP if a record that this node has not read yet has expired; the
  * node is then not ready until a snapshot covers the gap.
  */
-int clog_on_first(struct clog *clog, int64_t first);
+int clog_on_oldest_offset(struct clog *clog, int64_t first);
 
 /*
  * Applies one record, or keeps it while the node is not ready; the verdict's outcome is then
- * CLOG_NONE. Returns 0, or CONF_ERECORD if the record is not a JSON object.
+ * CLOG_NO_VERDICT. Returns 0, or CONF_ERECORD if the record is not a JSON object.
  */
 int clog_on_record(struct clog *clog, int64_t offset, struct str data,
 		   struct clog_verdict *verdict);
@@ -66,7 +66,7 @@
  * Handles the end of the log: builds the state from the newest usable snapshot and the records
  * kept. Returns 0, or CONF_EGAP if the log does not hold enough records to build the state.
  */
-int clog_on_end(struct clog *clog);
+int clog_on_log_end(struct clog *clog);
 
 /*
  * Replaces the state by a peer's snapshot if its revision is higher, or the same while this node is
--- a/conf/conf.h
+++ b/conf/conf.h
@@ -140,11 +140,12 @@
 guint conf_count(const struct conf_state *state, enum conf_kind kind);
 
 /* Returns whether state holds an object of the same kind, name and attributes as obj. */
-bool conf_obj_same(const struct conf_state *state, const struct conf_obj *obj);
+bool conf_state_has_same_obj(const struct conf_state *state, const struct conf_obj *obj);
 
 /* Calls fn for each object of a kind, in order of name. */
 typedef void (*conf_visit_fn)(void *ctx, const struct conf_obj *obj);
-void conf_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn, void *ctx);
+void conf_for_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn,
+		   void *ctx);
 
 /*
  * Returns a new state with all statements applied, or NULL if one of them is invalid; err and
@@ -160,7 +161,8 @@
 void conf_diff(const struct conf_state *from, const struct conf_state *to, GString *out);
 
 /* Returns whether the account may use this version of the model. */
-bool conf_may_use(const struct conf_obj *account, const char *model, const char *version);
+bool conf_account_allows_model(const struct conf_obj *account, const char *model,
+			       const char *version);
 
 /* Returns the name of a kind as written in statements, such as "endpoint". */
 const char *conf_kind_name(enum conf_kind kind);
--- a/conf/conf_test.cc
+++ b/conf/conf_test.cc
@@ -178,7 +178,7 @@
 	 * The second one must be rejected: without the check of the expected revision, it would
 	 * silently override the first one.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", 0, kBase);
 	Change("c1", 1, "account a share 2");
 	Change("c2", 1, "account a share 3");
@@ -197,7 +197,7 @@
 	 * first append took effect. If the second record were applied, the command would raise the
 	 * revision twice, or drain an endpoint again that was admitted in between.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", -1, kBase);
 	Change("c1", -1, "drain endpoint e1");
 	Change("c2", -1, "admit endpoint e1");
@@ -214,7 +214,7 @@
 	 * The host must load the snapshot that covers the expired records; without one it must not
 	 * become ready, or it would start with an old or empty configuration.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", -1, kBase);
 	Change("c1", -1, "account a share 5");
 	Read(&node_, 0, 2);
@@ -224,18 +224,18 @@
 
 	clog fresh;
 	clog_init(&fresh);
-	EXPECT_EQ(clog_on_first(&fresh, 2), CONF_EGAP);
+	EXPECT_EQ(clog_on_oldest_offset(&fresh, 2), CONF_EGAP);
 	Read(&fresh, 2, 4);
-	EXPECT_EQ(clog_on_end(&fresh), 0);
+	EXPECT_EQ(clog_on_log_end(&fresh), 0);
 	EXPECT_EQ(fresh.revision, node_.revision);
 	EXPECT_EQ(Export(fresh.state), Export(node_.state));
 	clog_finish(&fresh);
 
 	clog incomplete;
 	clog_init(&incomplete);
-	clog_on_first(&incomplete, 3);
+	clog_on_oldest_offset(&incomplete, 3);
 	Read(&incomplete, 3, 4);
-	EXPECT_EQ(clog_on_end(&incomplete), CONF_EGAP);
+	EXPECT_EQ(clog_on_log_end(&incomplete), CONF_EGAP);
 	EXPECT_FALSE(incomplete.ready);
 	clog_finish(&incomplete);
 }
@@ -248,7 +248,7 @@
 	 * If the host loaded the snapshot, it would lack the change in record 1, which all other
 	 * hosts have.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", -1, kBase);
 	Read(&node_, 0, 1);
 	char *snapshot = clog_snapshot_record(&node_);
@@ -257,9 +257,9 @@
 
 	clog fresh;
 	clog_init(&fresh);
-	clog_on_first(&fresh, 2);
+	clog_on_oldest_offset(&fresh, 2);
 	Read(&fresh, 2, 3);
-	EXPECT_EQ(clog_on_end(&fresh), CONF_EGAP);
+	EXPECT_EQ(clog_on_log_end(&fresh), CONF_EGAP);
 	EXPECT_FALSE(fresh.ready);
 	clog_finish(&fresh);
 }
@@ -272,17 +272,17 @@
 	 * If the host loaded any snapshot after a gap, a change that is in force on it would be
 	 * reverted.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", -1, kBase);
 	Read(&node_, 0, 1);
 	std::string stale = clog_snapshot_record(&node_);
 	Change("c1", -1, "account a share 5");
 	Read(&node_, 1, 2);
 	stale.replace(stale.find("\"covers\":0"), 10, "\"covers\":9");
-	clog_on_first(&node_, 5);
+	clog_on_oldest_offset(&node_, 5);
 	clog_verdict verdict;
 	clog_on_record(&node_, 5, str_make(stale.data(), stale.size()), &verdict);
-	EXPECT_EQ(clog_on_end(&node_), CONF_EGAP);
+	EXPECT_EQ(clog_on_log_end(&node_), CONF_EGAP);
 	EXPECT_EQ(node_.revision, 2);
 }
 
@@ -293,7 +293,7 @@
 	 * to a peer.
 	 * If the peer did not compare revisions, an accepted change would be lost there.
 	 */
-	clog_on_end(&node_);
+	clog_on_log_end(&node_);
 	Change("c0", -1, kBase);
 	Read(&node_, 0, 1);
 	char *stale = clog_snapshot_record(&node_);
--- a/conf/state.c
+++ b/conf/state.c
@@ -3,7 +3,7 @@
 #include <ck_pr.h>
 #include <stdio.h>
 
-/* Context of conf_each(). */
+/* Context of conf_for_each(). */
 struct conf_walk {
 	conf_visit_fn fn;
 	void *ctx;
@@ -118,7 +118,7 @@
 	return FALSE;
 }
 
-void conf_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn, void *ctx)
+void conf_for_each(const struct conf_state *state, enum conf_kind kind, conf_visit_fn fn, void *ctx)
 {
 	struct conf_walk walk = {fn, ctx};
 
@@ -138,7 +138,7 @@
 	struct conf_state *copy = conf_state_new();
 
 	for (int kind = 0; kind < CONF_KIND_COUNT; kind++)
-		conf_each(state, kind, conf_copy_obj_into, copy);
+		conf_for_each(state, kind, conf_copy_obj_into, copy);
 	return copy;
 }
 
@@ -157,7 +157,7 @@
 void conf_export(const struct conf_state *state, GString *out)
 {
 	for (int i = 0; i < CONF_KIND_COUNT; i++)
-		conf_each(state, conf_export_order[i], conf_write_obj, out);
+		conf_for_each(state, conf_export_order[i], conf_write_obj, out);
 }
 
 static bool conf_obj_eq(const struct conf_obj *a, const struct conf_obj *b)
@@ -169,7 +169,7 @@
 	return true;
 }
 
-bool conf_obj_same(const struct conf_state *state, const struct conf_obj *obj)
+bool conf_state_has_same_obj(const struct conf_state *state, const struct conf_obj *obj)
 {
 	const struct conf_obj *other = conf_get(state, obj->kind, obj->name);
 
@@ -180,7 +180,7 @@
 {
 	struct conf_diff_walk *walk = ctx;
 
-	if (!conf_obj_same(walk->other, obj))
+	if (!conf_state_has_same_obj(walk->other, obj))
 		conf_write_obj(walk->out, obj);
 }
 
@@ -199,12 +199,13 @@
 	struct conf_diff_walk deleted = {to, out};
 
 	for (int i = 0; i < CONF_KIND_COUNT; i++)
-		conf_each(to, conf_export_order[i], conf_write_changed, &changed);
+		conf_for_each(to, conf_export_order[i], conf_write_changed, &changed);
 	for (int i = CONF_KIND_COUNT - 1; i >= 0; i--)
-		conf_each(from, conf_export_order[i], conf_write_deleted, &deleted);
+		conf_for_each(from, conf_export_order[i], conf_write_deleted, &deleted);
 }
 
-bool conf_may_use(const struct conf_obj *account, const char *model, const char *version)
+bool conf_account_allows_model(const struct conf_obj *account, const char *model,
+			       const char *version)
 {
 	const char *list = account->text[ACCOUNT_MODELS];
 	gchar **parts;
@@ -304,7 +305,7 @@
 	struct conf_check_walk walk = {state, problem, true};
 
 	for (int kind = 0; kind < CONF_KIND_COUNT; kind++)
-		conf_each(state, kind, conf_check_visit, &walk);
+		conf_for_each(state, kind, conf_check_visit, &walk);
 	return walk.ok;
 }
 
--- a/fake/engine.c
+++ b/fake/engine.c
@@ -262,7 +262,7 @@
 
 		engine_add_port(&engine, e, NULL, e->address);
 	}
-	conf_each(engine.conf, CONF_SERVICE, engine_add_service, &engine);
+	conf_for_each(engine.conf, CONF_SERVICE, engine_add_service, &engine);
 	log_msg(LOG_INFO, "started admin=%s endpoints=%u", engine.settings.admin,
 		engine.sim.endpoints->len);
 	loop_start_timer(&engine.loop, &engine.tick, ENGINE_TICK_US, engine_on_tick, &engine);
--- a/fake/sim.c
+++ b/fake/sim.c
@@ -73,9 +73,9 @@
 
 void sim_add_declarations(struct sim *sim, const struct conf_state *conf)
 {
-	conf_each(conf, CONF_MODEL, sim_set_activation, sim);
-	conf_each(conf, CONF_ENDPOINT, sim_add_endpoint, sim);
-	conf_each(conf, CONF_LINK, sim_add_link, sim);
+	conf_for_each(conf, CONF_MODEL, sim_set_activation, sim);
+	conf_for_each(conf, CONF_ENDPOINT, sim_add_endpoint, sim);
+	conf_for_each(conf, CONF_LINK, sim_add_link, sim);
 }
 
 struct sim_endpoint *sim_find_endpoint(const struct sim *sim, const char *name)
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -140,9 +140,9 @@
 	conf_state_unref(pool->conf);
 	pool->conf = conf;
 	pool_paths_clear(pool);
-	conf_each(conf, CONF_ENDPOINT, pool_apply_endpoint, pool);
+	conf_for_each(conf, CONF_ENDPOINT, pool_apply_endpoint, pool);
 	g_hash_table_remove_all(pool->links);
-	conf_each(conf, CONF_LINK, pool_apply_link, pool);
+	conf_for_each(conf, CONF_LINK, pool_apply_link, pool);
 	for (guint i = pool->endpoints->len; i-- > 0;) {
 		if (!((struct pool_endpoint *)pool->endpoints->pdata[i])->declared)
 			g_ptr_array_remove_index(pool->endpoints, i);
--- a/prog/control_log.c
+++ b/prog/control_log.c
@@ -119,7 +119,7 @@
 		met_add(met_counter("bg_config_records_refused_total", ""), 1);
 		log_msg(LOG_WARNING, "config_record_refused reason=\"%s\"", conf_strerror(err));
 	}
-	if (verdict.outcome == CLOG_NONE)
+	if (verdict.outcome == CLOG_NO_VERDICT)
 		return;
 	log_msg(LOG_INFO, "config_change id=%s outcome=%s revision=%" G_GINT64_FORMAT, verdict.id,
 		verdict.outcome == CLOG_ACCEPTED ? "accepted" : "rejected", verdict.revision);
@@ -146,21 +146,21 @@
 	json_t *records = json_object_get(json, "records");
 	int64_t end = json_integer_value(json_object_get(json, "end"));
 	int64_t revision = c->clog.revision;
-	int64_t snapshot = c->clog.snapshot_at;
+	int64_t snapshot = c->clog.snapshot_covers;
 	bool ready = c->clog.ready;
 	size_t i;
 	json_t *record;
 
-	if (clog_on_first(&c->clog, json_integer_value(json_object_get(json, "first"))) < 0)
+	if (clog_on_oldest_offset(&c->clog, json_integer_value(json_object_get(json, "first"))) < 0)
 		log_msg(LOG_WARNING, "config_gap next=%" G_GINT64_FORMAT, c->clog.next);
 	json_array_foreach(records, i, record)
 	{
 		control_apply_record(c, record);
 	}
-	if (c->clog.next >= end && clog_on_end(&c->clog) < 0)
+	if (c->clog.next >= end && clog_on_log_end(&c->clog) < 0)
 		log_msg(LOG_WARNING, "config_without_snapshot next=%" G_GINT64_FORMAT,
 			c->clog.next);
-	if (c->clog.snapshot_at != snapshot)
+	if (c->clog.snapshot_covers != snapshot)
 		c->snapshot_seen_us = tmr_now();
 	if (c->clog.revision != revision || c->clog.ready != ready) {
 		control_conf_changed(c);
--- a/prog/control_order.c
+++ b/prog/control_order.c
@@ -100,7 +100,7 @@
 
 	(void)now_us;
 	loop_start_timer(&c->loop, &c->order_timer, CONTROL_ORDER_TICK_US, control_order_tick, c);
-	conf_each(c->clog.state, CONF_MODEL, control_order_find_candidate, &found);
+	conf_for_each(c->clog.state, CONF_MODEL, control_order_find_candidate, &found);
 	if (!c->clog.ready || c->order_reading || !found.model)
 		return;
 	c->order_reading = true;
@@ -115,7 +115,7 @@
 static bool control_order_is_due(struct control_order_scan *scan, const struct conf_obj *endpoint)
 {
 	struct control *c = scan->c;
-	bool changed = c->order_last_conf && !conf_obj_same(c->order_last_conf, endpoint);
+	bool changed = c->order_last_conf && !conf_state_has_same_obj(c->order_last_conf, endpoint);
 	bool in_turn =
 		scan->visited++ >= scan->next_index && scan->checked < CONTROL_ORDER_CHECKS_MAX;
 
@@ -170,7 +170,7 @@
 	if (order_fencing_number(&c->order, model->name, now) >= 0) {
 		scan.next_index =
 			GPOINTER_TO_UINT(g_hash_table_lookup(c->order_next_endpoints, model->name));
-		conf_each(c->clog.state, CONF_ENDPOINT, control_order_check_endpoint, &scan);
+		conf_for_each(c->clog.state, CONF_ENDPOINT, control_order_check_endpoint, &scan);
 		scan.next_index = scan.checked < CONTROL_ORDER_CHECKS_MAX
 					  ? 0
 					  : scan.next_index + scan.checked;
@@ -181,7 +181,7 @@
 
 static void control_order_all_models(struct control *c)
 {
-	conf_each(c->clog.state, CONF_MODEL, control_order_model, c);
+	conf_for_each(c->clog.state, CONF_MODEL, control_order_model, c);
 	conf_state_unref(c->order_last_conf);
 	c->order_last_conf = conf_state_ref(c->clog.state);
 }
--- a/prog/entry_call.c
+++ b/prog/entry_call.c
@@ -150,7 +150,7 @@
 	} else if (!entry_call_version(call)) {
 		entry_call_refuse(call, REQ_ENOTFOUND, "model");
 		return;
-	} else if (!conf_may_use(account, call->model, call->version)) {
+	} else if (!conf_account_allows_model(account, call->model, call->version)) {
 		entry_call_refuse(call, REQ_EFORBIDDEN, "model");
 		return;
 	} else if (call->max_tokens > (uint64_t)account->value[ACCOUNT_MAX_TOKENS]) {
--- a/prog/entry_http.c
+++ b/prog/entry_http.c
@@ -102,7 +102,7 @@
 	json_t *list = json_array();
 
 	if (task->entry->traffic.conf)
-		conf_each(task->entry->traffic.conf, CONF_MODEL, entry_http_append_model, list);
+		conf_for_each(task->entry->traffic.conf, CONF_MODEL, entry_http_append_model, list);
 	prog_reply_json(task->http, 200, json_pack("{s:s, s:o}", "object", "list", "data", list));
 	g_free(task);
 }
--- a/prog/entry_pools.c
+++ b/prog/entry_pools.c
@@ -56,7 +56,7 @@
 		pool->capacity = 0;
 		g_hash_table_remove_all(pool->versions);
 	}
-	conf_each(e->view.clog.state, CONF_ENDPOINT, entry_pool_add_endpoint, e);
+	conf_for_each(e->view.clog.state, CONF_ENDPOINT, entry_pool_add_endpoint, e);
 	entry_rank_pools(e);
 }
 
--- a/prog/load.c
+++ b/prog/load.c
@@ -467,7 +467,7 @@
 			load->settings.declarations);
 		exit(PROG_EXIT_USAGE);
 	}
-	conf_each(load->conf, CONF_ENDPOINT, load_add_direct_endpoint, load);
+	conf_for_each(load->conf, CONF_ENDPOINT, load_add_direct_endpoint, load);
 	conf_state_unref(empty);
 	g_free(text);
 }
--- a/regress/fuzz/records.c
+++ b/regress/fuzz/records.c
@@ -65,7 +65,7 @@
 
 	clog_init(&clog);
 	clog_on_record(&clog, 0, record, &verdict);
-	clog_on_end(&clog);
+	clog_on_log_end(&clog);
 	clog_on_record(&clog, 1, record, &verdict);
 	clog_on_peer_state(&clog, record);
 	clog_finish(&clog);
