--- a/regress/soak/cases_limit.py
+++ b/regress/soak/cases_limit.py
@@ -6,7 +6,7 @@
 import time
 
 from cases import expect, run
-from limit import STABLE_S, WINDOW_S, Period, most_over
+from limit import STABLE_S, WINDOW_S, Period, max_in_window
 from stack import Failure, eventually
 
 
@@ -82,7 +82,7 @@
 
 def check_limit(stack, callers, endpoint, rate):
     """What the users count: of hosts that had been told half a second before, from 3 s on."""
-    most, allowed = most_over(Period(endpoint, rate, 0), stack.ledger()["limited"],
+    most, allowed = max_in_window(Period(endpoint, rate, 0), stack.ledger()["limited"],
                               {r: (h, True) for r, h in callers.hosts.items()}, callers.told_by)
     print("most in 4 s: %d of %d allowed" % (most, allowed))
     if most > allowed:
--- a/regress/soak/cases_rest.py
+++ b/regress/soak/cases_rest.py
@@ -6,7 +6,7 @@
 
 from cases import expect, run
 from cases_limit import Callers, go_on, plain_only
-from rest import AT_MOST, HEARD_S, host_of, late_at_leaving, most_within, rests
+from rest import REST_NOTICE_S, REST_REQUESTS_MAX, host_of, max_during_rest, rests, sent_after_drain
 from stack import Failure, eventually
 
 REST_S = 3.0
@@ -40,9 +40,9 @@
 
 
 def check_rest(stack, rest_s=REST_S, **more):
-    got, host, endpoint = most_within(heard(stack), rest_s, **more)
-    print("most of one host within a rest: %d of %d allowed" % (got, AT_MOST))
-    if got > AT_MOST:
+    got, host, endpoint = max_during_rest(heard(stack), rest_s, **more)
+    print("most of one host within a rest: %d of %d allowed" % (got, REST_REQUESTS_MAX))
+    if got > REST_REQUESTS_MAX:
         raise Failure("%d requests of %s reached %s within its rest" % (got, host, endpoint))
 
 
@@ -121,7 +121,7 @@
     ends = {h: min(rested_at(stack, n)[h] for n in names) + REST_S for h in stack.hosts}
     refused = [(at, host, headers) for at, host, status, headers in callers.answers
                if status == 503 and at > began]
-    known = {h: max(rested_at(stack, n)[h] for n in names) + HEARD_S for h in stack.hosts}
+    known = {h: max(rested_at(stack, n)[h] for n in names) + REST_NOTICE_S for h in stack.hosts}
     told = [(at + float(headers.get("Retry-After", 0)) - ends[host]) for at, host, headers in refused
             if known[host] < at < ends[host] - 1]
     if not told:
@@ -200,8 +200,8 @@
         stack.fault_engine("p0", "ok", rest="0.2")
         began = time.monotonic()
         go_on(callers, 5)
-        got = sum(1 for a in heard(stack) if a["endpoint"] == "p0" and a["ms"] / 1000.0 >= began + HEARD_S)
-        if got > AT_MOST:
+        got = sum(1 for a in heard(stack) if a["endpoint"] == "p0" and a["ms"] / 1000.0 >= began + REST_NOTICE_S)
+        if got > REST_REQUESTS_MAX:
             raise Failure("%d requests within the longer rest" % got)
 
 
@@ -216,14 +216,14 @@
         name, _, asked = rests(heard(stack))[0]
         go_on(callers, 6)
     calls = [a for a in heard(stack) if a["answer"] != "rest" and a["endpoint"] == name and
-             asked + HEARD_S <= a["ms"] / 1000.0 < asked + 6]
+             asked + REST_NOTICE_S <= a["ms"] / 1000.0 < asked + 6]
     print("%d requests, reports and orders" % len(calls))
-    if len(calls) > AT_MOST:
+    if len(calls) > REST_REQUESTS_MAX:
         raise Failure("%d requests, reports and orders reached the engine within its rest" % len(calls))
 
 
 def check_leaving(stack, callers, name):
-    late = late_at_leaving(heard(stack), name, callers.sent, callers.left, stack.drain_ms / 1000.0)
+    late = sent_after_drain(heard(stack), name, callers.sent, callers.left, stack.drain_ms / 1000.0)
     print("%d requests too late at the one that leaves" % len(late))
     if late:
         raise Failure("%d requests reached %s though it had said that it leaves" % (len(late), name))
--- a/regress/soak/demo.py
+++ b/regress/soak/demo.py
@@ -1,4 +1,4 @@
-"""Shows bgrouterd at work: a local set with stand-ins, one stream, and its story from the logs."""
+"""Demonstrates bgrouterd: a local deployment with fake store and engines, one stream, and its trace in the logs."""
 import os
 import subprocess
 
@@ -15,7 +15,7 @@
         print("   status %d, %s" % (status, headers.get("Content-Type")))
         for event in body.decode().strip().split("\n\n"):
             print("   " + event.replace("\n", "  "))
-        print("== its story, as bgctl explain tells it:")
+        print("== its trace, as bgctl explain prints it:")
         logs = [os.path.join(stack.dir, h + ".log") for h in stack.hosts]
         subprocess.run([os.path.join(BIN, "bgctl"), "explain", "demo-1"] + logs, check=True)
     finally:
--- a/regress/soak/limit.py
+++ b/regress/soak/limit.py
@@ -1,14 +1,16 @@
-"""What the users count of an endpoint that names a limit, from what callers and the endpoint saw."""
+"""Check of the rate limits that endpoints announce, from the records of the callers and of the endpoint."""
 
-STABLE_S = 3.0      # after an endpoint first names its limit, until it holds
-WINDOW_S = 4.0      # of which none may have more
-OVER = 1.5          # times what the limit allows in a window
-SLACK = 5           # requests in a window, beside
-TOLD_S = 0.5        # after a host has passed on an answer that names the limit, until it is bound
+# Time after an endpoint first announces its limit until the limit must be kept, in seconds.
+STABLE_S = 3.0
+WINDOW_S = 4.0      # length of the sliding window in which requests are counted, in seconds
+OVER = 1.5          # tolerated multiple of the number of requests that the limit allows in a window
+SLACK = 5           # number of further requests tolerated in a window
+# Time after a host forwards an answer that announces the limit until the host must keep it, in seconds.
+TOLD_S = 0.5
 
 
 class Period:
-    """From when, and until when, an endpoint names a limit."""
+    """Period in which an endpoint announces a limit: rate in requests per second, start and end in seconds."""
 
     def __init__(self, endpoint, rate, began):
         self.endpoint, self.rate, self.began, self.ended = endpoint, rate, began, None
@@ -21,21 +23,21 @@
         return at >= self.began and (self.ended is None or at <= self.ended)
 
 
-def most_over(period, limited, sent, told):
-    """(most requests in a window, how many are allowed).
+def max_in_window(period, limited, sent, told):
+    """Returns (largest number of requests in a window, number allowed).
 
-    limited: what the endpoints saw while they named limits; sent: request -> (host, whether it counts);
-    told: request -> when its answer, which named a limit, had come to the caller."""
+    limited: arrivals at endpoints while they announced limits; sent: request -> (host, whether the request
+    counts); told: request -> time at which its answer, which announced a limit, reached the caller."""
     came = [(a["ms"] / 1000.0, a["request"]) for a in limited
             if a["endpoint"] == period.endpoint and period.has(a["ms"] / 1000.0)]
-    heard = {}
+    first_told = {}
     for _, request in came:
         if request in told and request in sent:
             host = sent[request][0]
-            heard[host] = min(heard.get(host, told[request]), told[request])
+            first_told[host] = min(first_told.get(host, told[request]), told[request])
     counted = [at for at, request in came
                if request in sent and sent[request][1] and
-               at >= heard.get(sent[request][0], at) + TOLD_S]
+               at >= first_told.get(sent[request][0], at) + TOLD_S]
     first = min((at for at, _ in came), default=0)
     most = max((sum(1 for at in counted if end - WINDOW_S < at <= end) for end in counted
                 if end >= first + STABLE_S), default=0)
--- a/regress/soak/proxy.py
+++ b/regress/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that can be told to misbehave."""
+"""A TCP proxy on loopback that injects network faults."""
 import select
 import socket
 import threading
@@ -8,19 +8,20 @@
 
 
 class Proxy:
-    """Forwards a port to another. Modes: pass; delay (each piece waits); refuse (new connections are
-    reset); silent (open connections carry nothing more, new ones neither); deaf (only what comes
-    back is dropped); reset (open connections are reset once, then pass); away (open connections are reset,
-    nobody listens)."""
+    """Forwards connections to one port to another port. Modes: pass (forwards everything); delay (delays each
+    chunk of data by DELAY_S); refuse (resets open and new connections); silent (keeps connections open but
+    forwards no data); deaf (drops the data from the target, forwards the data to it); reset (resets the
+    open connections once, then acts as pass); away (resets the open connections and closes the listening
+    socket)."""
 
-    DELAY_S = 0.3
+    DELAY_S = 0.3   # delay of each chunk in mode delay, in seconds
 
     def __init__(self, port, target):
         self.target = target
         self.mode = "pass"
         self.port = port
         self.pairs = set()
-        self.guard = threading.Lock()
+        self.lock = threading.Lock()
         self.open = True
         self.listen()
 
@@ -34,19 +35,19 @@
     def set(self, mode):
         before, self.mode = self.mode, "pass" if mode == "reset" else mode
         if mode == "away":
-            self.kill(self.listener)
+            self.reset_connection(self.listener)
             self.listener.close()
         elif before == "away":
             self.listen()
         if mode in ("reset", "refuse", "away"):
-            with self.guard:
+            with self.lock:
                 pairs = list(self.pairs)
             for pair in pairs:
                 for sock in pair:
-                    self.kill(sock)
+                    self.reset_connection(sock)
 
     @staticmethod
-    def kill(sock):
+    def reset_connection(sock):
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.shutdown(socket.SHUT_RDWR)
@@ -63,26 +64,26 @@
                 near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 near.close()
                 continue
-            threading.Thread(target=self.carry, args=(near,), daemon=True).start()
+            threading.Thread(target=self.forward, args=(near,), daemon=True).start()
 
-    def carry(self, near):
+    def forward(self, near):
         try:
             far = socket.create_connection(("127.0.0.1", self.target), timeout=5)
         except OSError:
             near.close()
             return
         pair = (near, far)
-        with self.guard:
+        with self.lock:
             self.pairs.add(pair)
-        # One that was accepted just before the mode changed is not among those that were cut then.
+        # A connection that was accepted just before the mode changed was not yet in self.pairs and thus not reset.
         if self.mode in ("refuse", "away"):
-            self.kill(near)
-            self.kill(far)
+            self.reset_connection(near)
+            self.reset_connection(far)
         try:
             self.pump(near, far)
         except OSError:
             pass
-        with self.guard:
+        with self.lock:
             self.pairs.discard(pair)
         near.close()
         far.close()
@@ -105,5 +106,5 @@
 
     def close(self):
         self.open = False
-        self.kill(self.listener)
+        self.reset_connection(self.listener)
         self.listener.close()
--- a/regress/soak/rest.py
+++ b/regress/soak/rest.py
@@ -1,7 +1,10 @@
-"""What the users count of endpoints that ask for rest or leave, from what callers and the endpoints saw."""
+"""Checks of endpoints that ask for a rest (reject with Retry-After) or leave, from the records of the callers
+and of the endpoints."""
 
-HEARD_S = 0.5   # after an endpoint has asked a host for rest, until the host is bound
-AT_MOST = 2     # requests of that host that may reach the endpoint from then to the end of the rest
+# Time after an endpoint asks a host for a rest until the host must respect the rest, in seconds.
+REST_NOTICE_S = 0.5
+# Maximum number of requests of one host that may reach the endpoint from then to the end of the rest.
+REST_REQUESTS_MAX = 2
 
 
 def host_of(request):
@@ -9,14 +12,14 @@
 
 
 def rests(heard):
-    """(endpoint, request, seconds of the answer) of each rest that was asked for."""
+    """Returns (endpoint, request, time of the answer in seconds) for each request that was answered with a rest."""
     return [(a["endpoint"], a["request"], a["ms"] / 1000.0) for a in heard if a["answer"] == "rest"]
 
 
-def most_within(heard, rest_s, host_of=host_of, is_bound=lambda host, endpoint, since, until: True):
-    """The most requests of one host that reached an endpoint within a rest, and which host and endpoint.
+def max_during_rest(heard, rest_s, host_of=host_of, is_bound=lambda host, endpoint, since, until: True):
+    """Returns (largest number of requests of one host that reached an endpoint during a rest, host, endpoint).
 
-    rest_s: seconds that the endpoint asks for, or endpoint and time -> seconds."""
+    rest_s: length of each rest in seconds, or a function (endpoint, time) -> length in seconds."""
     seconds = rest_s if callable(rest_s) else lambda endpoint, at: rest_s
     arrivals = [(a["endpoint"], host_of(a["request"]), a["ms"] / 1000.0) for a in heard if a["answer"] != "call"]
     most = (0, None, None)
@@ -24,15 +27,16 @@
         host, until = host_of(request), at + seconds(endpoint, at)
         if host is None or not is_bound(host, endpoint, at, until):
             continue
-        got = sum(1 for e, h, t in arrivals if (e, h) == (endpoint, host) and at + HEARD_S <= t < until)
+        got = sum(1 for e, h, t in arrivals if (e, h) == (endpoint, host) and at + REST_NOTICE_S <= t < until)
         most = max(most, (got, host, endpoint), key=lambda x: x[0])
     return most
 
 
-def late_at_leaving(heard, endpoint, sent, told, drain_s, host_of=host_of,
+def sent_after_drain(heard, endpoint, sent, told, drain_s, host_of=host_of,
                     is_bound=lambda host, endpoint, since, until: True):
-    """Requests that reached the endpoint though their callers sent them later than drain_s after their host had
-    passed on that it leaves. sent: request -> seconds; told: host -> seconds."""
+    """Returns the requests that reached the endpoint although their callers sent them more than drain_s seconds
+    after their host had forwarded the announcement that the endpoint is leaving. sent: request -> time in
+    seconds; told: host -> time of the first such forwarded announcement, in seconds."""
     late = []
     for arrival in heard:
         request = arrival["request"]
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -1,24 +1,26 @@
-"""A randomized fault soak of bgrouterd: real processes, faults from outside, promises checked.
+"""Randomized fault injection soak test of bgrouterd, run with real processes.
 
 python3 regress/soak/soak.py [--seeds A-B] [--seconds S] [--hosts N] [--copies] [--crashing] [--limits]
                                [--rests] [--keep]
 
-Each seed gives one run: callers send streams and plain requests over connections that they keep, while
-hosts are killed, stopped, paused and started, engines fall silent, slow, empty or leave, the store and
-the links to it fail, and configurations follow each other. What callers and engines see is checked:
-
-- a success is whole, in order, once, of this request, with the endpoint's proof
-- what was said not to have run has not run; a non-idempotent request ran at most once
-- no host goes back to an older configuration; new ones are in force on untroubled hosts
-- at the end, with all faults mended, every host serves everything
-- with --copies, the store also comes back from a copy some seconds old, now and then twice in a row
-- with --crashing, requests that end the endpoints that run them come again and again at all hosts; after
-  its third crash, and once hosts had the time to hear of it, each reaches endpoints three times at most
-  from hosts that were left alone
-- with --limits, endpoints name how many requests a second they take from all hosts; of hosts that were left
-  alone and have handed such an answer on they get no more in 4 s than the users allow
-- with --rests, endpoints also ask hosts for rest, and say that they leave: a host that was left alone sends such
-  an endpoint no more than the users allow
+Each seed gives one run. Callers send streams and plain requests over persistent connections. Meanwhile
+hosts are killed, stopped, paused and started; engines stop answering, slow down, restart without layers or
+leave; the store and the links to it fail; and the configuration changes repeatedly. An undisturbed host is
+one that no recent fault has affected. The responses and the engines' ledger are checked:
+
+- a successful response is complete and in order, contains each event once, belongs to its request, and
+  has the endpoint's response seal
+- a request reported as not run has not run; a non-idempotent request ran at most once
+- no host returns to an older configuration; new ones take effect in time on undisturbed hosts
+- at the end, after all faults are repaired, every host serves every route
+- with --copies, the store is also restored from a copy some seconds old, sometimes twice in a row
+- with --crashing, requests that crash the endpoints that run them are repeated at all hosts; once hosts
+  have had time to learn of its third crash, each such request reaches endpoints at most three times from
+  undisturbed hosts
+- with --limits, endpoints announce the rate of requests that they accept from all hosts together;
+  undisturbed hosts that have forwarded such an answer send no more in 4 s than the requirement allows
+- with --rests, endpoints also reject requests with a Retry-After time (a rest) and announce that they are
+  leaving; an undisturbed host sends such an endpoint no more requests than the requirement allows
 """
 import argparse
 import collections
@@ -29,26 +31,33 @@
 import threading
 import time
 
-from limit import Period, most_over
-from rest import AT_MOST, late_at_leaving, most_within, rests
+from limit import Period, max_in_window
+from rest import REST_REQUESTS_MAX, max_during_rest, rests, sent_after_drain
 from proxy import MODES, Proxy
 from stack import HOST_NAME, Failure, Stack, check_stream, eventually
 
+# Status codes that state that the request has not run.
 NOT_RUN = (408, 421, 429, 503)
-IN_FORCE_S = 3.0    # a change must be in force on a host that was left alone for so long
-CALLERS = 10
-CRASHING = 2            # different requests that end endpoints
-CRASH_REPEATS_MAX = 3   # what the users allow after the third crash, from hosts that were left alone
-HEARD_S = 3.0           # in which those hosts must have heard of it
-FAULT_GAP_S = 0.5
-DRAIN_S = 2.0       # after a host has passed on that an endpoint leaves, until nothing may reach it
-EXCUSED_S = 1.0     # after a host or the way to an endpoint is well again
+IN_FORCE_S = 3.0        # time within which an undisturbed host must apply a new configuration, in seconds
+CALLERS = 10            # number of concurrent caller threads
+CRASHING = 2            # number of distinct requests that crash endpoints
+# Required maximum number of arrivals at endpoints, from undisturbed hosts, after the third crash of a request.
+CRASH_REPEATS_MAX = 3
+LEARN_S = 3.0           # time within which undisturbed hosts must learn of the third crash, in seconds
+FAULT_GAP_S = 0.5       # mean time between two faults, in seconds
+# Time in seconds, after a host forwards the announcement that an endpoint is leaving, in which the host may
+# still send requests there.
+DRAIN_S = 2.0
+# Time in seconds for which a host or endpoint stays exempt from the checks after a fault of it ends.
+EXEMPT_S = 1.0
+# Retry-After texts of rests, in seconds; "soon" is not a number.
 RESTS = ("0", "0.7", "2", "4", "soon")
+# Announced limits, in requests per second.
 LIMITS = ("0", "0.3", "1", "3", "8")
 
 
 class Caller(threading.Thread):
-    """Sends requests one after the other over a connection that it keeps while it can."""
+    """Sends requests one after the other over a persistent connection."""
 
     def __init__(self, soak, number):
         super().__init__(daemon=True)
@@ -65,9 +74,9 @@
             kind = self.random.choice(("stream", "stream", "once", "many"))
             request_id = "%s-%d-%d" % (kind, self.number, n)
             try:
-                self.one(kind, request_id)
+                self.send_request(kind, request_id)
             except Failure as failure:
-                self.soak.broken(str(failure))
+                self.soak.record_failure(str(failure))
             except (OSError, http.client.HTTPException):
                 self.drop()
                 self.soak.count["cut " + kind] += 1
@@ -77,23 +86,23 @@
             self.conn.close()
         self.conn = None
 
-    def one(self, kind, request_id):
+    def send_request(self, kind, request_id):
         if not self.conn or self.random.random() < 0.1:
             self.drop()
             self.host = self.random.choice(self.soak.stack.hosts)
             self.conn = http.client.HTTPConnection(
                 "127.0.0.1", self.soak.stack.port(self.host, "front"), timeout=10)
         last = self.random.randint(1, 30)
-        self.soak.note_sent(request_id, self.host)
+        self.soak.record_sent(request_id, self.host)
         headers = {"Host": HOST_NAME, "Bronzegauge-Request-Id": request_id,
                    "Bronzegauge-Key": "key-farm", "Bronzegauge-Deadline-Ms": "6000",
                    "Bronzegauge-Token-Counts": "50,%d" % last}
         self.conn.request("POST", "/%s/x" % kind, body=b"{}", headers=headers)
         answer = self.conn.getresponse()
         if answer.getheader("Server-Limit") is not None:
-            self.soak.told[request_id] = time.monotonic()
+            self.soak.limit_seen_at[request_id] = time.monotonic()
         if answer.getheader("Server-Leaving") is not None:
-            self.soak.left[request_id] = time.monotonic()
+            self.soak.leaving_seen_at[request_id] = time.monotonic()
         body = answer.read()
         self.check(kind, request_id, last, answer, body)
         if answer.getheader("Connection", "").lower() == "close":
@@ -109,7 +118,7 @@
             raise Failure("%s denied with %d at %s" % (request_id, answer.status, self.host))
         elif answer.status == 200:
             if answer.getheader("Bronzegauge-Response-Seal") != "stand." + request_id:
-                raise Failure("%s: success without its proof: %r %r" % (
+                raise Failure("%s: success without its response seal: %r %r" % (
                     request_id, answer.getheaders(), body[:80]))
             if kind == "stream":
                 check_stream(request_id, body, last=last)
@@ -118,13 +127,13 @@
 
 
 class Crasher(threading.Thread):
-    """Sends requests that end endpoints, one after the other, and notes which hosts were left alone then."""
+    """Sends requests that crash endpoints, one after the other, and records those sent to undisturbed hosts."""
 
     def __init__(self, soak):
         super().__init__(daemon=True)
         self.soak = soak
         self.random = random.Random(soak.seed + 1000000)
-        self.calm = set()   # ids that were sent to such hosts
+        self.from_undisturbed = set()   # ids of the requests sent to undisturbed hosts
 
     def run(self):
         stack = self.soak.stack
@@ -134,8 +143,8 @@
             mark = "crash-begin %d" % self.random.randrange(CRASHING)
             host = self.random.choice(stack.hosts)
             request_id = "%s-%d" % (mark, n)
-            if self.soak.calm[host] < time.monotonic():
-                self.calm.add(request_id)
+            if self.soak.disturbed_until[host] < time.monotonic():
+                self.from_undisturbed.add(request_id)
             try:
                 stack.ask(host, "/stream/x", request_id, body=mark.encode(), timeout=5)
             except (OSError, http.client.HTTPException):
@@ -148,11 +157,11 @@
             self.soak.count["crashes"] += len(crashes)
             if len(crashes) < 3:
                 continue
-            heard_ms = crashes[2] + HEARD_S * 1000
-            late = [e for e in ledger["marked"] if e["mark"] == mark and e["at_ms"] > heard_ms and
-                    e["id"] in self.calm]
+            learned_ms = crashes[2] + LEARN_S * 1000
+            late = [e for e in ledger["marked"] if e["mark"] == mark and e["at_ms"] > learned_ms and
+                    e["id"] in self.from_undisturbed]
             if len(late) > CRASH_REPEATS_MAX:
-                self.soak.broken("%s reached endpoints %d times, %d ended" % (
+                self.soak.record_failure("%s reached endpoints %d times, %d crashed" % (
                     mark, len(late), len(crashes)))
 
 
@@ -166,26 +175,29 @@
         self.count = collections.Counter()
         self.not_run = []
         self.failures = []
-        self.calm = {h: 0.0 for h in self.stack.hosts}   # since when nothing was done to the host
-        self.paused = {}                                  # process name -> when it goes on
-        self.dead = {}                                    # host -> when it is started again
-        self.faulty = {}                                  # engine -> when it is mended
-        self.store_until = 0.0
+        self.disturbed_until = {h: 0.0 for h in self.stack.hosts}   # host -> time until which it is disturbed
+        self.paused = {}                                  # process name -> time at which it is resumed
+        self.dead = {}                                    # host -> time at which it is restarted
+        self.faulty = {}                                  # endpoint -> time at which its fault is cleared
+        self.store_until = 0.0                            # time at which the store fault is cleared; 0 if none
         self.limits = limits
-        self.periods = []                                 # in which an endpoint named a limit
-        self.sent = {}                                    # request -> (host, it was left alone)
-        self.told = {}                                    # request -> when its answer named a limit
+        self.periods = []                                 # Periods in which an endpoint announces a limit
+        self.sent = {}                                    # request -> (host, whether the host was undisturbed)
+        # request -> time at which its answer, which announces a limit, arrived
+        self.limit_seen_at = {}
         self.rests = rests
-        self.asks = []                                    # (endpoint, seconds asked for, since when)
-        self.leaving = set()                              # endpoints that say so now
-        self.left = {}                                    # request -> when its answer said that the endpoint leaves
-        self.sent_at = {}                                 # request -> when its caller sent it
-        self.excused = []                                 # (host or endpoint, since when, until when)
+        self.rest_periods = []                            # (endpoint, length of the rest in seconds, start time)
+        self.leaving = set()                              # endpoints that announce now that they are leaving
+        # request -> time at which its answer, which announces that the endpoint is leaving, arrived
+        self.leaving_seen_at = {}
+        self.sent_at = {}                                 # request -> time at which its caller sent it
+        self.exemptions = []                              # (exempt host or endpoint, start time, end time)
         self.copies = copies
-        self.away_until = 0.0                             # of a store that comes back from a copy
-        self.links = {}
-        self.link_until = {}
-        self.seen = {}                                    # host -> newest route seen there
+        # time until which the store is unavailable because it is restored from a copy
+        self.away_until = 0.0
+        self.links = {}                                   # link name -> Proxy
+        self.link_until = {}                              # link name -> time at which its fault is cleared
+        self.seen = {}                                    # host -> routes that it has served
         self.crasher = Crasher(self) if crashing else None
         base = self.stack.base
         for i, host in enumerate(self.stack.hosts):
@@ -196,24 +208,25 @@
             self.add_link(point[0], base + 60 + i, point[1])
 
     def add_link(self, name, port, target):
-        """What reaches a host's control port, or an endpoint, passes through a proxy."""
+        """Routes connections to a host's control port, or to an endpoint, through a proxy."""
         self.links["to " + name] = Proxy(port, target)
         self.stack.known_as[name] = port
 
-    def broken(self, what):
+    def record_failure(self, what):
         self.failures.append("%.1f s: %s" % (time.monotonic() - self.began, what))
 
-    # Faults. Each marks the hosts that it troubles.
+    # Faults. Each records the hosts that it disturbs.
 
-    def touch(self, hosts, seconds):
+    def mark_disturbed(self, hosts, seconds):
         until = time.monotonic() + seconds
         for host in hosts:
-            self.calm[host] = max(self.calm[host], until)
+            self.disturbed_until[host] = max(self.disturbed_until[host], until)
 
-    def excuse(self, names, seconds):
-        """Neither a store that is away nor a feed that is lost excuses requests to an endpoint that wants rest."""
+    def exempt(self, names, seconds):
+        """Exempts hosts or endpoints from the checks of rests and leaving endpoints. An unavailable store or a
+        lost feed is no reason for an exemption."""
         now = time.monotonic()
-        self.excused += [(name, now, now + seconds + EXCUSED_S) for name in names]
+        self.exemptions += [(name, now, now + seconds + EXEMPT_S) for name in names]
 
     def others_alive(self, host):
         return any(h not in self.dead and h not in self.paused for h in self.stack.hosts
@@ -227,8 +240,8 @@
         self.stack.signal(host, signal.SIGTERM if term else signal.SIGKILL)
         self.dead[host] = time.monotonic() + self.random.uniform(0.1, 2.0)
         self.seen.pop(host, None)
-        self.touch([host], 10.0)
-        self.excuse([host], self.dead[host] - time.monotonic())
+        self.mark_disturbed([host], 10.0)
+        self.exempt([host], self.dead[host] - time.monotonic())
 
     def fault_pause(self):
         name = self.random.choice(self.stack.hosts + ["store", "engine"])
@@ -237,8 +250,8 @@
         seconds = self.random.uniform(0.2, 3.0)
         self.stack.signal(name, signal.SIGSTOP)
         self.paused[name] = time.monotonic() + seconds
-        self.excuse([name] if name in self.calm else self.stack.hosts * (name == "engine"), seconds)
-        self.touch([name] if name in self.calm else self.stack.hosts, seconds + 4.0)
+        self.exempt([name] if name in self.disturbed_until else self.stack.hosts * (name == "engine"), seconds)
+        self.mark_disturbed([name] if name in self.disturbed_until else self.stack.hosts, seconds + 4.0)
 
     def fault_engine(self):
         name = self.random.choice(self.stack.points)[0]
@@ -264,12 +277,12 @@
         if name in self.faulty:
             return
         rest = self.random.choice(RESTS)
-        self.asks.append((name, float(rest) if rest[0].isdigit() else 0, time.monotonic()))
+        self.rest_periods.append((name, float(rest) if rest[0].isdigit() else 0, time.monotonic()))
         self.stack.fault_engine(name, "ok", rest=rest)
         self.faulty[name] = time.monotonic() + self.random.uniform(0.5, 4.0)
 
     def fault_leaving(self):
-        """It says so; its next start, some seconds later, does not."""
+        """An endpoint announces that it is leaving, until it restarts some seconds later."""
         name = self.random.choice(self.stack.points)[0]
         if name in self.faulty:
             return
@@ -277,68 +290,68 @@
         self.faulty[name] = time.monotonic() + self.random.uniform(3.0, 6.0)
         self.leaving.add(name)
 
-    def was_left_alone(self, host, endpoint, since, until):
+    def was_undisturbed(self, host, endpoint, since, until):
         return not any(name in (host, endpoint) and began < until and ended > since
-                       for name, began, ended in self.excused)
+                       for name, began, ended in self.exemptions)
 
     def check_rests(self, ledger):
         def seconds(endpoint, at):
-            asked = [s for e, s, began in self.asks if e == endpoint and began <= at]
+            asked = [s for e, s, began in self.rest_periods if e == endpoint and began <= at]
             return asked[-1] if asked else 0
 
         def host_of(request):
             return self.sent[request][0] if request in self.sent else None
 
-        got, host, endpoint = most_within(ledger["heard"], seconds, host_of, self.was_left_alone)
-        self.count["rests"] += sum(self.was_left_alone(host_of(r), e, at, at + seconds(e, at))
+        got, host, endpoint = max_during_rest(ledger["heard"], seconds, host_of, self.was_undisturbed)
+        self.count["rests"] += sum(self.was_undisturbed(host_of(r), e, at, at + seconds(e, at))
                                    for e, r, at in rests(ledger["heard"]))
-        if got > AT_MOST:
-            self.broken("%d requests of %s reached %s within its rest" % (got, host, endpoint))
+        if got > REST_REQUESTS_MAX:
+            self.record_failure("%d requests of %s reached %s during its rest" % (got, host, endpoint))
         for endpoint in {a["endpoint"] for a in ledger["heard"]}:
             told = {}
             for arrival in ledger["heard"]:
                 request = arrival["request"]
-                if arrival["endpoint"] == endpoint and request in self.left and request in self.sent:
-                    told.setdefault(self.sent[request][0], self.left[request])
-            late = late_at_leaving(ledger["heard"], endpoint, self.sent_at, told, DRAIN_S, host_of,
-                                   self.was_left_alone)
+                if arrival["endpoint"] == endpoint and request in self.leaving_seen_at and request in self.sent:
+                    told.setdefault(self.sent[request][0], self.leaving_seen_at[request])
+            late = sent_after_drain(ledger["heard"], endpoint, self.sent_at, told, DRAIN_S, host_of,
+                                   self.was_undisturbed)
             if late:
-                self.broken("%s reached %s, which had said that it leaves" % (late[:3], endpoint))
+                self.record_failure("%s reached %s, which had announced that it is leaving" % (late[:3], endpoint))
 
-    def note_sent(self, request_id, host):
+    def record_sent(self, request_id, host):
         self.sent_at[request_id] = time.monotonic()
-        self.sent[request_id] = (host, self.calm[host] < time.monotonic())
+        self.sent[request_id] = (host, self.disturbed_until[host] < time.monotonic())
 
     def fault_store(self):
         seconds = self.random.uniform(0.3, 3.0)
         self.stack.fault_store(self.random.choice(("busy", "many", "silent")))
         self.store_until = time.monotonic() + seconds
-        self.touch(self.stack.hosts, seconds + 5.0)
+        self.mark_disturbed(self.stack.hosts, seconds + 5.0)
 
     def fault_copy(self):
-        """Hosts, endpoints and the operator lose what the store has acknowledged in the last seconds."""
+        """Restores the store from a copy: writes that it acknowledged in the last seconds are lost."""
         lost_s = self.random.uniform(0.2, 6.0)
         away_s = self.random.uniform(0.05, 1.5)
         self.stack.rewind_store(lost_s, away_s, self.random.randrange(1 << 30))
         self.away_until = time.monotonic() + away_s + 0.2
-        self.touch(self.stack.hosts, away_s + 5.0)
+        self.mark_disturbed(self.stack.hosts, away_s + 5.0)
 
     def fault_link(self):
         host = self.random.choice(self.stack.hosts)
         seconds = self.random.uniform(0.3, 4.0)
         self.links[host].set(self.random.choice(MODES))
         self.link_until[host] = time.monotonic() + seconds
-        self.touch([host], seconds + 5.0)
+        self.mark_disturbed([host], seconds + 5.0)
 
     def fault_way(self):
-        """The way to one host's control port, or to one endpoint, for everybody."""
+        """Faults the link to one host's control port, or to one endpoint, for all its peers."""
         name = self.random.choice([n for n in self.links if n.startswith("to ")])
         seconds = self.random.uniform(0.3, 3.0)
         self.links[name].set(self.random.choice(MODES))
         self.link_until[name] = time.monotonic() + seconds
-        self.excuse([name[3:]], seconds)
-        if name[3:] in self.calm:
-            self.touch(self.stack.hosts, seconds + 5.0)
+        self.exempt([name[3:]], seconds)
+        if name[3:] in self.disturbed_until:
+            self.mark_disturbed(self.stack.hosts, seconds + 5.0)
 
     def fault_config(self):
         route = "r%d" % len(self.stack.extra_routes)
@@ -349,21 +362,21 @@
         threading.Thread(target=self.check_in_force, args=(route,), daemon=True).start()
 
     def check_in_force(self, route):
-        """On hosts that were left alone all the while, the route must be there in time."""
+        """Checks that hosts that stayed undisturbed serve the new route within IN_FORCE_S."""
         put = time.monotonic()
         time.sleep(IN_FORCE_S)
         for host in self.stack.hosts:
-            if self.calm[host] >= put - 1.0 or self.done.is_set():
+            if self.disturbed_until[host] >= put - 1.0 or self.done.is_set():
                 continue
             try:
                 status = self.stack.ask(host, "/%s/x" % route, "force-%s-%s" % (route, host))[0]
             except (OSError, http.client.HTTPException):
                 continue
-            if self.calm[host] < put - 1.0 and status == 404:
-                self.broken("%s is not in force at %s after %.1f s" % (route, host, IN_FORCE_S))
+            if self.disturbed_until[host] < put - 1.0 and status == 404:
+                self.record_failure("%s is not in force at %s after %.1f s" % (route, host, IN_FORCE_S))
 
-    def check_no_way_back(self):
-        """A route that a host has once served is served by it for good."""
+    def check_no_rollback(self):
+        """Checks that a host still serves a route that it has served before."""
         host = self.random.choice(self.stack.hosts)
         routes = self.stack.extra_routes
         if not routes or host in self.dead or host in self.paused:
@@ -381,11 +394,11 @@
         if status == 200:
             seen.add(route)
         elif status == 404 and route in seen:
-            self.broken("%s went back: %s is gone" % (host, route))
+            self.record_failure("%s returned to an older configuration: route %s is missing" % (host, route))
 
-    # Mending.
+    # Repair of the faults that are due.
 
-    def mend(self, now):
+    def repair_due(self, now):
         for name in [n for n, until in self.paused.items() if now >= until]:
             self.stack.signal(name, signal.SIGCONT)
             del self.paused[name]
@@ -432,9 +445,9 @@
             caller.start()
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
-            self.mend(time.monotonic())
+            self.repair_due(time.monotonic())
             self.step()
-            self.check_no_way_back()
+            self.check_no_rollback()
             time.sleep(self.random.uniform(0.2, 1.8) * FAULT_GAP_S)
         self.recover()
         self.done.set()
@@ -443,18 +456,18 @@
         self.check_ledger()
 
     def recover(self):
-        """Everything is mended; every host must serve everything."""
+        """Repairs all faults and checks that every host serves every route."""
         for until in (self.paused, self.dead, self.faulty, self.link_until):
             for name in until:
                 until[name] = 0.0
         self.store_until = self.store_until and 0.001
 
-        def mended():
-            self.mend(time.monotonic())
+        def all_repaired():
+            self.repair_due(time.monotonic())
             return not (self.paused or self.dead or self.faulty or self.link_until or
                         self.store_until)
 
-        eventually("everything is mended", mended)
+        eventually("all faults are repaired", all_repaired)
         for host in self.stack.hosts:
             for path in ("stream", "once", "many"):
                 eventually("%s serves %s again" % (host, path),
@@ -468,19 +481,19 @@
         if self.rests:
             self.check_rests(ledger)
         for period in self.periods:
-            got, allowed = most_over(period, ledger["limited"], self.sent, self.told)
+            got, allowed = max_in_window(period, ledger["limited"], self.sent, self.limit_seen_at)
             self.count["windows with a limit"] += got > 0
             if got > allowed:
-                self.broken("%s got %d in 4 s at %s a second, allowed %d" % (
+                self.record_failure("%s received %d requests in 4 s at a limit of %s per second, %d allowed" % (
                     period.endpoint, got, period.rate, allowed))
         if ledger["violations"]:
-            self.broken(ledger["violations"])
+            self.record_failure(ledger["violations"])
         for request_id, runs in ledger["runs"].items():
             if request_id.startswith("once-") and runs > 1:
-                self.broken("%s ran %d times" % (request_id, runs))
+                self.record_failure("%s ran %d times" % (request_id, runs))
         for request_id in self.not_run:
             if ledger["runs"].get(request_id, 0) > 0:
-                self.broken("%s was said not to have run" % request_id)
+                self.record_failure("%s ran although its answer stated that it had not" % request_id)
 
 
 def main():
@@ -489,11 +502,12 @@
     parser.add_argument("--seconds", type=float, default=15)
     parser.add_argument("--hosts", type=int, default=3)
     parser.add_argument("--crashing", action="store_true",
-                        help="also requests that end the endpoints that run them")
+                        help="also send requests that crash the endpoints that run them")
     parser.add_argument("--copies", action="store_true",
-                        help="the store also comes back from copies some seconds old")
-    parser.add_argument("--limits", action="store_true", help="endpoints also name limits")
-    parser.add_argument("--rests", action="store_true", help="endpoints also ask for rest, and say that they leave")
+                        help="also restore the store from copies some seconds old")
+    parser.add_argument("--limits", action="store_true", help="endpoints also announce rate limits")
+    parser.add_argument("--rests", action="store_true",
+                        help="endpoints also ask for rests and announce that they leave")
     parser.add_argument("--keep", action="store_true", help="keep the logs of runs that failed")
     args = parser.parse_args()
     first, _, last = args.seeds.partition("-")
@@ -505,7 +519,7 @@
             soak.play()
         except Failure as failure:
             soak.broken(str(failure))
-        soak.done.set()     # its callers must not go on into the next set, on the same ports
+        soak.done.set()     # stop its callers: the next seed reuses the same ports
         failed = bool(soak.failures)
         bad += failed
         served = sum(n for k, n in soak.count.items() if k.endswith(" 200"))
--- a/regress/soak/stack.py
+++ b/regress/soak/stack.py
@@ -1,7 +1,7 @@
-"""A local set for tests of bgrouterd: the stand-ins and some hosts, each a process of its own.
+"""Local test deployment of bgrouterd: a fake store, fake engines and some hosts as separate processes.
 
-Everything listens on 127.0.0.1, in a block of ports that is locked while the set lives. Only
-processes that the set itself began are ended, by their ids.
+All processes listen on 127.0.0.1, in a block of ports that is locked while the deployment exists. Only
+processes that the deployment started are killed, by their process ids.
 """
 import fcntl
 import glob
@@ -18,18 +18,19 @@
 
 HERE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 BIN = os.environ.get("BUILD", os.path.join(HERE, "build"))
+# First port number, ports per block, number of blocks.
 PORTS_FIRST, PORTS_BLOCK, PORTS_BLOCKS = 10000, 100, 90
-LAYERS = 8
+LAYERS = 8          # number of layers of the model
 HOST_NAME = "local.test"
-PATIENCE_S = 60  # a test waits for an event at most so long; no test passes by waiting
+PATIENCE_S = 60     # default timeout of a wait for a condition, in seconds; a timeout fails the test
 
 
 class Failure(Exception):
-    """A promise was broken, or an event never came."""
+    """A check failed, or a condition did not become true in time."""
 
 
 def is_free(first):
-    """Whether nobody listens in the block: a process of a set that was killed may live on."""
+    """Whether no process listens in the block of ports. A process of a killed test run may still be alive."""
     for port in range(first, first + PORTS_BLOCK):
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -41,7 +42,7 @@
 
 
 def lock_ports():
-    """Returns (first port, lock file); the lock ends with the process."""
+    """Returns (first port, lock file); the lock is released when the process exits."""
     folder = os.path.join(tempfile.gettempdir(), "bronzegauge-soak-ports")
     os.makedirs(folder, exist_ok=True)
     start = os.getpid() % PORTS_BLOCKS
@@ -72,7 +73,7 @@
 
 
 def eventually(what, test, patience_s=PATIENCE_S):
-    """Tries until test() is true; an exception counts as false."""
+    """Polls until test() is true; an OSError, HTTPException or ValueError counts as false."""
     end = time.monotonic() + patience_s
     while time.monotonic() < end:
         try:
@@ -81,11 +82,12 @@
         except (OSError, http.client.HTTPException, ValueError):
             pass
         time.sleep(0.02)
-    raise Failure("never came true: " + what)
+    raise Failure("condition not met in time: " + what)
 
 
 class Stack:
-    """Store, engines and hosts. Engines: four of each of two kinds in two zones, and two services."""
+    """A store, endpoints and hosts: eight engines, four of each of two kinds in two availability zones, and two
+    endpoints of a plain service."""
 
     def __init__(self, hosts=3):
         self.dir = tempfile.mkdtemp(prefix="bgsoak.")
@@ -99,7 +101,7 @@
         self.engine_control = self.base + 1
         self.hosts = ["host-%d" % i for i in range(hosts)]
         self.store_via = {h: self.store_port for h in self.hosts}
-        self.known_as = {}      # host or endpoint -> port that others reach it at, if not its own
+        self.known_as = {}      # host or endpoint -> port at which its peers reach it, if not its own
         self.points = []
         for i in range(8):
             kind = "big" if i % 2 else "small"
@@ -118,8 +120,8 @@
         self.procs[name] = proc
 
     def seed_port(self, host, other):
-        """Where a host finds another one before it knows any: by the way that all take, or a cut of that
-        way would cut nobody off. Its own address it knows as it is."""
+        """Port in the seed list under which a host finds another one. It is the proxied port, so that a fault of
+        the link also cuts off connections made through the seeds. A host's own entry is its real port."""
         own = self.port(other, "control")
         return own if host == other else self.known_as.get(other, own)
 
@@ -169,7 +171,7 @@
             shutil.rmtree(self.dir, ignore_errors=True)
 
     def keep_logs(self, name):
-        """Copies the logs to where they outlive the set; returns the folder."""
+        """Copies the logs to a folder that is kept after the test; returns the folder."""
         kept = tempfile.mkdtemp(prefix="bgsoak-failed-%s." % name)
         for log in glob.glob(os.path.join(self.dir, "*.log")):
             shutil.copy(log, kept)
@@ -200,40 +202,41 @@
                 "tenants": [{"name": n, "apiKeys": k} for n, k in self.keys.items()]}
 
     def put_config(self):
-        """The operator's write; returns the version, which the store has when this returns."""
+        """Writes the configuration to the store as an operator does; returns its version once it is stored."""
         self.version += 3
         status, _, _ = call(self.store_port, "POST", "/put?topic=keyed.op&key=config",
                             json.dumps(self.config()))
         if status != 200:
-            raise Failure("the store did not take a configuration")
+            raise Failure("the store rejected the configuration")
         return self.version
 
     def fault_store(self, mode):
         call(self.store_port, "POST", "/fault?mode=" + mode)
 
     def copy_store(self):
-        """Makes the copy that the store comes back from later."""
+        """Makes the store copy its contents, for a later rewind_store()."""
         call(self.store_port, "POST", "/mark")
 
     def rewind_store(self, lost_s=None, away_s=0.8, seed=1):
-        """The store is away for a moment and comes back from a copy: the last one that was made, or one that
-        lacks the last seconds."""
+        """Makes the store unavailable for away_s seconds and then restores it from a copy: the last one made by
+        copy_store(), or, if lost_s is given, its contents of lost_s seconds ago."""
         lost = "" if lost_s is None else "lostMs=%d&" % (lost_s * 1000)
         call(self.store_port, "POST", "/rewind?%sawayMs=%d&seed=%d" % (lost, away_s * 1000, seed))
 
     def store_era(self):
-        """Of the store's answers; None while it is away."""
+        """Returns the era that the store's answers state; None while the store is unavailable."""
         status, headers, _ = call(self.store_port, "GET", "/-/log-newest?topic=keyed.op")
         return int(headers["Store-Era"]) if status == 200 else None
 
     def wait_for_era(self, era):
-        eventually("the store is back", lambda: self.store_era() == era)
-
-    def fault_engine(self, name, kind, **says):
-        """What it says in the heads of its answers from now on; what is not given it does not say. limit: the
-        text that it names as its limit; leaving: what it says of that; rest: the text with which it rejects
-        requests, times: so many of each host."""
-        more = "".join("&%s=%s" % (k, urllib.parse.quote(str(v))) for k, v in says.items() if v is not None)
+        eventually("the store is restored", lambda: self.store_era() == era)
+
+    def fault_engine(self, name, kind, **fields):
+        """Sets the fault of an endpoint and the header fields of its answers from now on; fields that are not given
+        are not sent. limit: text of its Server-Limit field; leaving: text of its Server-Leaving field;
+        rest: text of the Retry-After field with which it rejects requests; times: number of requests of each
+        host that it rejects so."""
+        more = "".join("&%s=%s" % (k, urllib.parse.quote(str(v))) for k, v in fields.items() if v is not None)
         call(self.engine_control, "POST", "/fault?endpoint=%s&kind=%s%s" % (name, kind, more))
 
     def ledger(self):
@@ -277,10 +280,10 @@
 
 
 def check_stream(request_id, body, first=1, last=12):
-    """The events first..last of that request, each whole, once, in order."""
+    """Checks that the body has exactly the events first..last of the request, complete and in order."""
     want = "".join("id: %d\ndata: %s %d\n\n" % (i, request_id, i) for i in range(first, last + 1))
     if body.decode() != want:
-        raise Failure("stream of %s is not whole: %r" % (request_id, body[-200:]))
+        raise Failure("stream of %s is incomplete or has wrong events: %r" % (request_id, body[-200:]))
 
 
 def free_port():
