--- a/regress/soak/cases.py
+++ b/regress/soak/cases.py
@@ -1,4 +1,5 @@
-"""Cases with real processes: python3 regress/soak/cases.py NAME. Each opens with what went wrong."""
+"""Test cases with real processes: python3 regress/soak/cases.py NAME. Each docstring names the failure that the
+case guards against."""
 import base64
 import http.client
 import json
@@ -18,18 +19,19 @@
 
 
 def case_path(stack):
-    """The whole path: streams through pipelines, plain services, refusals with their reason."""
+    """Guards against failures on the whole request path: streams through pipelines, requests to plain services,
+    and refusals with the right status."""
     stack.up()
     for host in stack.hosts:
         status, headers, body = stack.ask(host, "/stream/a?b=c", "s-" + host)
         expect("status", status, 200)
         check_stream("s-" + host, body)
-        expect("proof", headers.get("Bronzegauge-Response-Seal"), "stand.s-" + host)
+        expect("response seal", headers.get("Bronzegauge-Response-Seal"), "stand.s-" + host)
         expect("once", stack.ask(host, "/once/a", "o-" + host)[0], 200)
         expect("many", stack.ask(host, "/many/a", "m-" + host)[0], 200)
         expect("no route", stack.ask(host, "/none/a", "n-" + host)[0], 404)
         expect("bad key", stack.ask(host, "/many/a", "k-" + host, key="wrong")[0], 401)
-        expect("goes on", stack.ask(host, "/stream/a", "r-" + host, Last_Event_Id="5")[2][:6],
+        expect("resumed stream", stack.ask(host, "/stream/a", "r-" + host, Last_Event_Id="5")[2][:6],
                b"id: 6\n")
     ledger = stack.ledger()
     expect("violations", ledger["violations"], "")
@@ -39,9 +41,9 @@
 
 
 def case_config(stack):
-    """Symptom: a key that was taken away still worked on some hosts.
-    Sequence: the store turns hosts away while the configuration changes.
-    Cause: each host knew only what it read itself."""
+    """Symptom: a revoked key still worked on some hosts.
+    Sequence: the store rejects requests of hosts while the configuration changes.
+    Cause: each host knew only the records that it had read from the store itself."""
     stack.up()
     stack.extra_routes.append("new")
     stack.keys["farm"] = ["key-other"]
@@ -53,7 +55,7 @@
 
 
 def case_age_of_the_view(stack):
-    """Guards against a line that calls a host's knowledge old since nothing has changed for long."""
+    """Guards against a log line that reports a host's view as old only because nothing has changed for long."""
     stack.up()
     began, asked = time.monotonic(), [0]
 
@@ -62,13 +64,13 @@
         stack.ask("host-0", "/many/a", "age-%d" % asked[0])
         sent = [e for e in after(stack, "host-0", "start", first_start=1) if e["event"] == "sent"]
         return time.monotonic() - began > 6 and sent[-1]["view_age_ms"] < 2000
-    eventually("what host-0 knows is young", is_young, patience_s=20)
+    eventually("the view of host-0 is up to date", is_young, patience_s=20)
 
 
 def case_store_away_at_start(stack):
-    """Symptom: a host that started while the store was away refused everything.
-    Sequence: all hosts run, the store goes silent, one host is killed and starts again.
-    Cause: nobody but the store was asked."""
+    """Symptom: a host that started while the store was unavailable refused every request.
+    Sequence: all hosts run, the store rejects all requests, one host is killed and starts again.
+    Cause: the host requested the configuration and endpoints only from the store, not from other hosts."""
     stack.up()
     stack.fault_store("busy")
     stack.signal("host-2", signal.SIGKILL)
@@ -80,12 +82,12 @@
 
 def case_start_in_an_outage(stack):
     """Symptom: after a kill of all hosts in an outage of the store, most requests were refused.
-    Sequence: the store is away, the endpoints' entries lapse, all hosts are killed and start, the
-    store comes back before the endpoints have registered again.
-    Cause: what was known of the endpoints died with the hosts, and an empty list was believed. Those
-    that had waited for it were then refused as if they had waited at engines."""
+    Sequence: the store is unavailable, the endpoints' entries expire, all hosts are killed and restarted, and
+    the store recovers before the endpoints have registered again.
+    Cause: the list of endpoints was lost with the hosts, and the store's empty list was accepted. Requests
+    that had waited for the list were then refused as if they had waited in the queues of engines."""
     stack.up()
-    eventually("the endpoints are noted", lambda: any(stack.state(h)["noted"] for h in stack.hosts))
+    eventually("the list of endpoints is saved", lambda: any(stack.state(h)["noted"] for h in stack.hosts))
     ids = [e["id"] for e in stack.state("host-0")["endpoints"]]
     stack.fault_store("busy")
     stack.signal("engine", signal.SIGSTOP)
@@ -107,7 +109,7 @@
     for thread in asking:
         thread.start()
     stack.fault_store("ok")
-    eventually("the endpoints are recalled",
+    eventually("the saved endpoints are loaded",
                lambda: any('"endpoints_recalled"' in stack.log(h) for h in stack.hosts))
     stack.signal("engine", signal.SIGCONT)
     for thread in asking:
@@ -119,10 +121,12 @@
 
 
 def case_settings(stack):
-    """Symptom: after a change of the settings hosts answered differently, and nobody could say which
-    of them had taken it.
-    Sequence: the file is changed with and without a signal, twice within a moment, half, not at all.
-    Cause: changes were told apart by the second, and no host said what it runs."""
+    """Symptom: after a change of the settings hosts answered differently, and it was unknown which of them had
+    applied the change.
+    Sequence: the file is changed with and without a signal, twice in quick succession, to an invalid value,
+    and back to its first contents.
+    Cause: two changes within the same second were not distinguished, and no host stated the settings that it
+    runs."""
     stack.up()
     path = os.path.join(stack.dir, "host-0.ini")
 
@@ -151,33 +155,35 @@
     second = runs()["settings"]
     expect("by", second["by"], "file")
     write("[log]\nlines_per_s = many\n")
-    eventually("the mistake is named", lambda: "'many'" in stack.log("host-0"))
+    eventually("the invalid value is logged", lambda: "'many'" in stack.log("host-0"))
     expect("what runs", runs()["settings"], second)
     os.unlink(path)
     write("[log]\nlines_per_s = 112\n[repeats]\nratio = 0.3\n")
-    eventually("what waits for a restart is named", lambda: runs()["waiting"] == "repeats.ratio")
+    eventually("the setting that requires a restart is listed", lambda: runs()["waiting"] == "repeats.ratio")
     expect("what runs", runs()["settings"]["digest"], second["digest"])
     write("[log]\nlines_per_s = 111\n")
     stack.signal("host-0", signal.SIGHUP)
-    eventually("the signal is heeded", lambda: runs()["settings"]["by"] == "signal"
+    eventually("the signal is handled", lambda: runs()["settings"]["by"] == "signal"
                or runs()["settings"]["digest"] not in (first["digest"], second["digest"]))
-    expect("nothing waits", runs()["waiting"], "")
+    expect("settings that require a restart", runs()["waiting"], "")
     for host in ("host-0", "host-1"):
         write("", host)
-    eventually("as at first", lambda: runs()["settings"]["digest"] == first["digest"])
+    eventually("the first settings are in force again",
+               lambda: runs()["settings"]["digest"] == first["digest"])
     expect("version", runs()["configuration"]["digest"], runs("host-1")["configuration"]["digest"])
 
 
 def case_spread(stack):
-    """One command tells who runs other settings and who does not answer, and that all agree on the
-    configuration."""
+    """Checks that one command lists the hosts with deviating settings and those that do not answer, and shows
+    that all hosts have the same configuration."""
     stack.up()
     version = stack.put_config()
     path = os.path.join(stack.dir, "host-1.ini")
     with open(path, "a") as ini:
         ini.write("[log]\nlines_per_s = 77\n")
     stack.signal("host-1", signal.SIGHUP)
-    eventually("host-1 runs it", lambda: stack.state("host-1")["runs"]["settings"]["by"] != "start")
+    eventually("host-1 runs the changed settings",
+               lambda: stack.state("host-1")["runs"]["settings"]["by"] != "start")
     for host in stack.hosts:
         eventually(host + " has the configuration",
                    lambda h=host: stack.state(h)["configuration"] == version)
@@ -193,8 +199,8 @@
 
 def case_lost_stage(stack):
     """Symptom: streams paused for seconds or were cut when an engine died.
-    Sequence: an engine in the middle of running pipelines falls silent.
-    Cause: nobody found out which stage it was, or the stream was begun anew."""
+    Sequence: an engine that is a middle stage of running pipelines stops answering.
+    Cause: the failed stage was not identified, or the stream was restarted from its beginning."""
     stack.up()
     results = {}
 
@@ -221,7 +227,7 @@
 def case_repair_refused(stack):
     """Symptom: streams that ran well were cut while an engine was leaving.
     Sequence: a stage of running pipelines leaves; the first stage refuses to have it replaced.
-    Cause: the stream was given up and begun elsewhere, though the leaving stage still served it."""
+    Cause: the stream was abandoned and restarted on other engines, though the leaving stage still served it."""
     stack.drain_ms = 100
     stack.up()
     for name in ("e0", "e1", "e4", "e5"):
@@ -249,46 +255,47 @@
 
 
 def lines(stack, host):
-    """The host's log. Members are looked up by name: any line may say first how many were left out before."""
+    """Returns the parsed lines of the host's log. Members must be looked up by name: any line may begin with the
+    number of lines that were dropped before it."""
     found = []
     for line in stack.log(host).splitlines():
         try:
             found.append(json.loads(line))
         except ValueError:
-            pass    # the last line may be under way
+            pass    # the last line may be written only in part
     return found
 
 
 def events(stack, host, name):
-    """The lines of that event in the host's log."""
+    """Returns the lines of that event in the host's log."""
     return [e for e in lines(stack, host) if e["event"] == name]
 
 
 def after(stack, host, name, **members):
-    """The lines after the last one of that event with those members; none if there is no such line."""
+    """Returns the log lines after the last line of that event with those members; [] if there is no such line."""
     found = lines(stack, host)
     at = [i for i, e in enumerate(found) if e["event"] == name and members.items() <= e.items()]
     return found[at[-1] + 1:] if at else []
 
 
 def silent_engines(stack, host):
-    """Addresses of engines that gave the host no report twice, 250 ms each time. Streams through one that
-    stands still go on elsewhere; case_engine_stands_still has them."""
+    """Returns the addresses of engines that twice gave the host no report within 250 ms. Streams through
+    such an engine are moved to others; see case_engine_stands_still."""
     return {e["addr"] for e in events(stack, host, "endpoint_suspected") if e["why"] == "no_report"}
 
 
 def went_through(stack, host, request_id, addrs):
-    """Whether the request was sent, or moved by a repair, through one of the addresses."""
+    """Whether the pipeline of the request, as sent or as repaired, contained one of the addresses."""
     pipelines = [e["pipeline"] for name in ("sent", "repair") for e in events(stack, host, name)
                  if e["id"] == request_id and "pipeline" in e]
     return any(addr + "=" in pipeline for addr in addrs for pipeline in pipelines)
 
 
 def case_engine_stands_still(stack):
-    """Symptom: a stream ran twice in case_repair_refused, once, on a machine with thirty busy processes.
-    Sequence: the engines' process gets no processor for 1.2 s in the middle of streams.
-    Cause: none; an engine that does not answer is left, and the stream goes on elsewhere from what its
-    caller has. The caller must not notice more than the pause."""
+    """Symptom: a stream ran twice in one run of case_repair_refused, on a machine with thirty busy processes.
+    Sequence: the engines' process gets no CPU time for 1.2 s while streams run.
+    Cause: not a fault; a stream is moved away from an engine that does not answer and resumes on another one
+    after the last event that its caller has received. The caller must notice nothing but the pause."""
     stack.up()
     results = {}
 
@@ -301,7 +308,7 @@
         thread.start()
     eventually("streams run", lambda: stack.ledger()["streams"] >= 6)
     stack.signal("engine", signal.SIGSTOP)
-    eventually("an engine is found silent",
+    eventually("a host detects that an engine does not answer",
                lambda: any(silent_engines(stack, host) for host in stack.hosts))
     stack.signal("engine", signal.SIGCONT)
     for thread in threads:
@@ -313,9 +320,9 @@
 
 
 def case_stop(stack):
-    """Symptom: a planned stop cut streams.
-    Sequence: SIGTERM while streams run and callers go on using open connections.
-    Cause: the process ended, or stopped serving, before its streams had ended."""
+    """Symptom: a graceful shutdown cut streams.
+    Sequence: SIGTERM while streams run and callers keep using open connections.
+    Cause: the process exited, or stopped serving, before its streams had ended."""
     stack.up()
     results = {}
 
@@ -330,7 +337,7 @@
     eventually("host-1 is not ready", lambda: not stack.is_ready("host-1"))
     status, headers, _ = stack.ask("host-1", "/many/a", "late")
     expect("still served", status, 200)
-    expect("told to close", headers.get("Connection", "").lower(), "close")
+    expect("Connection header", headers.get("Connection", "").lower(), "close")
     for thread in threads:
         thread.join()
     for i, (status, _, body) in results.items():
@@ -340,9 +347,9 @@
 
 
 def case_stop_refuses(stack):
-    """Symptom: a stream was cut by the end of the grace time of a planned stop.
+    """Symptom: a stream was cut at the end of the grace period of a graceful shutdown.
     Sequence: SIGTERM; a caller with an open connection asks for a stream some seconds later.
-    Cause: the host took what it could not end."""
+    Cause: the host accepted a request that it could not finish within the grace period."""
     stack.up()
     for point in stack.points:
         if point[0].startswith("e"):
@@ -368,7 +375,7 @@
     eventually("a late request is refused", is_refused)
     request_id, headers, body = refused[0]
     if b"stopping" not in body or "Retry-After" not in headers:
-        raise Failure("the refusal does not say why and when to come back: %r" % body)
+        raise Failure("the refusal lacks the reason or Retry-After: %r" % body)
     thread.join()
     expect("status of the running stream", results["long"][0], 200)
     check_stream("f-1", results["long"][2], last=30)
@@ -376,9 +383,9 @@
 
 
 def case_feed(stack):
-    """Symptom: hosts that the store turned away did not hear of a change.
-    Sequence: the store answers nobody but one host; the configuration changes.
-    Cause: a host knew only what it read itself, or asked only one other host."""
+    """Symptom: hosts whose requests the store rejected did not receive a change.
+    Sequence: only one host can reach the store; the configuration changes.
+    Cause: a host knew only the records that it had read itself, or requested them from only one other host."""
     proxies = {}
     for i, host in enumerate(stack.hosts):
         port = stack.base + 80 + i
@@ -399,8 +406,8 @@
 
 def case_drain(stack):
     """Symptom: requests reached an endpoint after it had left.
-    Sequence: an endpoint says that it is leaving; two seconds pass.
-    Cause: a host chose it from an old list."""
+    Sequence: an endpoint announces that it is leaving; two seconds pass.
+    Cause: a host selected it from an outdated list."""
     stack.up()
     stack.fault_engine("p0", "drain")
 
@@ -409,16 +416,16 @@
                    for h in stack.hosts for _ in range(5)]
         return all(a[0] == 200 and a[2].endswith(b" p1") for a in answers)
 
-    eventually("nothing goes to the leaving endpoint", all_elsewhere)
+    eventually("no request is sent to the leaving endpoint", all_elsewhere)
     for _ in range(30):
         if not all_elsewhere():
             raise Failure("a request went to an endpoint that is leaving")
 
 
 def case_once(stack):
-    """Symptom: a non-idempotent request ran twice, or was said not to have run though it had.
-    Sequence: an endpoint takes requests and never answers.
-    Cause: silence was taken for 'not run'."""
+    """Symptom: a non-idempotent request ran twice, or was reported as not run although it had run.
+    Sequence: an endpoint accepts requests and never answers.
+    Cause: a missing answer was treated as 'not run'."""
     stack.up()
     for name in ("p0", "p1"):
         stack.fault_engine(name, "hang")
@@ -439,43 +446,42 @@
         expect("runs", runs.get("u-%d" % i), 1)
 
 
-def believed(stack, host, addr):
-    """What the host believes of the endpoint at that address."""
+def endpoint_state(stack, host, addr):
+    """Returns the endpoint with that address from the host's state."""
     state = stack.state(host)
     return next(e for e in state["endpoints"] if e["addr"] == addr)
 
 
 def case_dead_in_outage(stack):
-    """Symptom: engines that had died rejected requests all through an outage of the store.
-    Sequence: the store is away, so its list does not shrink; an engine falls silent.
-    Cause: nobody asked engines for reports, or hosts that changed their feeder all the time did not
-    hear what was found."""
+    """Symptom: requests were sent to dead engines throughout an outage of the store, and failed.
+    Sequence: the store is unavailable, so no entry is removed from its list; an engine stops answering.
+    Cause: hosts did not request reports from engines, or hosts that kept changing the host that feeds them
+    did not receive the result."""
     stack.up()
     stack.fault_store("busy")
     stack.fault_engine("e3", "dark")
     addr = next("127.0.0.1:%d" % p[1] for p in stack.points if p[0] == "e3")
     for host in stack.hosts:
-        eventually("%s passes the dead engine over" % host,
-                   lambda h=host: believed(stack, h, addr)["suspected_ms"] > 0)
+        eventually("%s no longer uses the dead engine" % host,
+                   lambda h=host: endpoint_state(stack, h, addr)["suspected_ms"] > 0)
         status, _, body = stack.ask(host, "/stream/a", "dead-" + host)
         expect("status", status, 200)
         check_stream("dead-" + host, body)
     stack.fault_engine("e3", "ok")
     for host in stack.hosts:
         eventually("%s uses it again" % host,
-                   lambda h=host: believed(stack, h, addr)["suspected_ms"] == 0)
+                   lambda h=host: endpoint_state(stack, h, addr)["suspected_ms"] == 0)
 
 
 def case_restart_same_id(stack):
-    """Symptom: requests were rejected by an engine that held nothing, or it never got layers again.
-    Sequence: an engine crashes in the middle of a stream and starts again under the id that it had,
-    twice.
-    Cause: what was known of the id (its layers, orders under way, doubts) was taken to hold for the
-    new incarnation."""
+    """Symptom: requests were rejected by an engine that held no layers, or the engine never got layers again.
+    Sequence: an engine crashes during a stream and restarts under the same id, twice.
+    Cause: the state kept for the id (its layers, pending orders, suspicions) was applied to the new
+    incarnation."""
     stack.up()
     addr = next("127.0.0.1:%d" % p[1] for p in stack.points if p[0] == "e3")
     for turn in range(2):
-        before = believed(stack, "host-0", addr)
+        before = endpoint_state(stack, "host-0", addr)
         stack.fault_engine("e3", "restarted")
         for host in stack.hosts:
             status, _, body = stack.ask(host, "/stream/a", "r-%s-%d" % (host, turn))
@@ -483,36 +489,37 @@
             check_stream("r-%s-%d" % (host, turn), body)
         for host in stack.hosts:
             eventually("%s knows the new incarnation, and it holds layers" % host,
-                       lambda h=host, b=before: believed(stack, h, addr)["born_ms"] > b["born_ms"]
-                       and believed(stack, h, addr)["to"] > 0)
-        expect("id", believed(stack, "host-0", addr)["id"], before["id"])
+                       lambda h=host, b=before: endpoint_state(stack, h, addr)["born_ms"] > b["born_ms"]
+                       and endpoint_state(stack, h, addr)["to"] > 0)
+        expect("id", endpoint_state(stack, "host-0", addr)["id"], before["id"])
     expect("violations", stack.ledger()["violations"], "")
 
 
 def case_between_pages(stack):
-    """Symptom: a host went on sending to an endpoint that had said it was leaving.
-    Sequence: the host starts and lists the endpoints, page by page; an endpoint whose entry was on the first
-    page says that it is leaving before the last one is read.
-    Cause: pages are no snapshot, and the reading of records began where the last page had ended."""
-    stack.hosts = stack.hosts[:1]       # another host would tell
+    """Symptom: a host kept sending requests to an endpoint that had announced that it was leaving.
+    Sequence: the host starts and lists the endpoints page by page; an endpoint whose entry was on the first
+    page announces that it is leaving before the last page is read.
+    Cause: the pages are not one snapshot, and the host read the later records only from the end offset of the
+    last page."""
+    stack.hosts = stack.hosts[:1]       # another host would forward the record
     stack.up()
     first = sorted(e["id"] for e in stack.state("host-0")["endpoints"])[0]
     entry = next(json.loads(base64.b64decode(i["value"])) for i in json.loads(call(
         stack.store_port, "GET", "/-/log-newest?topic=keyed.servers")[2])["items"] if i["key"] == first)
-    stack.signal("engine", signal.SIGSTOP)      # its next heartbeat would say something else
+    stack.signal("engine", signal.SIGSTOP)      # its next heartbeat would overwrite the entry
     stack.signal("host-0", signal.SIGKILL)
     stack.procs["host-0"].wait()
     entry.update(state="draining", sequence=entry["sequence"] + 100)
     call(stack.store_port, "POST", "/between?topic=keyed.servers&key=" + first, json.dumps(entry))
     stack.begin_host("host-0")
-    eventually("host-0 knows that it is leaving", lambda: believed(
+    eventually("host-0 knows that it is leaving", lambda: endpoint_state(
         stack, "host-0", entry["address"])["state"] == "draining")
 
 
 def case_foreign_entries(stack):
-    """Symptom: requests went to addresses that are no endpoint's, or an endpoint was lost.
-    Sequence: somebody else writes entries into the list of endpoints, again and again.
-    Cause: what was missing or of another type was read as a default."""
+    """Symptom: requests were sent to addresses that belong to no endpoint, or an endpoint was lost.
+    Sequence: a foreign program repeatedly writes invalid entries into the list of endpoints.
+    Cause: a member that was missing or had the wrong type was read as its default value."""
     stack.up()
     good = {"service": "plain", "address": "127.0.0.1:9", "zone": "z0", "version": "v1",
             "slots": 64, "state": "ready", "sequence": 1, "coldRemainingMs": 0, "born": 1}
@@ -537,8 +544,8 @@
 
 
 def case_state(stack):
-    """What operators see of a host: one leader, every endpoint, what accounts used; and the age of
-    what it knows, while the store and all that could feed it are away."""
+    """Checks the state that operators see of a host: one leader, every endpoint, the usage of client accounts, and
+    the age of its view while the store is unavailable."""
     stack.up()
     for host in stack.hosts:
         expect("served", stack.ask(host, "/stream/a", "w-" + host)[0], 200)
@@ -550,7 +557,7 @@
         expect("endpoints", len(state["endpoints"]), len(stack.points))
         eventually("all hosts are known", lambda h=host: len(stack.state(h)["hosts"]) == 3)
         if not any(a["name"] == "farm" and a["tokens"] > 0 for a in state["accounts"]):
-            raise Failure("%s does not know what farm used: %r" % (host, state["accounts"]))
+            raise Failure("%s shows no usage of the account farm: %r" % (host, state["accounts"]))
         shown = stack.bgctl(host, "state", "endpoints")
         for point in stack.points:
             if "127.0.0.1:%d " % point[1] not in shown:
@@ -559,7 +566,7 @@
             raise Failure("bgctl shows no version")
     stack.fault_store("busy")
     for host in stack.hosts:
-        eventually("%s knows that its view ages" % host,
+        eventually("%s reports that its view is out of date" % host,
                    lambda h=host: stack.metric(h, "bg_store_age_ms{}") > 500)
     stack.fault_store("ok")
     for host in stack.hosts:
@@ -568,9 +575,9 @@
 
 
 def case_caller_leaves(stack):
-    """Symptom: engines went on with streams whose callers had left.
-    Sequence: a caller closes its connection in the middle of a stream.
-    Cause: a suspended connection is not watched by the HTTP library."""
+    """Symptom: engines continued streams whose callers had disconnected.
+    Sequence: a caller closes its connection during a stream.
+    Cause: the HTTP library does not monitor a suspended connection."""
     stack.up()
     try:
         stack.ask("host-0", "/stream/a", "g-1", timeout=0.2, Bronzegauge_Token_Counts="50,40")
@@ -580,8 +587,8 @@
 
 
 class Repeats:
-    """A request that ends the endpoints that run it, asked for at the hosts in turn, as somebody does who
-    tries again."""
+    """Sends the same request body again and again, as a retrying caller does. Its text (mark) selects how the
+    endpoints that run it fail; the engines' ledger records crashes and arrivals by it."""
 
     def __init__(self, stack, mark, path="/stream/a"):
         self.stack = stack
@@ -597,7 +604,7 @@
                                     body=self.mark.encode(), timeout=timeout,
                                     Bronzegauge_Token_Counts="50,40")
         except (OSError, http.client.HTTPException):
-            answer = (0, {}, b"")   # cut in the middle
+            answer = (0, {}, b"")   # the connection was cut
         self.answers.append(answer)
         return answer
 
@@ -607,8 +614,8 @@
     def arrivals(self):
         return [e["at_ms"] for e in self.stack.ledger()["marked"] if e["mark"] == self.mark]
 
-    def past_the_third(self, window_ms=0):
-        """Arrivals at endpoints later than that after the third of them has ended."""
+    def arrivals_after_third(self, window_ms=0):
+        """Returns the number of arrivals at endpoints later than window_ms after the third crash."""
         crashes = self.crashes()
         if len(crashes) < 3:
             return 0
@@ -620,17 +627,17 @@
         eventually(host + " serves streams", lambda h=host: stack.serves_stream(h))
 
 
-# Arrivals of a request after its third crash, over all hosts. What the users allow: three retries of it
-# after that, however often it comes again.
+# Required maximum number of arrivals of a request at endpoints after its third crash, over all hosts, no matter
+# how often callers repeat it.
 CRASH_REPEATS_MAX = 3
 
 
 def case_crashing_request(stack):
-    """Symptom: one request ended endpoint after endpoint, fourteen and more, each with all that ran there.
-    Sequence: it begins at an engine, the engine's process ends; the host sends it to the next one, its caller
-    tries again at another host, and it comes again later, at any host.
-    Cause: what an attempt had done to its endpoint was forgotten with the request, and no other host heard
-    of it. Shown by the digest of what was asked for: one at the end of each engine."""
+    """Symptom: one request crashed fourteen and more endpoints in turn, and all requests that ran there failed.
+    Sequence: the request starts at an engine, whose process crashes; the host sends it to the next engine, its
+    caller retries at another host, and later again at any host.
+    Cause: the crash that an attempt had caused was forgotten when the request ended, and no other host was
+    informed. The same request digest was logged at the crash of each engine."""
     stack.up()
     repeats = Repeats(stack, "crash-begin 1")
     for turn in range(8):
@@ -638,25 +645,26 @@
             repeats.ask(host)
         serves_all(stack)
     if len(repeats.crashes()) < 3:
-        raise Failure("it did not end three endpoints: %r" % repeats.crashes())
-    after = repeats.past_the_third()
+        raise Failure("the request did not crash three endpoints: %r" % repeats.crashes())
+    after = repeats.arrivals_after_third()
     if after > CRASH_REPEATS_MAX:
-        raise Failure("it reached endpoints %d times after its third crash, %d ended" % (
+        raise Failure("the request reached endpoints %d times after its third crash, %d crashed" % (
             after, len(repeats.crashes())))
     expect("others", stack.ask("host-0", "/stream/a", "other-1", body=b"harmless")[0], 200)
     expect("violations", stack.ledger()["violations"], "")
 
 
-def learn(stack, repeats, host="host-0"):
-    """Asks at one host until the request is in quarantine there. That an endpoint has ended is found some ms
-    after the answer; and where all that begin pipelines have, no stream is served while the store is away."""
+def repeat_until_refused(stack, repeats, host="host-0"):
+    """Repeats the request at one host until it is quarantined there. The crash of an endpoint is detected some ms
+    after the answer; and once all first-stage engines have crashed, no stream is served while the store is
+    unavailable."""
     for _ in range(6):
         repeats.ask(host)
-        eventually(host + " refuses it, or serves streams",
+        eventually(host + " refuses the request, or serves streams",
                    lambda: refused_ms(stack, host) > 0 or stack.serves_stream(host))
         if refused_ms(stack, host) > 0:
             return
-    raise Failure("%s did not refuse it: %r" % (host, repeats.answers[-1]))
+    raise Failure("%s did not refuse the request: %r" % (host, repeats.answers[-1]))
 
 
 def refused_ms(stack, host):
@@ -664,34 +672,36 @@
 
 
 def expect_refused(stack, repeats, host):
-    """The caller hears at once that it did not run, why, and when to come back; no endpoint sees it."""
+    """Checks that the host refuses the request with the reason and a Retry-After of 60 s or more, and sends it to
+    no endpoint. Returns the time to the answer in seconds."""
     before = len(repeats.arrivals())
     began = time.monotonic()
     status, headers, body = repeats.ask(host)
     expect("status at " + host, status, 503)
     if b"crashes_endpoints" not in body or float(headers.get("Retry-After", 0)) < 60:
-        raise Failure("the refusal does not say why, and when to come back: %r %r" % (headers, body))
+        raise Failure("the refusal lacks the reason or a Retry-After of 60 s or more: %r %r" % (headers, body))
     expect("arrivals", len(repeats.arrivals()), before)
     return time.monotonic() - began
 
 
 def case_crashing_store_away(stack):
-    """Symptom: the same, while the store is away, and at a host that started meanwhile.
-    Sequence: the store is away, three endpoints end at one host's attempts, another host is killed and
-    starts.
-    Cause: what is told only by way of the store is not told then."""
+    """Symptom: a request kept crashing endpoints while the store was unavailable, also through a host that started
+    during the outage.
+    Sequence: the store is unavailable, three endpoints crash under attempts of one host, another host is
+    killed and restarted.
+    Cause: information that hosts exchange only through the store is not exchanged during its outage."""
     stack.up()
     stack.fault_store("busy")
     repeats = Repeats(stack, "crash-begin away")
-    learn(stack, repeats)
+    repeat_until_refused(stack, repeats)
     crashes = len(repeats.crashes())
     for host in stack.hosts:
-        eventually(host + " was told", lambda h=host: refused_ms(stack, h) > 0)
+        eventually(host + " has the quarantine entry", lambda h=host: refused_ms(stack, h) > 0)
         expect_refused(stack, repeats, host)
     stack.signal("host-2", signal.SIGKILL)
     stack.procs["host-2"].wait()
     stack.begin_host("host-2")
-    eventually("host-2 was told after its start", lambda: refused_ms(stack, "host-2") > 0)
+    eventually("host-2 has the quarantine entry after its start", lambda: refused_ms(stack, "host-2") > 0)
     stack.fault_store("ok")
     serves_all(stack)
     for host in stack.hosts:
@@ -700,14 +710,14 @@
 
 
 def case_crashing_all_start(stack):
-    """Symptom: after a kill of all hosts the request ended three more endpoints.
-    Sequence: it is in quarantine, all hosts are killed and start, it comes again.
-    Cause: what hosts knew of it died with them."""
+    """Symptom: after a kill of all hosts a quarantined request crashed three more endpoints.
+    Sequence: the request is quarantined, all hosts are killed and restarted, the request is sent again.
+    Cause: the quarantine was kept only in the memory of the hosts."""
     stack.up()
     repeats = Repeats(stack, "crash-begin start")
-    learn(stack, repeats)
+    repeat_until_refused(stack, repeats)
     crashes = len(repeats.crashes())
-    eventually("its refusal is written down",
+    eventually("the quarantine entry is stored",
                lambda: any(e["event"] == "quarantine_noted" and e["status"] == 200
                            for e in after(stack, "host-0", "quarantined")))
     for host in stack.hosts:
@@ -716,7 +726,7 @@
     for host in stack.hosts:
         stack.begin_host(host)
     for host in stack.hosts:
-        eventually(host + " knows it", lambda h=host: refused_ms(stack, h) > 0)
+        eventually(host + " has loaded the quarantine entry", lambda h=host: refused_ms(stack, h) > 0)
     serves_all(stack)
     for host in stack.hosts:
         expect_refused(stack, repeats, host)
@@ -724,10 +734,10 @@
 
 
 def case_crashing_cut_off(stack):
-    """Symptom: a host that had been cut off let the request through after it was back.
-    Sequence: no other host reaches host-2, which neither follows nor feeds anybody, while the request
-    ends endpoints elsewhere; the cut heals.
-    Cause: news are told once, over the feeds that stand at that moment."""
+    """Symptom: a host that had been partitioned let a quarantined request through after the partition.
+    Sequence: no other host reaches host-2, which has no feed to or from any host, while the request crashes
+    endpoints through other hosts; the partition ends.
+    Cause: changes were sent only once, over the feeds that were open at that moment."""
     links = {}
     for i, host in enumerate(stack.hosts):
         port = stack.base + 80 + i
@@ -740,20 +750,20 @@
         if link is not links["store host-0"] and link is not links["store host-1"]:
             link.set("refuse")
     repeats = Repeats(stack, "crash-begin cut")
-    learn(stack, repeats)
-    expect("told through the cut", refused_ms(stack, "host-2"), 0)
+    repeat_until_refused(stack, repeats)
+    expect("quarantine of the partitioned host-2", refused_ms(stack, "host-2"), 0)
     for link in links.values():
         link.set("pass")
     for host in stack.hosts:
-        eventually(host + " was told", lambda h=host: refused_ms(stack, h) > 0)
+        eventually(host + " has the quarantine entry", lambda h=host: refused_ms(stack, h) > 0)
         expect_refused(stack, repeats, host)
     for link in links.values():
         link.close()
 
 
 def case_crashing_all_cut(stack):
-    """A request was refused for ten minutes that had ended nothing: five times all endpoints were cut off for
-    half a second when it had just begun."""
+    """Guards against a quarantine of ten minutes for a request that crashed nothing. The fault arose when five
+    times the links to all endpoints failed for half a second just after the request had begun."""
     stack.hosts.append("host-3")
     links = []
     for i, (name, port, *_) in enumerate(stack.points):
@@ -767,14 +777,14 @@
         began = len(stack.log("host-0"))
         thread = threading.Thread(target=repeats.ask, args=("host-0",))
         thread.start()
-        eventually("it has begun", lambda: stack.ledger()["streams"] > 0)
+        eventually("the request has begun", lambda: stack.ledger()["streams"] > 0)
         for link in links:
             link.set("away")
-        eventually("the cut is seen", lambda: '"cut_checked"' in stack.log("host-0")[began:])
+        eventually("the failure of all links is detected", lambda: '"cut_checked"' in stack.log("host-0")[began:])
         for link in links:
             link.set("pass")
         thread.join()
-        eventually("they are known to live", lambda: '"endpoint_lives"' in stack.log("host-0")[began:])
+        eventually("the endpoints are found alive", lambda: '"endpoint_lives"' in stack.log("host-0")[began:])
     for _ in range(20):
         expect("status", repeats.ask("host-0")[0], 200)
     for host in stack.hosts:
@@ -784,11 +794,12 @@
 
 
 def case_crashing_later(stack):
-    """Symptom: endpoints went on ending under requests that end a later stage of their pipeline, or that
-    end the first one only after a second of answers.
-    Sequence: a stage is lost and replaced within the running pipeline, the new one ends too; or the
-    stream goes on elsewhere and ends the next engine some events later.
-    Cause: only the endpoint that a request was sent to was looked at, and only its first moment."""
+    """Symptom: endpoints kept crashing under requests that crash a later stage of their pipeline, or that crash
+    the first stage only after a second of events.
+    Sequence: a stage crashes and is replaced in the running pipeline, and its replacement crashes too; or the
+    stream resumes on another engine and crashes it some events later.
+    Cause: crashes were counted only for the endpoint that the request was sent to, and only shortly after the
+    request began."""
     stack.up()
     for mark in ("crash-stage 1", "crash-late 1"):
         repeats = Repeats(stack, mark)
@@ -797,19 +808,20 @@
                 repeats.ask(host)
             serves_all(stack)
         most = {"crash-stage 1": 3, "crash-late 1": 6}[mark]
-        # The request that has begun last is under way at one more, and may be at one a host.
+        # The last request may still be running on one more endpoint, and on up to one for each host.
         if len(repeats.crashes()) > most + 1:
-            raise Failure("%s ended %d endpoints" % (mark, len(repeats.crashes())))
+            raise Failure("%s crashed %d endpoints" % (mark, len(repeats.crashes())))
         for host in stack.hosts:
             expect_refused(stack, repeats, host)
 
 
 def case_crashing_unheard(stack):
-    """Symptom: a stream's request went on ending engines, nineteen and more, though it was known at each host.
-    Sequence: its engine ends some milliseconds after the body has arrived, before the head of an answer;
-    new connections there are refused, or taken and closed, until it starts again.
-    Cause: an attempt of which nothing was heard was taken for one that waits in the engine's queue, however
-    short ago it was sent; where connections were closed it was not counted at all, and told to nobody."""
+    """Symptom: a stream's request kept crashing engines, nineteen and more, though each host had records of it.
+    Sequence: its engine crashes some milliseconds after it receives the body, before it sends the response
+    header; until it restarts, new connections to it are refused, or accepted and closed.
+    Cause: an attempt without a response was treated as one that waits in the engine's queue, no matter how
+    recently it was sent; where connections were closed the crash was not counted at all, and not sent to
+    other hosts."""
     stack.up()
     for mark in ("crash-unheard 1", "crash-closing 1"):
         repeats = Repeats(stack, mark)
@@ -818,60 +830,63 @@
                 repeats.ask(host)
             serves_all(stack)
         if len(repeats.crashes()) < 3:
-            raise Failure("%s did not end three endpoints: %r" % (mark, repeats.crashes()))
-        print("%s: ended %d, arrivals after the third: %d" % (
-            mark, len(repeats.crashes()), repeats.past_the_third()))
-        if repeats.past_the_third() > CRASH_REPEATS_MAX:
+            raise Failure("%s did not crash three endpoints: %r" % (mark, repeats.crashes()))
+        print("%s: endpoints crashed: %d, arrivals after the third crash: %d" % (
+            mark, len(repeats.crashes()), repeats.arrivals_after_third()))
+        if repeats.arrivals_after_third() > CRASH_REPEATS_MAX:
             raise Failure("%s reached endpoints %d times after its third crash" % (
-                mark, repeats.past_the_third()))
+                mark, repeats.arrivals_after_third()))
         for host in stack.hosts:
             expect_refused(stack, repeats, host)
     expect("violations", stack.ledger()["violations"], "")
 
 
 def case_crashing_ended(stack):
-    """Nothing was served for seconds after all engines that begin pipelines had ended: that they had was
-    known at once, but their layers were ordered elsewhere only when reports were missed."""
+    """Guards against an outage of seconds after all first-stage engines have crashed. The crashes were detected at
+    once, but their layers were assigned to other engines only after several reports were missed."""
     stack.up()
     repeats = Repeats(stack, "crash-begin ended")
     repeats.ask("host-0")
     ended = {c["endpoint"] for c in stack.ledger()["crashes"]}
     if not ended:
-        raise Failure("no engine has ended")
+        raise Failure("no engine has crashed")
     for host in stack.hosts:
-        eventually(host + " knows that it has ended", lambda h=host: any(
+        eventually(host + " has detected the crash", lambda h=host: any(
             '"why":"ended"' in line and any('"i-%s-' % e in line for e in ended)
             for line in stack.log(h).splitlines() if '"endpoint_dead"' in line))
 
 
-def held_against(stack, host):
-    """Digest of each request in the host's quarantine table -> endpoints that ended under it."""
+def crash_counts(stack, host):
+    """Returns a map from the digest of each request in the host's quarantine table to the number of endpoints that
+    crashed under it."""
     return {e["content"]: e["crashes"] for e in stack.state(host)["quarantine"]}
 
 
-def told_all(stack, repeats, before):
-    """News take some ms from host to host; case_crashing_in_flight has what is asked for meanwhile.
-    before: digests that were held against other requests."""
+def await_crash_counts(stack, repeats, before):
+    """Waits until all hosts count the crashes of the request. Propagation from host to host takes some ms;
+    case_crashing_in_flight tests requests sent in that time. before: digests of other requests that were in
+    the quarantine table before."""
     ended = min(len(repeats.crashes()), 3)
-    eventually("all hosts hold the ended endpoints against it", lambda: all(
-        max([n for c, n in held_against(stack, host).items() if c not in before] + [0]) >= ended
+    eventually("all hosts count the crashes of the request", lambda: all(
+        max([n for c, n in crash_counts(stack, host).items() if c not in before] + [0]) >= ended
         for host in stack.hosts))
 
 
 def case_crashing_plain(stack):
-    """Symptom: the same at a plain service, of which there are two endpoints.
-    Sequence: requests that may and that may not run twice end an endpoint each time that they run.
-    Cause: as for engines. A request that may run once is not sent again, and counts when it comes again."""
+    """Symptom: a request kept crashing the endpoints of a plain service, of which there are two.
+    Sequence: an idempotent and a non-idempotent request crash an endpoint each time that they run.
+    Cause: as in case_crashing_request. A host does not retry a non-idempotent request, but counts its crash
+    when a caller repeats it."""
     stack.up()
     for path, mark in (("/many/a", "crash-begin many"), ("/once/a", "crash-begin once")):
         repeats = Repeats(stack, mark, path)
-        before = set(held_against(stack, "host-0"))
+        before = set(crash_counts(stack, "host-0"))
         for turn in range(4):
             for host in stack.hosts:
                 eventually(host + " reaches the service", lambda h=host: stack.ask(
                     h, "/many/a", "up-%f" % time.monotonic())[0] == 200)
                 repeats.ask(host)
-                told_all(stack, repeats, before)
+                await_crash_counts(stack, repeats, before)
         expect("crashes of " + mark, len(repeats.crashes()), 3)
         for host in stack.hosts:
             expect_refused(stack, repeats, host)
@@ -881,12 +896,12 @@
 
 
 def case_crashing_account(stack):
-    """Symptom: one client account's request was refused for what another one's did.
-    Sequence: an account's request is in quarantine; another one sends the same body to the same path.
-    Cause: what is counted was the body alone."""
+    """Symptom: a client account's request was refused because of crashes caused by another account.
+    Sequence: the request of one account is quarantined; another account sends the same body to the same path.
+    Cause: crashes were counted by the body alone, without the account."""
     stack.up()
     repeats = Repeats(stack, "crash-begin account")
-    learn(stack, repeats)
+    repeat_until_refused(stack, repeats)
     arrivals = len(repeats.arrivals())
     serves_all(stack)
     stack.ask("host-0", "/stream/a", "mill-1", key="key-mill", body=b"crash-begin account")
@@ -895,30 +910,31 @@
 
 
 def case_crashing_cleared(stack):
-    """An operator sees the request, clears it at one host, and it is let in at all of them."""
+    """Checks that an operator can list a quarantined request and clear it at one host, and that all hosts then
+    accept it."""
     stack.up()
     repeats = Repeats(stack, "crash-begin clear")
-    learn(stack, repeats)
+    repeat_until_refused(stack, repeats)
     for host in stack.hosts:
-        eventually(host + " was told", lambda h=host: refused_ms(stack, h) > 0)
+        eventually(host + " has the quarantine entry", lambda h=host: refused_ms(stack, h) > 0)
     content = stack.state("host-1")["quarantine"][0]["content"]
     if content not in stack.bgctl("host-1", "state", "quarantine"):
-        raise Failure("bgctl does not show it")
+        raise Failure("bgctl does not show the quarantined request")
     if "cleared" not in stack.bgctl("host-1", "clear", content):
-        raise Failure("bgctl did not clear it")
+        raise Failure("bgctl did not clear the request")
     for host in stack.hosts:
-        eventually(host + " lets it in", lambda h=host: refused_ms(stack, h) == 0)
+        eventually(host + " accepts the request", lambda h=host: refused_ms(stack, h) == 0)
     arrivals = len(repeats.arrivals())
     serves_all(stack)
     repeats.ask("host-2")
     if len(repeats.arrivals()) == arrivals:
-        raise Failure("it was cleared, and reached no endpoint")
+        raise Failure("the request was cleared, but reached no endpoint")
 
 
 def case_crashing_not(stack):
-    """Symptom: a request of which the answer broke off was refused, though its endpoints were well.
-    Sequence: its answer is cut at each endpoint that runs it, again and again; the endpoints live.
-    Cause: an attempt that was cut was taken for the end of its endpoint."""
+    """Symptom: a request whose response was truncated was refused, though its endpoints were alive.
+    Sequence: each endpoint that runs the request truncates its response; the endpoints stay alive.
+    Cause: a truncated attempt was treated as a crash of its endpoint."""
     stack.up()
     repeats = Repeats(stack, "cut-answer 1")
     for _ in range(4):
@@ -926,17 +942,17 @@
             arrivals = len(repeats.arrivals())
             expect("status", repeats.ask(host)[0], 502)
             if len(repeats.arrivals()) == arrivals:
-                raise Failure("it was refused at " + host)
+                raise Failure("the request was refused at " + host)
     for host in stack.hosts:
-        eventually(host + " has looked after its endpoints",
+        eventually(host + " has checked that the endpoints are alive",
                    lambda h=host: '"finding":"alive"' in stack.log(h))
         expect("quarantine", stack.state(host)["quarantine"], [])
 
 
 def case_crashing_in_flight(stack):
-    """Symptom: a request ended one more endpoint for each host that had it under way when it was refused.
-    Sequence: many callers ask for the same request at all hosts at the same moment, again and again.
-    Cause: only what came later was refused."""
+    """Symptom: a quarantined request crashed one more endpoint for each host where it was still in flight.
+    Sequence: many callers repeatedly send the same request at all hosts at the same time.
+    Cause: only requests that arrived after the quarantine were refused."""
     stack.up()
     repeats = Repeats(stack, "crash-begin crowd")
     for _ in range(3):
@@ -948,9 +964,9 @@
         serves_all(stack)
     crashes = repeats.crashes()
     if len(crashes) < 3:
-        raise Failure("it did not end three endpoints: %r" % crashes)
-    window_ms = 3000    # within which all hosts must know
-    expect("arrivals after the third", repeats.past_the_third(window_ms), 0)
+        raise Failure("the request did not crash three endpoints: %r" % crashes)
+    window_ms = 3000    # time within which all hosts must know of the third crash
+    expect("arrivals after the third", repeats.arrivals_after_third(window_ms), 0)
     for host in stack.hosts:
         expect_refused(stack, repeats, host)
 
@@ -967,7 +983,7 @@
         for log in stack.procs:
             sys.stderr.write("--- %s\n%s\n" % (log, stack.log(log)[-4000:]))
         kept = stack.keep_logs(name)
-        sys.stderr.write("the whole logs are in %s\n" % kept)
+        sys.stderr.write("complete logs are in %s\n" % kept)
         stack.down()
         raise
     stack.down()
--- a/regress/soak/cases_copy.py
+++ b/regress/soak/cases_copy.py
@@ -1,25 +1,28 @@
-"""Cases of a store that comes back from a copy: python3 regress/soak/cases_copy.py NAME."""
+"""Test cases in which the store is restored from an older copy: python3 regress/soak/cases_copy.py NAME."""
 import json
 import os
 import signal
 import threading
 import time
 
-from cases import after, believed, expect, run
+from cases import after, endpoint_state, expect, run
 from proxy import Proxy
 from stack import Failure, call, eventually
 
-ORDERS_S = 3.0          # in which orders must be possible again
-HOST_S = 5.0            # in which a host must be known again
-TIMED = "BG_TIMED" in os.environ    # by hand, on a machine that does nothing else
+# Time after the store is restored within which a host must be able to send orders to engines, in seconds.
+ORDERS_S = 3.0
+# Time after the store is restored within which it must list a host again, in seconds.
+HOST_S = 5.0
+# Whether the time limits are checked; to be set by hand, on an otherwise idle machine.
+TIMED = "BG_TIMED" in os.environ
 
 
-def took(what, began, limit_s):
-    """Says how long that took; only where times are looked at it must not be longer."""
+def report_time(what, began, limit_s):
+    """Prints the time since began, in seconds; with BG_TIMED, fails if it exceeds limit_s."""
     seconds = time.monotonic() - began
-    print("%s %.1f s after the return" % (what, seconds))
+    print("%s %.1f s after the store was restored" % (what, seconds))
     if TIMED and seconds > limit_s:
-        raise Failure("%s only %.1f s after the return" % (what, seconds))
+        raise Failure("%s only %.1f s after the store was restored" % (what, seconds))
 
 
 def leader(stack):
@@ -27,20 +30,20 @@
 
 
 def await_leader(stack):
-    """The host that leads. One that has stopped reading the store gives the lead up, and nobody has it until the
-    next host joins: who leads is asked once, not looked at twice."""
+    """Waits for a leader and returns it. A leader that stops reading the store resigns, and there is no leader
+    until the next host takes over; so the result is the leader found by the poll, without a second request."""
     seen = []
 
     def one_leads():
         seen[:] = [leader(stack)]
         return seen[0] is not None
 
-    eventually("one host leads", one_leads)
+    eventually("one host is the leader", one_leads)
     return seen[0]
 
 
 def has_era(stack, host, era):
-    """A host of the version before doesn't tell."""
+    """Whether the host has reached the era; true for a host of the previous version, which does not report it."""
     return stack.state(host).get("era", era) == era
 
 
@@ -49,7 +52,7 @@
 
 
 def listing(stack, topic):
-    """All pages of a listing."""
+    """Returns the items of all pages of a listing of the topic."""
     items, after, more = [], "", True
     while more:
         page = json.loads(call(stack.store_port, "GET", "/-/log-newest?topic=%s%s" % (topic, after))[2])
@@ -63,8 +66,8 @@
     return json.loads(call(stack.store_port, "GET", "/-/log-newest?topic=" + topic)[2])["end"]
 
 
-def returned_whole(stack, era):
-    """The time for coming back is over: a host has noted the endpoints anew after that."""
+def is_recovered(stack, era):
+    """Whether recovery of that era is complete: a host has saved the endpoints after the store was restored."""
     for host in stack.hosts:
         if any(e["event"] == "endpoints_noted" and e["status"] == 200
                for e in after(stack, host, "store_returned", era=era)):
@@ -73,7 +76,7 @@
 
 
 class Watch(threading.Thread):
-    """Asks again and again until it is stopped; keeps what broke the promise."""
+    """Runs a check repeatedly until stopped, and collects the violations that it finds."""
 
     def __init__(self, check):
         super().__init__(daemon=True)
@@ -92,15 +95,15 @@
         self.done.set()
         self.join()
         if self.found:
-            raise Failure("broken %d times in %d rounds, first at %s: %s" % (
+            raise Failure("%d violations in %d rounds, first at %s: %s" % (
                 len(self.found), self.asked, *self.found[0]))
 
 
 def case_configuration(stack):
-    """Symptom: a route and a key that had been accepted were gone, or a revoked key worked again.
-    Sequence: a configuration is accepted and in force; the store comes back from a copy that has an
-    older one; the operator writes the newer one again later.
-    Cause: what the store lists after its return was taken for news."""
+    """Symptom: a route and a key that had been accepted were missing, or a revoked key worked again.
+    Sequence: a configuration is accepted and in force; the store is restored from a copy with an older one;
+    the operator writes a newer one later.
+    Cause: the listing of the restored store was treated as newer than the host's configuration."""
     stack.up()
     stack.copy_store()
     stack.extra_routes.append("new")
@@ -123,20 +126,20 @@
     watch.start()
     stack.rewind_store()
     stack.wait_for_era(2)
-    eventually("the return is over", lambda: returned_whole(stack, 2))
+    eventually("the recovery is complete", lambda: is_recovered(stack, 2))
     stack.extra_routes.append("newer")
     stack.put_config()
     for host in stack.hosts:
-        eventually("the next one is in force at " + host, lambda h=host: stack.ask(
+        eventually("the next configuration is in force at " + host, lambda h=host: stack.ask(
             h, "/newer/a", "m-%s-%f" % (h, time.monotonic()), key="key-other")[0] == 200)
     watch.end()
 
 
 def case_endpoint_registers(stack):
-    """Symptom: an endpoint that registered right after the store's return was used by no host.
-    Sequence: the store comes back from a copy; an endpoint registers at an offset that hosts have read
-    past.
-    Cause: records were ordered by their offsets, which go back."""
+    """Symptom: an endpoint that registered right after the store was restored was used by no host.
+    Sequence: the store is restored from a copy; an endpoint registers at an offset below the one that hosts
+    have already read.
+    Cause: records were ordered by their offsets, which decrease when the store is restored."""
     stack.up()
     stack.copy_store()
     end = count_records(stack, "keyed.servers")
@@ -144,26 +147,26 @@
     for host in stack.hosts:
         expect("endpoints at " + host, len(stack.state(host)["endpoints"]), len(stack.points))
     addr = addr_of(stack, "p0")
-    ids = {h: believed(stack, h, addr)["born_ms"] for h in stack.hosts}
+    ids = {h: endpoint_state(stack, h, addr)["born_ms"] for h in stack.hosts}
     end = count_records(stack, "keyed.servers")
     stack.rewind_store()
     stack.wait_for_era(2)
     stack.fault_engine("p0", "restarted")
     for host in stack.hosts:
         eventually(host + " knows the new incarnation",
-                   lambda h=host: believed(stack, h, addr)["born_ms"] > ids[h])
+                   lambda h=host: endpoint_state(stack, h, addr)["born_ms"] > ids[h])
     if count_records(stack, "keyed.servers") >= end:
-        raise Failure("it was known only when the offsets had caught up")
+        raise Failure("the new incarnation was known only after the offsets had caught up")
 
 
 def case_removed_endpoint(stack):
-    """Symptom: requests were sent to an endpoint that was gone.
-    Sequence: an endpoint's entry is removed; the store comes back from a copy that still has it.
-    Cause: the listing after the return was believed."""
+    """Symptom: requests were sent to an endpoint that had been removed.
+    Sequence: an endpoint's entry is removed; the store is restored from a copy that still has the entry.
+    Cause: the listing of the restored store was applied without a check."""
     stack.up()
     stack.copy_store()
     addr = addr_of(stack, "p0")
-    point_id = believed(stack, "host-0", addr)["id"]
+    point_id = endpoint_state(stack, "host-0", addr)["id"]
     stack.fault_engine("p0", "dark")
     call(stack.store_port, "POST", "/put?topic=keyed.servers&key=" + point_id, "")
 
@@ -171,25 +174,25 @@
         return addr in [e["addr"] for e in stack.state(host)["endpoints"]]
 
     for host in stack.hosts:
-        eventually(host + " has dropped it", lambda h=host: not listed(h))
-    watch = Watch(lambda: [(h, "it is back") for h in stack.hosts if listed(h)])
+        eventually(host + " has removed the endpoint", lambda h=host: not listed(h))
+    watch = Watch(lambda: [(h, "the removed endpoint is listed again") for h in stack.hosts if listed(h)])
     watch.start()
     stack.rewind_store()
     stack.wait_for_era(2)
     for host in stack.hosts:
-        eventually(host + " knows of the return", lambda h=host: has_era(stack, h, 2))
-    eventually("the return is over", lambda: returned_whole(stack, 2))
+        eventually(host + " has the new era", lambda h=host: has_era(stack, h, 2))
+    eventually("the recovery is complete", lambda: is_recovered(stack, 2))
     watch.end()
     stack.fault_engine("p0", "ok")
     for host in stack.hosts:
-        eventually(host + " uses it when it registers anew", lambda h=host: listed(h))
+        eventually(host + " lists the endpoint after it registers again", lambda h=host: listed(h))
 
 
 def case_orders(stack):
-    """Symptom: engines that started empty stayed empty for good, no stream was served.
-    Sequence: the leader changes, the store comes back from a copy of the time before, whose generation
-    is lower; once more with the leader killed, and twice in a row.
-    Cause: only a greater generation was believed, and engines refuse a lower fencing number."""
+    """Symptom: engines that restarted without layers never got any, and no stream was served.
+    Sequence: the leader changes, the store is restored from an older copy with a lower generation; then the
+    same with the leader killed, and once more.
+    Cause: hosts accepted only a higher generation, and engines reject a lower fencing number."""
     stack.up()
     await_leader(stack)
     stack.copy_store()
@@ -207,10 +210,10 @@
             stack.procs[former].wait()
         stack.wait_for_era(turn + 2)
         began = time.monotonic()
-        eventually("a host may order", lambda: any(
+        eventually("a host can send orders", lambda: any(
             stack.state(h)["places_layers"] and has_era(stack, h, turn + 2)
             for h in stack.hosts if stack.procs[h].poll() is None), patience_s=20)
-        took("turn %d: orders are possible" % turn, began, ORDERS_S)
+        report_time("turn %d: orders are possible" % turn, began, ORDERS_S)
         if kill:
             stack.begin_host(former)
         stack.fault_engine("e%d" % (turn + 2), "restarted")
@@ -220,15 +223,16 @@
             addr = addr_of(stack, name)
             for host in stack.hosts:
                 eventually("%s knows that %s holds layers" % (host, name),
-                           lambda h=host: believed(stack, h, addr)["to"] > 0, patience_s=20)
+                           lambda h=host: endpoint_state(stack, h, addr)["to"] > 0, patience_s=20)
         stack.copy_store()
     expect("violations", stack.ledger()["violations"], "")
 
 
 def case_host_started(stack):
-    """Symptom: a host that had started within the lost seconds was not known to hosts that started later.
-    Sequence: a host lists itself, the store comes back from a copy without it; another host starts.
-    Cause: a host lists itself once, and nobody looks whether its entry is still there."""
+    """Symptom: a host whose registration was lost with the store's last writes was unknown to hosts that started
+    later.
+    Sequence: a host registers itself, the store is restored from a copy without its entry; another host starts.
+    Cause: a host registered itself only once, and did not check later that its entry still existed."""
     last = stack.hosts[-1]
     others = stack.hosts[:-1]
     stack.hosts = others
@@ -241,8 +245,8 @@
     stack.rewind_store()
     stack.wait_for_era(2)
     began = time.monotonic()
-    eventually("the store knows it again", lambda: last in listed_hosts(stack), patience_s=20)
-    took("it is known", began, HOST_S)
+    eventually("the store lists the host again", lambda: last in listed_hosts(stack), patience_s=20)
+    report_time("the host is listed", began, HOST_S)
     for host in stack.hosts:
         expect("hosts at " + host, len(names(stack, host)), len(stack.hosts))
 
@@ -256,10 +260,10 @@
 
 
 def case_partitioned(stack):
-    """Symptom: a host that was cut off while the store came back went on with the older era.
-    Sequence: host-2 reaches neither store nor hosts during the return, and both again later; the
-    configuration changes and an engine starts empty meanwhile.
-    Cause: news are told once."""
+    """Symptom: a host that was partitioned while the store was restored kept the older era.
+    Sequence: host-2 reaches neither the store nor other hosts while the store is restored, and both again
+    later; the configuration changes in between.
+    Cause: changes were sent only once."""
     links = []
     for i, host in enumerate(stack.hosts):
         port = stack.base + 80 + i
