--- a/regress/soak/cases.py
+++ b/regress/soak/cases.py
@@ -411,14 +411,14 @@
     stack.up()
     stack.fault_engine("p0", "drain")
 
-    def all_elsewhere():
+    def all_at_other_endpoint():
         answers = [stack.ask(h, "/many/a", "d-%s-%f" % (h, time.monotonic()))
                    for h in stack.hosts for _ in range(5)]
         return all(a[0] == 200 and a[2].endswith(b" p1") for a in answers)
 
-    eventually("no request is sent to the leaving endpoint", all_elsewhere)
+    eventually("no request is sent to the leaving endpoint", all_at_other_endpoint)
     for _ in range(30):
-        if not all_elsewhere():
+        if not all_at_other_endpoint():
             raise Failure("a request went to an endpoint that is leaving")
 
 
@@ -512,7 +512,7 @@
     entry.update(state="draining", sequence=entry["sequence"] + 100)
     call(stack.store_port, "POST", "/between?topic=keyed.servers&key=" + first, json.dumps(entry))
     stack.begin_host("host-0")
-    eventually("host-0 knows that it is leaving", lambda: endpoint_state(
+    eventually("host-0 lists the endpoint as draining", lambda: endpoint_state(
         stack, "host-0", entry["address"])["state"] == "draining")
 
 
--- a/regress/soak/cases_limit.py
+++ b/regress/soak/cases_limit.py
@@ -18,7 +18,7 @@
         self.stack, self.per_s, self.path = stack, per_s, path
         self.answers = []       # (time in seconds, host, status, headers)
         self.hosts = {}         # request -> host that it was sent to
-        self.told_by = {}       # request -> time at which its answer, with a limit, arrived
+        self.limit_seen_at = {}     # request -> time at which its answer, with a limit, arrived
         self.asked = itertools.count()
         self.lock = threading.Lock()
         self.ending = threading.Event()
@@ -34,7 +34,7 @@
         with self.lock:
             self.answers.append((time.monotonic(), host, status, headers))
             if "Server-Limit" in headers:
-                self.told_by[request_id] = time.monotonic()
+                self.limit_seen_at[request_id] = time.monotonic()
 
     def send_at_rate(self, host, per_s):
         asking = []
@@ -57,7 +57,7 @@
         for thread in self.threads:
             thread.join()
 
-    def told(self):
+    def first_announced(self):
         """Returns a map host -> time at which it first forwarded an answer that announces a limit."""
         first = {}
         with self.lock:
@@ -85,7 +85,7 @@
     """Checks the required maximum in each window of 4 s that ends at least 3 s after the first arrival. Counts only
     requests of hosts that had forwarded the limit at least 0.5 s before."""
     most, allowed = max_in_window(Period(endpoint, rate, 0), stack.ledger()["limited"],
-                              {r: (h, True) for r, h in callers.hosts.items()}, callers.told_by)
+                              {r: (h, True) for r, h in callers.hosts.items()}, callers.limit_seen_at)
     print("maximum in 4 s: %d of %d allowed" % (most, allowed))
     if most > allowed:
         raise Failure("%d requests in 4 s where %d are allowed" % (most, allowed))
@@ -115,8 +115,8 @@
     with Callers(stack, per_s=10) as callers:
         eventually("all are served", lambda: len(callers.answers) >= 80)
         stack.fault_engine("p0", "ok", limit="2.9")
-        eventually("the limit is announced", lambda: callers.told())
-        began = min(callers.told().values())
+        eventually("the limit is announced", lambda: callers.first_announced())
+        began = min(callers.first_announced().values())
         eventually("the limit has held for a while",
                    lambda: time.monotonic() - began > 2 * STABLE_S + WINDOW_S)
     expect("all are served", callers.statuses(), [200])
@@ -138,7 +138,7 @@
 def announce_limit(stack, callers, endpoint, limit):
     """Makes the endpoint announce the limit and waits until all hosts list it."""
     stack.fault_engine(endpoint, "ok", limit=limit)
-    eventually("the limit is announced", lambda: callers.told())
+    eventually("the limit is announced", lambda: callers.first_announced())
     await_limit(stack, endpoint, float(limit))
 
 
@@ -260,8 +260,8 @@
         eventually(home + " is ready again", lambda: stack.is_ready(home))
         await_limit(stack, "p0", 3)
         run_for(callers, 6)
-    came = [at for at, host in arrivals(stack, "p0") if host != home]
-    most = most_in_window([at for at in came if at > min(callers.told().values()) + STABLE_S])
+    arrived_at = [at for at, host in arrivals(stack, "p0") if host != home]
+    most = most_in_window([at for at in arrived_at if at > min(callers.first_announced().values()) + STABLE_S])
     print("maximum in 4 s: %d of 23 allowed" % most)
     if most > 23:
         raise Failure("%d requests in 4 s where 23 are allowed" % most)
@@ -314,8 +314,8 @@
                      if e["service"] == "llm" and e["from"] == 0 and e["to"] > 0)
         name = first["id"].split("-")[1]
         stack.fault_engine(name, "ok", limit="1.5")
-        eventually("the load goes on", lambda: len(callers.answers) >= 200)
-    if callers.told():
+        eventually("200 requests are answered", lambda: len(callers.answers) >= 200)
+    if callers.first_announced():
         check_limit(stack, callers, name, 1.5)
     expect("violations", stack.ledger()["violations"], "")
     if not set(callers.statuses()) <= {200, 503}:
--- a/regress/soak/cases_rest.py
+++ b/regress/soak/cases_rest.py
@@ -21,11 +21,11 @@
 
 class RecordingCallers(Callers):
     """Callers that record the time at which each request was sent (sent), and the time at which each host first
-    forwarded the announcement that an endpoint is leaving (left)."""
+    forwarded the announcement that an endpoint is leaving (leaving_seen_at)."""
 
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
-        self.sent, self.left = {}, {}
+        self.sent, self.leaving_seen_at = {}, {}
 
     def ask(self, host):
         request_id = "%s-%d" % (host, next(self.asked))
@@ -37,15 +37,15 @@
         with self.lock:
             self.answers.append((time.monotonic(), host, status, headers))
             if headers.get("Server-Leaving", "0") not in ("", "0"):
-                self.left.setdefault(host, time.monotonic())
+                self.leaving_seen_at.setdefault(host, time.monotonic())
 
 
-def heard(stack):
+def recorded_calls(stack):
     return stack.ledger()["heard"]
 
 
 def check_rest(stack, rest_s=REST_S, **more):
-    got, host, endpoint = max_during_rest(heard(stack), rest_s, **more)
+    got, host, endpoint = max_during_rest(recorded_calls(stack), rest_s, **more)
     print("maximum of one host during a rest: %d of %d allowed" % (got, REST_REQUESTS_MAX))
     if got > REST_REQUESTS_MAX:
         raise Failure("%d requests of %s reached %s during its rest" % (got, host, endpoint))
@@ -53,7 +53,7 @@
 
 def rested_at(stack, endpoint):
     """Returns a map host -> time at which the endpoint last asked it for a rest, in seconds."""
-    return {host_of(request): at for e, request, at in rests(heard(stack)) if e == endpoint}
+    return {host_of(request): at for e, request, at in rests(recorded_calls(stack)) if e == endpoint}
 
 
 def await_rest(stack, endpoint, since=0):
@@ -63,7 +63,7 @@
 
 def count_accepted(stack, endpoint, since):
     """Returns the number of requests that the endpoint has accepted since that time."""
-    return sum(1 for a in heard(stack) if a["endpoint"] == endpoint and a["answer"] == "taken" and
+    return sum(1 for a in recorded_calls(stack) if a["endpoint"] == endpoint and a["answer"] == "taken" and
                a["ms"] / 1000.0 >= since)
 
 
@@ -87,7 +87,7 @@
         eventually("all are served", lambda: len(callers.answers) >= 30)
         for name in first_engines(stack)[1:]:
             stack.fault_engine(name, "ok", rest="3")
-        eventually("a host is asked for a rest", lambda: rests(heard(stack)))
+        eventually("a host is asked for a rest", lambda: rests(recorded_calls(stack)))
         run_for(callers, 2 * REST_S)
     check_rest(stack)
     expect("violations", stack.ledger()["violations"], "")
@@ -100,11 +100,11 @@
         eventually("all are served", lambda: len(callers.answers) >= 30)
         for name in first_engines(stack)[1:]:
             stack.fault_engine(name, "ok", rest="soon")
-        eventually("a request is rejected", lambda: rests(heard(stack)))
+        eventually("a request is rejected", lambda: rests(recorded_calls(stack)))
         began = time.monotonic()
         run_for(callers, 2 * REST_S)
     seconds = time.monotonic() - began
-    got = max(collections.Counter((e, host_of(r)) for e, r, _ in rests(heard(stack))).values())
+    got = max(collections.Counter((e, host_of(r)) for e, r, _ in rests(recorded_calls(stack))).values())
     print("maximum of one host at one engine: %d in %.1f s" % (got, seconds))
     if got > 3 + seconds / REJECT_RETRY_MAX_S:
         raise Failure("%d requests of one host were sent to an engine that rejects all requests" % got)
@@ -128,12 +128,13 @@
     refused = [(at, host, headers) for at, host, status, headers in callers.answers
                if status == 503 and at > began]
     known = {h: max(rested_at(stack, n)[h] for n in names) + REST_NOTICE_S for h in stack.hosts}
-    told = [(at + float(headers.get("Retry-After", 0)) - ends[host]) for at, host, headers in refused
+    retry_offsets_s = [(at + float(headers.get("Retry-After", 0)) - ends[host]) for at, host, headers in refused
             if known[host] < at < ends[host] - 1]
-    if not told:
+    if not retry_offsets_s:
         raise Failure("no request was refused during the rest of all endpoints")
-    print("Retry-After points to %.2f to %.2f s after the end of the first rest" % (min(told), max(told)))
-    if min(told) < 0 or max(told) > 2 * REUSE_S:
+    print("Retry-After points to %.2f to %.2f s after the end of the first rest" % (
+        min(retry_offsets_s), max(retry_offsets_s)))
+    if min(retry_offsets_s) < 0 or max(retry_offsets_s) > 2 * REUSE_S:
         raise Failure("Retry-After does not match the end of the rest")
 
 
@@ -206,7 +207,8 @@
         stack.fault_engine("p0", "ok", rest="0.2")
         began = time.monotonic()
         run_for(callers, 5)
-        got = sum(1 for a in heard(stack) if a["endpoint"] == "p0" and a["ms"] / 1000.0 >= began + REST_NOTICE_S)
+        got = sum(1 for a in recorded_calls(stack) if a["endpoint"] == "p0" and
+                  a["ms"] / 1000.0 >= began + REST_NOTICE_S)
         if got > REST_REQUESTS_MAX:
             raise Failure("%d requests during the longer rest" % got)
 
@@ -218,10 +220,10 @@
         eventually("all are served", lambda: len(callers.answers) >= 30)
         for name in first_engines(stack):
             stack.fault_engine(name, "ok", rest="6", times=1)
-        eventually("a host is asked for a rest", lambda: rests(heard(stack)))
-        name, _, asked = rests(heard(stack))[0]
+        eventually("a host is asked for a rest", lambda: rests(recorded_calls(stack)))
+        name, _, asked = rests(recorded_calls(stack))[0]
         run_for(callers, 6)
-    calls = [a for a in heard(stack) if a["answer"] != "rest" and a["endpoint"] == name and
+    calls = [a for a in recorded_calls(stack) if a["answer"] != "rest" and a["endpoint"] == name and
              asked + REST_NOTICE_S <= a["ms"] / 1000.0 < asked + 6]
     print("%d requests, report requests and orders" % len(calls))
     if len(calls) > REST_REQUESTS_MAX:
@@ -229,7 +231,8 @@
 
 
 def check_leaving(stack, callers, name):
-    late = sent_after_drain(heard(stack), name, callers.sent, callers.left, stack.drain_ms / 1000.0)
+    late = sent_after_drain(recorded_calls(stack), name, callers.sent, callers.leaving_seen_at,
+                            stack.drain_ms / 1000.0)
     print("%d requests reached the leaving endpoint too late" % len(late))
     if late:
         raise Failure("%d requests reached %s after it had announced that it is leaving" % (len(late), name))
@@ -241,7 +244,7 @@
     with RecordingCallers(stack, per_s=10) as callers:
         eventually("all are served", lambda: len(callers.answers) >= 80)
         stack.fault_engine("p0", "ok", leaving="1")
-        eventually("the announcement is forwarded", lambda: callers.left)
+        eventually("the announcement is forwarded", lambda: callers.leaving_seen_at)
         for host in stack.hosts:
             eventually(host + " lists the endpoint as draining", lambda h=host: is_draining(stack, h, "i-p0-0"))
         run_for(callers, 2 * stack.drain_ms / 1000.0)
@@ -277,7 +280,7 @@
         for value in ("0", ""):
             stack.fault_engine("p0", "ok", leaving=value)
             before = len(callers.answers)
-            eventually("the load goes on", lambda: len(callers.answers) >= before + 80)
+            eventually("80 more requests are answered", lambda: len(callers.answers) >= before + 80)
     for host in stack.hosts:
         expect("draining at " + host, is_draining(stack, host, "i-p0-0"), False)
 
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -166,6 +166,8 @@
 
 
 class Soak:
+    """One run of a seed: the deployment, the faults in progress, and the records for the checks."""
+
     def __init__(self, seed, seconds, hosts, crashing=False, copies=False, limits=False, rests=False):
         self.seed = seed
         self.seconds = seconds
@@ -308,12 +310,12 @@
         if got > REST_REQUESTS_MAX:
             self.record_failure("%d requests of %s reached %s during its rest" % (got, host, endpoint))
         for endpoint in {a["endpoint"] for a in ledger["heard"]}:
-            told = {}
+            told_at = {}
             for arrival in ledger["heard"]:
                 request = arrival["request"]
                 if arrival["endpoint"] == endpoint and request in self.leaving_seen_at and request in self.sent:
-                    told.setdefault(self.sent[request][0], self.leaving_seen_at[request])
-            late = sent_after_drain(ledger["heard"], endpoint, self.sent_at, told, DRAIN_S, host_of,
+                    told_at.setdefault(self.sent[request][0], self.leaving_seen_at[request])
+            late = sent_after_drain(ledger["heard"], endpoint, self.sent_at, told_at, DRAIN_S, host_of,
                                    self.was_undisturbed)
             if late:
                 self.record_failure("%s reached %s, which had announced that it is leaving" % (late[:3], endpoint))
